--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -1,25 +1,25 @@
-//! The command line.
+//! The command line: subcommands, their options and exit codes.
 
 use crate::config::Config;
 use crate::fleet::cli::FleetFailure;
+use crate::management_client::{request, ManagementError, ManagementRequest};
 use crate::run::{self, Role, StartError};
 use crate::shift::cli::ShiftFailure;
 use crate::site::{Site, SiteError};
-use crate::staff::{answered, Call, CallError};
 use clap::{Parser, Subcommand};
 use laurelroute_plan::wire::Ask;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// The exit code where a running node gave no answer, as for arguments that make no sense.
-const NO_ANSWER: u8 = 2;
+/// Exit code when a running node did not answer; invalid arguments have the same one.
+const EXIT_NO_ANSWER: u8 = 2;
 
-/// A load balancer. Without arguments it is the platform's node, told by the file that GW_CONFIG names.
+/// A load balancer. Without arguments it runs the platform's node, configured by the file that GW_CONFIG names.
 #[derive(Debug, Parser)]
 #[command(name = "laurelroute", version)]
 struct Arguments {
-    /// The operator's file (see deploy/site.example.toml).
+    /// The operator's configuration file (see deploy/site.example.toml).
     #[arg(long, value_name = "FILE", global = true)]
     site: Option<PathBuf>,
     #[command(subcommand)]
@@ -28,64 +28,64 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Moves traffic by the plan of the planners that the operator's file names.
+    /// Runs a forwarder: balances traffic by the plans of the planners that the operator's file names.
     Forward,
-    /// Plans for all forwarders.
+    /// Runs a planner: computes the plans of all forwarders.
     Plan,
-    /// Asks a planner what its plan says now, and why.
+    /// Prints a planner's current plan and the reasons for it.
     Explain {
         /// The planner's address.
         #[arg(long, value_name = "ADDRESS")]
         plan: SocketAddr,
-        /// Of this box.
+        /// Explains the plan for this server.
         #[arg(long = "box", value_name = "ID")]
         server: Option<String>,
-        /// Of this class.
+        /// Explains the limit of this request class.
         #[arg(long, value_name = "CLASS", conflicts_with = "server")]
         class: Option<String>,
-        /// Where this change of the list is in force, by its version.
+        /// Shows which forwarders have applied the change of the server list with this version.
         #[arg(long, value_name = "N", conflicts_with_all = ["server", "class"],
             value_parser = clap::value_parser!(u64).range(1..))]
         change: Option<u64>,
-        /// Of this service; empty for the one without a name.
+        /// Explains this service; an empty name is the unnamed service.
         #[arg(long, value_name = "NAME", conflicts_with_all = ["server", "class", "change"])]
         service: Option<String>,
     },
-    /// Asks a running node whether it takes clients: exit code 0 is yes, 1 no, 2 no answer.
+    /// Checks whether a running node accepts clients. Exit code: 0 yes, 1 no, 2 no answer.
     Ready {
-        /// The node's second address; else that of GW_MANAGEMENT or GW_CONFIG.
+        /// The node's management address; the default is that of GW_MANAGEMENT or GW_CONFIG.
         #[arg(long, value_name = "ADDRESS")]
         at: Option<SocketAddr>,
     },
-    /// Takes a server out of a running node's use, or puts it back: exit code 0 is yes, 1 no, 2 no answer.
+    /// Detaches a server from a running node, or attaches it again. Exit code: 0 done, 1 refused, 2 no answer.
     Servers {
         #[command(subcommand)]
         change: Change,
-        /// The node's second address; else that of GW_MANAGEMENT or GW_CONFIG.
+        /// The node's management address; the default is that of GW_MANAGEMENT or GW_CONFIG.
         #[arg(long, value_name = "ADDRESS", global = true)]
         at: Option<SocketAddr>,
     },
-    /// Moves traffic from one pool of servers to another: exit code 0 is yes, 1 no, 2 no answer.
+    /// Shifts traffic from one pool of servers to another. Exit code: 0 done, 1 refused, 2 no answer.
     Shift {
         #[command(subcommand)]
         call: crate::shift::cli::ShiftCall,
-        /// The node's second address; else that of GW_MANAGEMENT or GW_CONFIG.
+        /// The node's management address; the default is that of GW_MANAGEMENT or GW_CONFIG.
         #[arg(long, value_name = "ADDRESS", global = true)]
         at: Option<SocketAddr>,
     },
-    /// Says who is in the fleet: exit code 0 is yes, 1 no, 2 no answer.
+    /// Shows the fleet's members and their shared state. Exit code: 0 yes, 1 no, 2 no answer.
     Fleet {
         #[command(subcommand)]
         call: crate::fleet::cli::FleetCall,
-        /// The node's second address; else that of GW_MANAGEMENT or GW_CONFIG.
+        /// The node's management address; the default is that of GW_MANAGEMENT or GW_CONFIG.
         #[arg(long, value_name = "ADDRESS", global = true)]
         at: Option<SocketAddr>,
     },
-    /// Checks an operator's file; errors name key and line.
+    /// Validates an operator's file; errors name the key and the line.
     Check {
-        /// The file.
+        /// The file to validate.
         file: PathBuf,
-        /// The platform's configuration, for the classes that methods name.
+        /// The platform's configuration, to check the request classes that methods name.
         #[arg(long, value_name = "FILE")]
         config: Option<PathBuf>,
     },
@@ -93,19 +93,21 @@
 
 #[derive(Debug, Subcommand)]
 enum Change {
-    /// Nothing new goes to it from now on, whatever discovery says.
+    /// Sends the server no new requests from now on, whatever discovery reports.
     Detach {
-        /// Its name in the list.
+        /// The server's name in the discovery list.
         id: String,
-        /// Says of each member of the fleet whether it has that word; a no where one has not, or does not answer.
+        /// Also shows for each fleet member whether it has applied the change; fails if one has not or does not
+        /// answer.
         #[arg(long)]
         everywhere: bool,
     },
-    /// It is used again.
+    /// Uses the server again.
     Attach {
-        /// Its name in the list.
+        /// The server's name in the discovery list.
         id: String,
-        /// Says of each member of the fleet whether it has that word; a no where one has not, or does not answer.
+        /// Also shows for each fleet member whether it has applied the change; fails if one has not or does not
+        /// answer.
         #[arg(long)]
         everywhere: bool,
     },
@@ -120,78 +122,78 @@
     #[error("{0}")]
     Site(#[from] SiteError),
     #[error("{0}")]
-    Ask(#[from] crate::ask::AskError),
+    Explain(#[from] crate::explain::ExplainError),
     #[error("{0}")]
-    Call(#[from] CallError),
+    Call(#[from] ManagementError),
     #[error("{0}")]
     Shift(#[from] ShiftFailure),
     #[error("{0}")]
     Fleet(#[from] FleetFailure),
 }
 
-/// The program, from its arguments to its exit.
+/// Parses the arguments, runs the command and returns its exit code.
 pub fn main() -> ExitCode {
-    match act(Arguments::parse()) {
+    match execute(Arguments::parse()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("laurelroute: {error}");
-            let call = match &error {
+            let management_error = match &error {
                 Failure::Call(error)
                 | Failure::Fleet(FleetFailure::Call(error))
                 | Failure::Shift(ShiftFailure::Call(error)) => Some(error),
                 _ => None,
             };
-            match call {
-                Some(CallError::Staff(_)) => ExitCode::from(NO_ANSWER),
+            match management_error {
+                Some(ManagementError::Client(_)) => ExitCode::from(EXIT_NO_ANSWER),
                 _ => ExitCode::FAILURE,
             }
         }
     }
 }
 
-fn act(arguments: Arguments) -> Result<(), Failure> {
+fn execute(arguments: Arguments) -> Result<(), Failure> {
     let site = arguments.site.as_deref();
     match arguments.command {
-        None => Ok(run::start(site, Role::OneLevel)?),
+        None => Ok(run::start(site, Role::Standalone)?),
         Some(Command::Forward) => Ok(run::start(site, Role::Forwarder)?),
         Some(Command::Plan) => Ok(run::start(site, Role::Planner)?),
         Some(Command::Explain { plan, server, class, change, service }) => {
             let (server, class) = (server.unwrap_or_default(), class.unwrap_or_default());
-            let ask = Ask { server, class, change: change.unwrap_or_default(), service };
-            Ok(crate::ask::explain(site, plan, ask)?)
+            let query = Ask { server, class, change: change.unwrap_or_default(), service };
+            Ok(crate::explain::explain(site, plan, query)?)
         }
-        Some(Command::Ready { at }) => call(&Call::Ready, at),
-        Some(Command::Servers { change, at }) => say(change, at),
+        Some(Command::Ready { at }) => print_reply(&ManagementRequest::Ready, at),
+        Some(Command::Servers { change, at }) => change_server(change, at),
         Some(Command::Shift { call, at }) => Ok(crate::shift::cli::run(&call, at)?),
         Some(Command::Fleet { call, at }) => Ok(crate::fleet::cli::run(&call, at)?),
-        Some(Command::Check { file, config }) => check(&file, config.as_deref()),
+        Some(Command::Check { file, config }) => check_site(&file, config.as_deref()),
     }
 }
 
-fn say(change: Change, at: Option<SocketAddr>) -> Result<(), Failure> {
-    let (word, id, everywhere) = match change {
-        Change::Detach { id, everywhere } => (Call::Detach(id.clone()), id, everywhere),
-        Change::Attach { id, everywhere } => (Call::Attach(id.clone()), id, everywhere),
+fn change_server(change: Change, at: Option<SocketAddr>) -> Result<(), Failure> {
+    let (request, id, everywhere) = match change {
+        Change::Detach { id, everywhere } => (ManagementRequest::Detach(id.clone()), id, everywhere),
+        Change::Attach { id, everywhere } => (ManagementRequest::Attach(id.clone()), id, everywhere),
     };
-    call(&word, at)?;
+    print_reply(&request, at)?;
     if everywhere {
         println!("{}", crate::fleet::cli::everywhere(&id, at)?);
     }
     Ok(())
 }
 
-fn call(call: &Call, at: Option<SocketAddr>) -> Result<(), Failure> {
-    println!("{}", answered(call, at)?);
+fn print_reply(management_request: &ManagementRequest, at: Option<SocketAddr>) -> Result<(), Failure> {
+    println!("{}", request(management_request, at)?);
     Ok(())
 }
 
-fn check(file: &std::path::Path, config: Option<&std::path::Path>) -> Result<(), Failure> {
+fn check_site(file: &std::path::Path, config: Option<&std::path::Path>) -> Result<(), Failure> {
     let config = config.map(Config::read).transpose()?;
-    let classes = config.as_ref().map(|c| (&c.site.classes[..], &c.site.settings));
+    let classes = config.as_ref().map(|config| (&config.site.classes[..], &config.site.settings));
     let site = Site::load(file, classes)?;
     let methods = site.thrift.as_ref().map_or(0, |t| t.front.table.len());
-    let unseen = if config.is_none() { "; class names were not checked, see --config" } else { "" };
-    println!("{}: sound, {methods} Thrift methods{unseen}", file.display());
+    let unchecked = if config.is_none() { "; class names were not checked, see --config" } else { "" };
+    println!("{}: valid, {methods} Thrift methods{unchecked}", file.display());
     if let Some(shift) = &site.shift {
         println!("{}", shift.explained());
     }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,7 +1,8 @@
-//! The configuration file: read once, refused with one line when it cannot be acted on.
+//! The platform's configuration file (JSON): parsed and validated. A file that cannot be used is rejected with a
+//! one-line error.
 
 use crate::discovery::HostList;
-use crate::tenants::Said;
+use crate::tenants::ParsedSettings;
 use laurelroute_core::budget::MANAGEMENT_SOCKETS;
 use laurelroute_core::gateway::Site;
 use laurelroute_policy::interface::Nanos;
@@ -11,32 +12,33 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// What a watch that has fallen silent misses counts as told after this, whatever the settings say (PROTOCOL, figures).
-const TOLD: Nanos = 6_000_000_000;
+/// Upper bound of `askWithinNs`: a change missed by a watch that stopped delivering counts as known after 6 s,
+/// whatever the settings allow (PROTOCOL, figures).
+const MAX_ASK_WITHIN: Nanos = 6_000_000_000;
 
 /// Why the node cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// No file is named.
+    /// `GW_CONFIG` is not set.
     #[error("GW_CONFIG does not name a configuration file")]
     Unset,
     /// The file cannot be read.
     #[error("cannot read {path}: {error}")]
     #[allow(missing_docs)]
     Unreadable { path: String, error: std::io::Error },
-    /// It is not JSON, or not of this shape.
+    /// The file is not valid JSON, or a field is missing or has the wrong type.
     #[error("{path}: {error}")]
     #[allow(missing_docs)]
     Malformed { path: String, error: serde_json::Error },
-    /// Its settings cannot be acted on.
+    /// A setting is missing or out of range.
     #[error("{path}: settings: {error}")]
     #[allow(missing_docs)]
     Settings { path: String, error: String },
-    /// The second address is none.
-    #[error("GW_MANAGEMENT: `{text}` is no address with a port")]
+    /// `GW_MANAGEMENT` is not a socket address.
+    #[error("GW_MANAGEMENT: `{text}` is not an address with a port")]
     #[allow(missing_docs)]
     Management { text: String },
-    /// A limit leaves no room to serve.
+    /// A resource limit is below the minimum to serve with.
     #[error("{path}: `limits.{name}` is too small to serve with")]
     #[allow(missing_docs)]
     Limit { path: String, name: &'static str },
@@ -51,8 +53,9 @@
     #[serde(default)]
     seed: String,
     limits: Limits,
-    known: Option<HostList>,
-    settings: Said,
+    #[serde(rename = "known")]
+    cached_list: Option<HostList>,
+    settings: ParsedSettings,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize)]
@@ -61,32 +64,32 @@
     sockets: usize,
 }
 
-/// All that the node is told at its start.
+/// The node's configuration at its start.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Where clients connect.
+    /// Address that clients connect to.
     pub listen: SocketAddr,
-    /// Where operators call, where there is such a place.
+    /// Address of the management endpoint, if it is enabled.
     pub management: Option<SocketAddr>,
-    /// Where the list of servers comes from.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// The list of servers as an earlier life of this node had it.
-    pub known: Option<HostList>,
-    /// What the core is told.
+    /// Server list that an earlier run of this node had stored.
+    pub cached_list: Option<HostList>,
+    /// Settings of the core.
     pub site: Site,
-    /// Names of zones, in the order of the settings.
+    /// Zone names, in the order of the settings.
     pub zones: Vec<String>,
-    /// Names of machine kinds, in the order of the settings.
+    /// Machine type names, in the order of the settings.
     pub kinds: Vec<String>,
 }
 
-/// What `GW_MANAGEMENT` says, where it says anything.
-pub(crate) fn management_named() -> Option<String> {
+/// The value of `GW_MANAGEMENT`, unless it is unset or empty.
+pub(crate) fn management_from_env() -> Option<String> {
     std::env::var("GW_MANAGEMENT").ok().filter(|text| !text.is_empty())
 }
 
-/// The second address that a text names.
-pub(crate) fn management_address(text: &str) -> Result<SocketAddr, ConfigError> {
+/// Parses a management address.
+pub(crate) fn parse_management_address(text: &str) -> Result<SocketAddr, ConfigError> {
     text.parse().map_err(|_| ConfigError::Management { text: text.to_owned() })
 }
 
@@ -97,12 +100,12 @@
         Self::read(Path::new(&path))
     }
 
-    /// Reads a file.
+    /// Reads and validates the file at a path.
     pub fn read(file: &Path) -> Result<Self, ConfigError> {
         let path = file.display().to_string();
         let bytes =
             std::fs::read(file).map_err(|error| ConfigError::Unreadable { path: path.clone(), error })?;
-        Self::parse(&path, &bytes, management_named().as_deref())
+        Self::parse(&path, &bytes, management_from_env().as_deref())
     }
 
     fn parse(path: &str, bytes: &[u8], management: Option<&str>) -> Result<Self, ConfigError> {
@@ -110,31 +113,31 @@
         let mut file: File = serde_json::from_slice(bytes)
             .map_err(|error| ConfigError::Malformed { path: path.clone(), error })?;
         if let (None, Some(text)) = (file.management, management) {
-            file.management = Some(management_address(text)?);
+            file.management = Some(parse_management_address(text)?);
         }
-        for (name, value, least) in
+        for (name, value, min) in
             [("memory_mb", file.limits.memory_mb, 16), ("sockets", file.limits.sockets as u64, 48)]
         {
-            if value < least {
+            if value < min {
                 return Err(ConfigError::Limit { path, name });
             }
         }
         let mut pairs = Pairs::default();
-        let Said { others, mut tenants } = file.settings;
+        let ParsedSettings { others, mut tenants } = file.settings;
         flatten("", &others, &mut pairs);
-        let fault = |error| ConfigError::Settings { path: path.clone(), error };
-        let (mut settings, _) = settings::parse(&pairs).map_err(fault)?;
-        settings.ask_within = settings.ask_within.min(TOLD);
-        settings.tenant_quota = tenants.quotas().map_err(fault)?;
-        settings.validate().map_err(|error| fault(error.to_string()))?;
+        let invalid = |error| ConfigError::Settings { path: path.clone(), error };
+        let (mut settings, _) = settings::parse(&pairs).map_err(invalid)?;
+        settings.ask_within = settings.ask_within.min(MAX_ASK_WITHIN);
+        settings.tenant_quota = tenants.take_quotas().map_err(invalid)?;
+        settings.validate().map_err(|error| invalid(error.to_string()))?;
         let names = |list: &str| names(&others[list]);
         let site = Site {
-            conn_idle: pairs.get("caps.connIdleNs").map_err(fault)?,
-            connect_timeout: settings::duration(&pairs, "caps.connectTimeoutNs").map_err(fault)?,
+            conn_idle: pairs.get("caps.connIdleNs").map_err(invalid)?,
+            connect_timeout: settings::duration(&pairs, "caps.connectTimeoutNs").map_err(invalid)?,
             most_connections: None,
             classes: names("classes"),
             tenants: tenants.names.index(),
-            // Any text is a seed: what counts is that it is new with each start.
+            // Any text works as a seed: it only has to differ between starts.
             seed: u64::from_str_radix(&file.seed, 16)
                 .unwrap_or_else(|_| laurelroute_core::mix(file.seed.as_bytes())),
             sockets: file.limits.sockets,
@@ -148,39 +151,40 @@
             listen: file.listen,
             discovery: file.discovery,
             management: file.management,
-            known: file.known,
+            cached_list: file.cached_list,
             site,
         })
     }
 }
 
-/// Names in a list of plain values or of objects with a name.
+/// The names of a JSON list, whose items are strings or objects with a `name`.
 fn names(list: &Value) -> Vec<String> {
     let all = |items: &Vec<Value>| items.iter().map(|item| name(item).to_owned()).collect();
     list.as_array().map(all).unwrap_or_default()
 }
 
-/// The name that a plain value is, or that an object has.
+/// The value itself if it is a string, else its `name` field; empty if there is neither.
 pub(crate) fn name(item: &Value) -> &str {
     item.as_str().or(item["name"].as_str()).unwrap_or_default()
 }
 
-/// The paths of the simulator's `path=value` lines: plain lists joined by commas, objects numbered.
+/// Flattens JSON into the simulator's `path=value` pairs: lists of plain values are joined by commas, objects in a
+/// list are numbered.
 pub(crate) fn flatten(path: &str, value: &Value, pairs: &mut Pairs) {
-    let under = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
+    let child_path = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
     match value {
-        Value::Object(fields) => fields.iter().for_each(|(name, v)| flatten(&under(name), v, pairs)),
+        Value::Object(fields) => fields.iter().for_each(|(name, v)| flatten(&child_path(name), v, pairs)),
         Value::Array(items) if items.iter().any(Value::is_object) => {
-            pairs.set(&under("count"), &items.len().to_string());
-            items.iter().enumerate().for_each(|(k, v)| flatten(&under(&k.to_string()), v, pairs));
+            pairs.set(&child_path("count"), &items.len().to_string());
+            items.iter().enumerate().for_each(|(k, v)| flatten(&child_path(&k.to_string()), v, pairs));
         }
-        Value::Array(items) => pairs.set(path, &items.iter().map(plain).collect::<Vec<_>>().join(",")),
+        Value::Array(items) => pairs.set(path, &items.iter().map(scalar_text).collect::<Vec<_>>().join(",")),
         Value::Null => {}
-        _ => pairs.set(path, &plain(value)),
+        _ => pairs.set(path, &scalar_text(value)),
     }
 }
 
-fn plain(value: &Value) -> String {
+fn scalar_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.replace([' ', ','], "_"),
         other => other.to_string(),
@@ -192,7 +196,7 @@
     use super::*;
 
     #[test]
-    fn json_flattens_to_the_wire_paths() {
+    fn json_is_flattened_to_dotted_paths() {
         let json = serde_json::json!({"zone": 1, "zones": ["a b", "c"], "caps": {"x": true, "none": null},
             "classes": [{"name": "status", "aimNs": 5}], "tenants": []});
         let mut pairs = Pairs::default();
@@ -206,7 +210,7 @@
         assert_eq!(names(&json["classes"]), ["status"]);
     }
 
-    /// A sound configuration, with some of its settings otherwise.
+    /// Parses a valid configuration whose settings `change` has modified.
     fn parse(change: impl Fn(&mut Value)) -> Result<Config, String> {
         let mut file = serde_json::json!({
             "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "limits": {"memory_mb": 48, "sockets": 256},
@@ -223,20 +227,20 @@
     }
 
     #[test]
-    fn what_other_customers_leave_out_or_add_is_no_fault() {
+    fn missing_tenants_and_unknown_settings_are_accepted() {
         let config = parse(|_| {}).unwrap();
         assert!(config.site.tenants.is_empty() && config.zones == ["a"]);
         assert!(parse(|s| s["tenants"] = serde_json::json!([])).is_ok());
         assert!(parse(|s| s["another"] = serde_json::json!({"deep": [{"x": 1}], "none": null})).is_ok());
         assert!(parse(|s| s["classes"][0]["colour"] = "green".into()).is_ok());
-        // What counts as told sooner than the settings say.
+        // The protocol's bound on `askWithinNs` is below the configured value.
         let settings =
             parse(|s| s["guarantees"]["askWithinNs"] = 10_000_000_000u64.into()).unwrap().site.settings;
-        assert_eq!(settings.ask_within, TOLD);
+        assert_eq!(settings.ask_within, MAX_ASK_WITHIN);
     }
 
     #[test]
-    fn bad_settings_are_named_in_one_line() {
+    fn invalid_settings_are_reported_in_one_line() {
         let class =
             |key: &'static str, value: Value| move |s: &mut Value| s["classes"][0][key] = value.clone();
         let day = "it has to be from 1 to 86400000000000 nanoseconds (a day)";
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -1,5 +1,5 @@
-//! The list of servers: read once, then watched. Nonsense leaves the old list in place and the watch is opened
-//! anew.
+//! Client of the discovery service: fetches the server list and watches it for changes. An invalid line leaves the
+//! current list in place, and the watch is opened again.
 
 use crate::config::Config;
 use crate::site::Site;
@@ -23,51 +23,52 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// A watch says something at least every 2 s; one that is silent for longer hangs.
-const SILENCE: Duration = Duration::from_millis(2600);
-/// Discovery that is asked may let a call wait in turn: for this at the longest ...
-const CALL: Duration = Duration::from_secs(6);
-/// ... but a call may have fallen silent like any watch, and discovery may answer those that come later. A change counts as told
-/// 6 s after discovery could be reached: less the module's pause after a failed call (1.35 s at most), an answer that takes
-/// 1 s and a hold-up of the process (0.15 s), a further call has to be made within 3.5 s of the one before. It is made beside
-/// the one that waits, which may still be answered.
-const CALL_AGAIN: Duration = Duration::from_secs(3);
-const CONNECT: Duration = Duration::from_millis(500);
-/// Waits before a watch is opened again: from the first, doubled up to the last, and spread.
-const PAUSE_FIRST: f64 = 0.05;
-const PAUSE_LAST: f64 = 1.0;
-/// ... and to no more than this part of the grace that servers have which drain: where lists are pushed, what the agent has
-/// counts at once when it is back. It answers at once and at no cost.
-const GRACE_PART: f64 = 0.25;
-/// The longest line; a list of 10,000 servers has a fifth of that.
-const LONGEST: usize = 8 << 20;
-/// ... and for who goes by services and holds all of them: 180,000 servers with their services have 22 to 30 MB. One process
-/// in hundreds takes so much, and for as long as it reads it.
-const LONGEST_OF_ALL: usize = 64 << 20;
-/// A line longer than `LONGEST` has to be whole after this.
-const LONG_LINE: Duration = Duration::from_secs(15);
-/// An older whole list is taken only when discovery has stuck to it in this many watches: it may have lost its
-/// numbers, but more likely it was one stale copy, which would bring drained servers back.
-const STUBBORN: u32 = 4;
-
-/// One line of discovery.
+/// A watch delivers a list or a heartbeat at least every 2 s; one that is silent for longer is considered hung.
+const WATCH_TIMEOUT: Duration = Duration::from_millis(2600);
+/// In subscribe mode, discovery may queue a call; it is answered within 6 s at the latest.
+const CALL_TIMEOUT: Duration = Duration::from_secs(6);
+/// Time after which a second call is made beside an unanswered one, which may still be answered. A call may hang
+/// while discovery answers later ones. A change counts as known 6 s after discovery became reachable: less the
+/// policy's pause after a failed call (1.35 s at most), an answer that takes 1 s and a stall of the process
+/// (150 ms), a further call has to be made within 3.5 s of the one before.
+const HEDGED_CALL_DELAY: Duration = Duration::from_secs(3);
+/// Time limit of a TCP connect to discovery.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Reconnect backoff of a watch in seconds: starts at the minimum, doubles up to the maximum, with jitter.
+const MIN_BACKOFF_S: f64 = 0.05;
+const MAX_BACKOFF_S: f64 = 1.0;
+/// The backoff is also capped at this fraction of the drain grace period: where lists are pushed, the list of the
+/// discovery agent is in force as soon as the agent is back. It answers immediately and at no cost.
+const MAX_BACKOFF_DRAIN_FRACTION: f64 = 0.25;
+/// Maximum length of a line; a list of 10,000 servers takes a fifth of that.
+const MAX_LINE_BYTES: usize = 8 << 20;
+/// Maximum length of a line for a process that holds the servers of all services: 180,000 servers with their
+/// services take 22 to 30 MB. One process in hundreds uses that much, and only while it reads the list.
+const MAX_ALL_SERVICES_LINE_BYTES: usize = 64 << 20;
+/// A line longer than `MAX_LINE_BYTES` has to be complete within this time.
+const LONG_LINE_TIMEOUT: Duration = Duration::from_secs(15);
+/// An older full list is accepted only after this many consecutive watches delivered it: discovery may have lost
+/// its version numbers, but a single stale replica is more likely, whose list would bring drained servers back.
+const OLDER_LISTS_TO_ACCEPT: u32 = 4;
+
+/// One line of the discovery stream.
 #[derive(Clone, Debug, Deserialize)]
 pub struct HostList {
     /// Version of the list.
     pub seq: u64,
-    /// Whether it names all servers, or only those that changed.
+    /// Whether the list names all servers, or only those that changed.
     #[serde(default)]
     pub whole: bool,
     /// The servers.
     pub hosts: Vec<Host>,
 }
 
-/// One server, as discovery words it.
+/// One server, in discovery's format.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Host {
     host: String,
     dial: SocketAddr,
-    /// Where it speaks Thrift, if it says so.
+    /// Its Thrift address, if it has one of its own.
     #[serde(default)]
     thrift: Option<SocketAddr>,
     #[serde(default, deserialize_with = "names")]
@@ -85,8 +86,8 @@
     share: Option<f32>,
     #[serde(default)]
     born_ms: Option<u64>,
-    /// What it runs, and whatever else is said of it: for the pools of a shift. What is of another form says nothing, and
-    /// must not spoil the list.
+    /// Version and metadata select the pools of a traffic shift. Values of an unexpected type are ignored and must
+    /// not make the list invalid.
     #[serde(default)]
     version: Value,
     #[serde(default)]
@@ -101,7 +102,7 @@
     Left,
 }
 
-/// One name or several; what is of another form says nothing, and does not spoil the list.
+/// Deserializes one name or a list of names; values of other types are ignored and do not make the list invalid.
 fn names<'de, D: serde::Deserializer<'de>>(deserializer: D) -> Result<Vec<String>, D::Error> {
     let name = |value| match value {
         Value::String(name) => Some(name),
@@ -113,7 +114,8 @@
     })
 }
 
-fn said(host: &Host) -> Said {
+/// The attributes that a traffic shift selects servers by.
+fn attributes(host: &Host) -> Said {
     let pairs = host.metadata.as_object().into_iter().flatten();
     let text = |(key, value): (&String, &Value)| Some((key.clone(), value.as_str()?.to_owned()));
     Said {
@@ -124,235 +126,239 @@
     }
 }
 
-/// A part of an answer as it comes.
+/// A frame of a response body, as it is received.
 type BodyFrame = Result<Frame<Bytes>, hyper::Error>;
 
-/// Why a watch or a call has ended.
+/// Why a watch or a fetch has ended.
 #[derive(Debug, thiserror::Error)]
 enum WatchError {
     #[error("cannot connect: {0}")]
     Connect(std::io::Error),
     #[error("no answer in time")]
-    Silent,
+    Timeout,
     #[error("{0}")]
     Http(#[from] hyper::Error),
-    #[error("answered {0}")]
+    #[error("answered with status {0}")]
     Status(StatusCode),
     #[error("a line of over {0} bytes")]
     TooLong(usize),
-    #[error("a line that cannot be read: {0}")]
-    Nonsense(#[from] serde_json::Error),
-    #[error("version {0} after {1}")]
-    Backwards(u64, u64),
+    #[error("invalid line: {0}")]
+    InvalidLine(#[from] serde_json::Error),
+    #[error("version {0} received after {1}")]
+    OlderVersion(u64, u64),
     #[error("the watch ended")]
     Ended,
-    #[error("a new configuration names another address")]
-    Moved,
+    #[error("the configured address has changed")]
+    AddressChanged,
 }
 
-/// What a line of a watch has brought.
+/// Result of one line of a watch.
 #[derive(Debug, PartialEq, Eq)]
 enum Line {
-    /// The empty line.
+    /// An empty line.
     Heartbeat,
-    /// A list, as it was written.
-    Whole(Vec<u8>),
-    /// A part of one: it is indented, and more lines belong to it.
-    Part,
+    /// The last line of a list, with the complete text of the list.
+    Complete(Vec<u8>),
+    /// A line of an indented list that continues on the next line.
+    Partial,
 }
 
-/// Lists as they come in. One may be indented over several lines: it ends with the line in which its last brace closes.
+/// Assembles lists from lines. A list may be indented over several lines: it ends with the line in which its last
+/// brace closes.
 #[derive(Debug)]
-struct Lists {
-    /// Bytes of a line at most.
-    longest: usize,
-    held: Vec<u8>,
+struct ListAssembler {
+    /// Maximum size of a list.
+    max_bytes: usize,
+    buffer: Vec<u8>,
     depth: i64,
-    string: bool,
+    in_string: bool,
     escaped: bool,
 }
 
-impl Lists {
-    fn new(longest: usize) -> Self {
-        Lists { longest, held: Vec::new(), depth: 0, string: false, escaped: false }
+impl ListAssembler {
+    fn new(max_bytes: usize) -> Self {
+        ListAssembler { max_bytes, buffer: Vec::new(), depth: 0, in_string: false, escaped: false }
     }
 
-    /// Takes bytes within a line.
-    fn take(&mut self, bytes: &[u8]) -> Result<(), WatchError> {
-        if self.held.len() + bytes.len() > self.longest {
-            return Err(WatchError::TooLong(self.longest));
+    /// Appends bytes of the current line.
+    fn append(&mut self, bytes: &[u8]) -> Result<(), WatchError> {
+        if self.buffer.len() + bytes.len() > self.max_bytes {
+            return Err(WatchError::TooLong(self.max_bytes));
         }
-        self.held.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
         for &byte in bytes {
             match byte {
                 _ if self.escaped => self.escaped = false,
-                b'\\' if self.string => self.escaped = true,
-                b'"' => self.string = !self.string,
-                b'{' | b'[' if !self.string => self.depth += 1,
-                b'}' | b']' if !self.string => self.depth -= 1,
+                b'\\' if self.in_string => self.escaped = true,
+                b'"' => self.in_string = !self.in_string,
+                b'{' | b'[' if !self.in_string => self.depth += 1,
+                b'}' | b']' if !self.in_string => self.depth -= 1,
                 _ => {}
             }
         }
         Ok(())
     }
 
-    /// Takes the rest of a line.
+    /// Appends the rest of the current line and ends the line.
     fn end_line(&mut self, bytes: &[u8]) -> Result<Line, WatchError> {
         let empty = bytes.trim_ascii().is_empty();
-        self.take(bytes)?;
-        // No text holds a line's end as it is, and no list an empty line: what is open then is spoilt, and reading it says so.
-        if self.depth > 0 && !self.string && !empty {
-            self.held.push(b'\n');
-            return Ok(Line::Part);
+        self.append(bytes)?;
+        // JSON strings contain no raw line feeds, and a list contains no empty lines: a list that is open there is
+        // corrupt, and parsing it reports that.
+        if self.depth > 0 && !self.in_string && !empty {
+            self.buffer.push(b'\n');
+            return Ok(Line::Partial);
         }
-        let list = std::mem::replace(self, Lists::new(self.longest)).held;
-        Ok(if list.trim_ascii().is_empty() { Line::Heartbeat } else { Line::Whole(list) })
+        let list = std::mem::replace(self, ListAssembler::new(self.max_bytes)).buffer;
+        Ok(if list.trim_ascii().is_empty() { Line::Heartbeat } else { Line::Complete(list) })
     }
 }
 
-/// Who is told what discovery says: what kind of list, its version and its entries.
+/// Receives each update of the server list: its kind, its version and its entries.
 pub type Sink = Box<dyn Fn(ListKind, u64, Vec<Entry>)>;
 
-/// Who is told of signs of life without news.
-pub type Alive = Box<dyn Fn()>;
+/// Called on each heartbeat, an empty line that carries no update.
+pub type OnHeartbeat = Box<dyn Fn()>;
 
-/// What goes on at discovery's address, to its end or until that is another one: a new configuration may come at any moment,
+/// Runs work at discovery's address until it ends or the configured address changes, which may happen at any time,
 /// also while a call hangs at the old address.
-async fn unless_moved(
-    mut moves: watch::Receiver<SocketAddr>,
+async fn until_address_changes(
+    mut address_changes: watch::Receiver<SocketAddr>,
     work: impl Future<Output = Result<(), WatchError>>,
 ) -> Result<(), WatchError> {
     tokio::select! {
         ended = work => ended,
-        _ = moves.changed() => Err(WatchError::Moved),
+        _ = address_changes.changed() => Err(WatchError::AddressChanged),
     }
 }
 
-/// Follows discovery.
+/// Follows the server list of the discovery service.
 pub struct Watcher {
     sink: Sink,
-    alive: Alive,
-    /// Discovery has to be asked, and may let a call wait.
+    on_heartbeat: OnHeartbeat,
+    /// Subscribe mode: lists are sent only on request, and discovery may queue calls.
     must_subscribe: bool,
-    /// The longest pause before a watch is opened again, seconds.
-    pause_last: f64,
+    /// The longest pause before a watch is opened again, in seconds.
+    max_backoff_s: f64,
     seq: u64,
-    /// Nothing is held that changes could build on.
-    blank: bool,
-    older: u32,
-    lines: u64,
-    /// A list of this address is held: changes to it are of use only to a watch there.
-    heard_at: Option<SocketAddr>,
+    /// No list is held that changes could be applied to.
+    no_list: bool,
+    /// Consecutive lists with an older version than the one held.
+    older_lists: u32,
+    lists_received: u64,
+    /// The discovery address that the current list comes from: only a watch there can send changes to it.
+    list_address: Option<SocketAddr>,
     address: watch::Receiver<SocketAddr>,
     zones: Vec<String>,
     kinds: Vec<String>,
-    /// Thrift is on, with this port where an entry has no address for it.
+    /// Set if Thrift is enabled; the port applies to entries without a Thrift address.
     thrift: Option<Option<u16>>,
-    /// Somebody goes by what else is said of servers.
-    shift: bool,
-    /// Somebody goes by services, and takes all of them.
-    services: bool,
+    /// A traffic shift needs the servers' versions and metadata.
+    with_attributes: bool,
+    /// The servers' services are needed, and the list covers all services.
+    with_services: bool,
     rng: Pcg64Mcg,
 }
 
 impl Watcher {
-    /// Starts with the list that the configuration holds.
+    /// Creates a watcher and passes on the list that the configuration holds.
     pub fn new(sink: Sink, config: &Config, site: &Site, address: watch::Receiver<SocketAddr>) -> Self {
         let rng = Pcg64Mcg::seed_from_u64(config.site.seed ^ 0x6469_7363);
-        let heard_at = Some(*address.borrow());
+        let list_address = Some(*address.borrow());
         let mut watcher = Watcher {
             seq: 0,
-            blank: true,
-            older: 0,
-            lines: 0,
-            heard_at,
+            no_list: true,
+            older_lists: 0,
+            lists_received: 0,
+            list_address,
             address,
             zones: config.zones.clone(),
             kinds: config.kinds.clone(),
             thrift: site.thrift.as_ref().map(|t| t.port),
-            shift: site.shift.is_some(),
-            services: false,
+            with_attributes: site.shift.is_some(),
+            with_services: false,
             rng,
             sink,
-            alive: Box::new(|| {}),
+            on_heartbeat: Box::new(|| {}),
             must_subscribe: config.site.settings.must_subscribe,
-            pause_last: (config.site.settings.drain_grace as f64 / 1e9 * GRACE_PART).clamp(0.01, PAUSE_LAST),
+            max_backoff_s: (config.site.settings.drain_grace as f64 / 1e9 * MAX_BACKOFF_DRAIN_FRACTION)
+                .clamp(0.01, MAX_BACKOFF_S),
         };
-        if let Some(known) = config.known.clone() {
-            watcher.seq = known.seq;
-            watcher.blank = false;
-            watcher.tell(ListKind::Cached, known);
+        if let Some(cached) = config.cached_list.clone() {
+            watcher.seq = cached.seq;
+            watcher.no_list = false;
+            watcher.publish(ListKind::Cached, cached);
         } else {
             (watcher.sink)(ListKind::Cached, 0, Vec::new());
         }
         watcher
     }
 
-    /// Signs of life without news are told, too.
-    pub fn with_signs_of_life(mut self, alive: Alive) -> Self {
-        self.alive = alive;
+    /// Also calls `on_heartbeat` on each heartbeat.
+    pub fn with_heartbeats(mut self, on_heartbeat: OnHeartbeat) -> Self {
+        self.on_heartbeat = on_heartbeat;
         self
     }
 
-    /// Every address that an entry has is told: others may speak wires that this process does not.
+    /// Passes on all addresses of an entry: other processes may use protocols that this one does not.
     pub fn with_all_addresses(mut self) -> Self {
         self.thrift = self.thrift.or(Some(None));
         self
     }
 
-    /// The services of servers are told, and the list of all of them is taken, however long it is.
+    /// Passes on the services of servers, and accepts the longer list that covers all services.
     pub fn with_services(mut self) -> Self {
-        self.services = true;
+        self.with_services = true;
         self
     }
 
-    fn longest(&self) -> usize {
-        if self.services {
-            LONGEST_OF_ALL
+    fn max_line_bytes(&self) -> usize {
+        if self.with_services {
+            MAX_ALL_SERVICES_LINE_BYTES
         } else {
-            LONGEST
+            MAX_LINE_BYTES
         }
     }
 
-    /// Lists come unasked: the watch is the node's to keep alive.
+    /// Push mode: keeps a watch open, reopening it with backoff when it ends.
     pub async fn follow(mut self) {
-        let first = PAUSE_FIRST.min(self.pause_last);
-        let mut pause = first;
+        let min_backoff = MIN_BACKOFF_S.min(self.max_backoff_s);
+        let mut backoff = min_backoff;
         loop {
-            let lines = self.lines;
+            let lists_before = self.lists_received;
             let error = self.watch().await;
-            if self.lines > lines {
-                pause = first;
+            if self.lists_received > lists_before {
+                backoff = min_backoff;
             }
             tracing::warn!("discovery: {error}");
-            if matches!(error, WatchError::Moved) {
-                // What the new place has to tell counts soon: no pause.
-                pause = first;
+            if matches!(error, WatchError::AddressChanged) {
+                // The list at the new address is in force soon: connect without a pause.
+                backoff = min_backoff;
                 continue;
             }
-            let spread = 0.5 + f64::from(self.rng.next_u32()) / f64::from(u32::MAX);
-            // A move ends the pause as well.
-            let _ = timeout(Duration::from_secs_f64(pause * spread), self.address.clone().changed()).await;
-            pause = (pause * 2.0).min(self.pause_last);
+            let jitter = 0.5 + f64::from(self.rng.next_u32()) / f64::from(u32::MAX);
+            // A change of the address also ends the pause.
+            let _ = timeout(Duration::from_secs_f64(backoff * jitter), self.address.clone().changed()).await;
+            backoff = (backoff * 2.0).min(self.max_backoff_s);
         }
     }
 
-    /// Lists come to those who ask: the module says when.
-    pub async fn obey(mut self, mut calls: mpsc::UnboundedReceiver<ListCall>) {
+    /// Subscribe mode: fetches and watches when the policy asks for it.
+    pub async fn serve_calls(mut self, mut calls: mpsc::UnboundedReceiver<ListCall>) {
         let mut next = calls.recv().await;
         while let Some(call) = next.take() {
             let error = match call {
                 ListCall::Fetch => self.fetch().await.err(),
                 ListCall::Subscribe => tokio::select! {
                     error = self.watch() => Some(error),
-                    // Whatever is asked for beside a watch comes with a new one, and nobody would open this one again.
+                    // A new watch answers any call made during this one, which nothing else would reopen.
                     call = calls.recv() => { next = call.map(|_| ListCall::Subscribe); continue }
                 },
             };
             if let Some(error) = error {
                 tracing::warn!("discovery: {error}");
-                if matches!(error, WatchError::Moved) {
-                    // Discovery has not failed: what was asked for only moves with it.
+                if matches!(error, WatchError::AddressChanged) {
+                    // Discovery has not failed: the call is repeated at the new address.
                     next = Some(call);
                     continue;
                 }
@@ -362,196 +368,203 @@
         }
     }
 
-    /// Asks for the whole list once.
+    /// Fetches the full list once.
     async fn fetch(&mut self) -> Result<(), WatchError> {
-        unless_moved(self.moves(), self.fetch_here()).await
+        until_address_changes(self.address_changes(), self.fetch_from_current_address()).await
     }
 
-    async fn fetch_here(&mut self) -> Result<(), WatchError> {
-        let bytes = self.called_again(|| self.whole_list()).await?;
-        self.line(bytes)
+    async fn fetch_from_current_address(&mut self) -> Result<(), WatchError> {
+        let bytes = self.hedged(|| self.full_list()).await?;
+        self.handle_list(bytes)
     }
 
-    async fn whole_list(&self) -> Result<Bytes, WatchError> {
+    async fn full_list(&self) -> Result<Bytes, WatchError> {
         let body = self.get("/discovery/hosts".to_owned()).await?;
-        let limited = http_body_util::Limited::new(body, self.longest());
-        let whole = timeout(self.patience(), limited.collect()).await.map_err(|_| WatchError::Silent)?;
-        Ok(whole.map_err(|_| WatchError::Ended)?.to_bytes())
+        let limited_body = http_body_util::Limited::new(body, self.max_line_bytes());
+        let body =
+            timeout(self.call_timeout(), limited_body.collect()).await.map_err(|_| WatchError::Timeout)?;
+        Ok(body.map_err(|_| WatchError::Ended)?.to_bytes())
     }
 
-    /// Makes a call, and where discovery is asked and says nothing, a second one beside it; what comes first counts.
-    async fn called_again<T, F>(&self, call: impl Fn() -> F) -> Result<T, WatchError>
+    /// Makes a call and, in subscribe mode, a second one beside it if there is no answer yet; the first result
+    /// counts.
+    async fn hedged<T, F>(&self, call: impl Fn() -> F) -> Result<T, WatchError>
     where
         F: Future<Output = Result<T, WatchError>>,
     {
-        let limited = |call| async { timeout(CALL, call).await.map_err(|_| WatchError::Silent)? };
+        let with_timeout =
+            |call| async { timeout(CALL_TIMEOUT, call).await.map_err(|_| WatchError::Timeout)? };
         if !self.must_subscribe {
             return call().await;
         }
-        let mut first = pin!(limited(call()));
-        if let Ok(done) = timeout(CALL_AGAIN, first.as_mut()).await {
+        let mut first = pin!(with_timeout(call()));
+        if let Ok(done) = timeout(HEDGED_CALL_DELAY, first.as_mut()).await {
             return done;
         }
         tokio::select! {
             done = first => done,
-            done = limited(call()) => done,
+            done = with_timeout(call()) => done,
         }
     }
 
-    /// How long a call may take.
-    fn patience(&self) -> Duration {
+    /// Time limit of a call.
+    fn call_timeout(&self) -> Duration {
         match self.must_subscribe {
-            true => CALL,
-            false => SILENCE,
+            true => CALL_TIMEOUT,
+            false => WATCH_TIMEOUT,
         }
     }
 
-    /// Watches until the watch ends or discovery moves.
+    /// Watches until the watch ends or discovery's address changes.
     async fn watch(&mut self) -> WatchError {
-        unless_moved(self.moves(), self.lines_of_watch()).await.err().unwrap_or(WatchError::Ended)
+        until_address_changes(self.address_changes(), self.read_watch())
+            .await
+            .err()
+            .unwrap_or(WatchError::Ended)
     }
 
-    /// Tells of moves from now on.
-    fn moves(&mut self) -> watch::Receiver<SocketAddr> {
+    /// A receiver of address changes from now on.
+    fn address_changes(&mut self) -> watch::Receiver<SocketAddr> {
         self.address.mark_unchanged();
         self.address.clone()
     }
 
-    async fn lines_of_watch(&mut self) -> Result<(), WatchError> {
+    async fn read_watch(&mut self) -> Result<(), WatchError> {
         let mut path = "/discovery/hosts?follow=1".to_owned();
         let address = *self.address.borrow();
-        if !self.blank && self.older == 0 && self.heard_at == Some(address) {
+        if !self.no_list && self.older_lists == 0 && self.list_address == Some(address) {
             path += &format!("&since={}", self.seq);
         }
-        let (mut body, first, begun) = self.called_again(|| self.opened(path.clone())).await?;
-        let mut first = Some(first);
-        let mut lists = Lists::new(self.longest());
-        // Only a whole list or an empty line is a sign of life: bytes alone may be those of a line that never ends.
-        // The first one is waited for no longer than the call for it may take.
-        let mut due = begun + self.patience();
-        let mut line_at = begun;
+        let (mut body, first_frame, started_at) = self.hedged(|| self.open_watch(path.clone())).await?;
+        let mut first_frame = Some(first_frame);
+        let mut assembler = ListAssembler::new(self.max_line_bytes());
+        // Only a complete list or an empty line extends the deadline: bytes alone may belong to a line that never
+        // ends. The first one has to arrive within the time limit of the call.
+        let mut deadline = started_at + self.call_timeout();
+        let mut last_line_at = started_at;
         loop {
-            let frame = match first.take() {
+            let frame = match first_frame.take() {
                 Some(frame) => frame,
-                None => timeout_at(due, body.frame()).await.map_err(|_| WatchError::Silent)?,
+                None => timeout_at(deadline, body.frame()).await.map_err(|_| WatchError::Timeout)?,
             };
             let Some(frame) = frame else { break };
             let Ok(data) = frame?.into_data() else { continue };
             let mut rest = &data[..];
             while let Some(end) = rest.iter().position(|b| *b == b'\n') {
-                let list = lists.end_line(&rest[..end])?;
+                let line = assembler.end_line(&rest[..end])?;
                 rest = &rest[end + 1..];
-                match list {
-                    Line::Part => continue,
-                    Line::Heartbeat => (self.alive)(),
-                    Line::Whole(list) => {
-                        self.line(list)?;
-                        self.heard_at = Some(address);
+                match line {
+                    Line::Partial => continue,
+                    Line::Heartbeat => (self.on_heartbeat)(),
+                    Line::Complete(list) => {
+                        self.handle_list(list)?;
+                        self.list_address = Some(address);
                     }
                 }
-                line_at = Instant::now();
-                due = line_at + SILENCE;
+                last_line_at = Instant::now();
+                deadline = last_line_at + WATCH_TIMEOUT;
             }
-            lists.take(rest)?;
-            if lists.held.len() > LONGEST {
-                due = line_at + LONG_LINE;
+            assembler.append(rest)?;
+            if assembler.buffer.len() > MAX_LINE_BYTES {
+                deadline = last_line_at + LONG_LINE_TIMEOUT;
             }
         }
         Ok(())
     }
 
-    /// Opens a watch and waits for the first that it brings.
-    async fn opened(&self, path: String) -> Result<(Incoming, Option<BodyFrame>, Instant), WatchError> {
-        let begun = Instant::now();
+    /// Opens a watch and waits for its first body frame.
+    async fn open_watch(&self, path: String) -> Result<(Incoming, Option<BodyFrame>, Instant), WatchError> {
+        let started_at = Instant::now();
         let mut body = self.get(path).await?;
-        let due = begun + self.patience();
-        let first = timeout_at(due, body.frame()).await.map_err(|_| WatchError::Silent)?;
-        Ok((body, first, begun))
+        let deadline = started_at + self.call_timeout();
+        let first_frame = timeout_at(deadline, body.frame()).await.map_err(|_| WatchError::Timeout)?;
+        Ok((body, first_frame, started_at))
     }
 
-    fn line(&mut self, bytes: impl AsRef<[u8]>) -> Result<(), WatchError> {
+    /// Parses a list and passes it on, unless its version is older than that of the list held.
+    fn handle_list(&mut self, bytes: impl AsRef<[u8]>) -> Result<(), WatchError> {
         let list: HostList = serde_json::from_slice(bytes.as_ref())?;
-        // A long one is not held twice while it is taken in.
+        // Frees the text of a long list before its entries are converted.
         drop(bytes);
-        if list.seq < self.seq && !self.blank {
-            self.older += 1;
-            if !list.whole || self.older < STUBBORN {
-                return Err(WatchError::Backwards(list.seq, self.seq));
+        if list.seq < self.seq && !self.no_list {
+            self.older_lists += 1;
+            if !list.whole || self.older_lists < OLDER_LISTS_TO_ACCEPT {
+                return Err(WatchError::OlderVersion(list.seq, self.seq));
             }
         }
-        self.older = 0;
-        self.lines += 1;
+        self.older_lists = 0;
+        self.lists_received += 1;
         self.seq = list.seq;
-        self.blank = false;
-        self.tell(if list.whole { ListKind::Full } else { ListKind::Changes }, list);
+        self.no_list = false;
+        self.publish(if list.whole { ListKind::Full } else { ListKind::Changes }, list);
         Ok(())
     }
 
-    fn tell(&self, kind: ListKind, list: HostList) {
-        // A name that the settings do not hold stands for something of its own, after all that they hold.
-        let place = |names: &[String], name: &Option<String>| {
+    fn publish(&self, kind: ListKind, list: HostList) {
+        // All names that the settings do not list share one index after those that they do.
+        let index_of = |names: &[String], name: &Option<String>| {
             let name = name.as_deref().unwrap_or_default();
             names.iter().position(|n| n == name).unwrap_or(names.len())
         };
-        let words = |h: &mut Host| {
-            let mut words = if self.shift { said(h) } else { Said::default() };
-            if self.services {
-                words.services = std::mem::take(&mut h.service);
-                words.services.append(&mut h.services);
+        let collect_attributes = |host: &mut Host| {
+            let mut attributes = if self.with_attributes { attributes(host) } else { Said::default() };
+            if self.with_services {
+                attributes.services = std::mem::take(&mut host.service);
+                attributes.services.append(&mut host.services);
             }
-            Box::new(words)
+            Box::new(attributes)
         };
-        let entry = |mut h: Host| Entry {
-            dials: self.dials(&h),
-            said: (self.shift || self.services).then(|| words(&mut h)),
-            host: h.host,
+        let entry = |mut host: Host| Entry {
+            dials: self.dials(&host),
+            said: (self.with_attributes || self.with_services).then(|| collect_attributes(&mut host)),
+            host: host.host,
             server: Server {
                 endpoint: Endpoint { address: [0; 4], port: 0 },
-                zone: place(&self.zones, &h.site).min(255) as u8,
-                kind: place(&self.kinds, &h.class).min(usize::from(u16::MAX)) as u16,
-                cell: h.block.unwrap_or(0),
-                phase: match h.health {
+                zone: index_of(&self.zones, &host.site).min(255) as u8,
+                kind: index_of(&self.kinds, &host.class).min(usize::from(u16::MAX)) as u16,
+                cell: host.block.unwrap_or(0),
+                phase: match host.health {
                     Health::Active => Phase::Ready,
                     Health::Leaving => Phase::Draining,
                     Health::Left => Phase::Gone,
                 },
-                size: h.share.filter(|s| s.is_finite()).unwrap_or(0.0),
-                started_at: h.born_ms.unwrap_or(0).saturating_mul(1_000_000),
+                size: host.share.filter(|s| s.is_finite()).unwrap_or(0.0),
+                started_at: host.born_ms.unwrap_or(0).saturating_mul(1_000_000),
             },
         };
         (self.sink)(kind, list.seq, list.hosts.into_iter().map(entry).collect());
     }
 
-    /// Its addresses by wire: HTTP, and Thrift where this node speaks it.
+    /// A server's addresses by protocol: HTTP, and Thrift if this node uses it.
     fn dials(&self, host: &Host) -> Dials {
         match self.thrift {
             None => vec![Some(host.dial)],
             Some(port) => {
-                let same = port.map(|port| SocketAddr::new(host.dial.ip(), port));
-                vec![Some(host.dial), host.thrift.or(same)]
+                let same_host = port.map(|port| SocketAddr::new(host.dial.ip(), port));
+                vec![Some(host.dial), host.thrift.or(same_host)]
             }
         }
     }
 
     async fn get(&self, path: String) -> Result<Incoming, WatchError> {
         let address = *self.address.borrow();
-        let stream = match timeout(CONNECT, establish(address)).await {
+        let stream = match timeout(CONNECT_TIMEOUT, establish(address)).await {
             Ok(stream) => stream.map_err(WatchError::Connect)?,
-            Err(_) => return Err(WatchError::Silent),
+            Err(_) => return Err(WatchError::Timeout),
         };
         let io = TokioIo::new(Retried::new(stream));
         let (mut sender, connection) = hyper::client::conn::http1::handshake(io).await?;
-        // Ends with the answer's body: nothing else holds the connection.
+        // Ends with the response body: nothing else holds the connection.
         tokio::task::spawn_local(connection);
         let mut request = Request::new(Empty::<Bytes>::new());
         *request.uri_mut() = path.parse().unwrap_or_default();
         let host = hyper::header::HeaderValue::try_from(address.to_string());
         request.headers_mut().extend(host.ok().map(|h| (hyper::header::HOST, h)));
-        let answer = timeout(self.patience(), sender.send_request(request))
+        let response = timeout(self.call_timeout(), sender.send_request(request))
             .await
-            .map_err(|_| WatchError::Silent)??;
-        match answer.status() {
-            StatusCode::OK => Ok(answer.into_body()),
+            .map_err(|_| WatchError::Timeout)??;
+        match response.status() {
+            StatusCode::OK => Ok(response.into_body()),
             status => Err(WatchError::Status(status)),
         }
     }
@@ -562,31 +575,33 @@
     use super::*;
 
     fn lines(text: &str) -> Vec<Result<Line, String>> {
-        let mut lists = Lists::new(LONGEST);
-        text.split_terminator('\n').map(|l| lists.end_line(l.as_bytes()).map_err(|e| e.to_string())).collect()
+        let mut assembler = ListAssembler::new(MAX_LINE_BYTES);
+        text.split_terminator('\n')
+            .map(|l| assembler.end_line(l.as_bytes()).map_err(|e| e.to_string()))
+            .collect()
     }
 
     #[test]
-    fn lists_end_where_their_last_brace_closes() {
-        let whole = |text: &str| Ok(Line::Whole(text.as_bytes().to_vec()));
+    fn a_list_ends_where_its_last_brace_closes() {
+        let complete = |text: &str| Ok(Line::Complete(text.as_bytes().to_vec()));
         let flat = r#"{"seq":1,"hosts":[{"host":"a}\"{["}]}"#;
         assert_eq!(
             lines(&format!("{flat}\n\n  {flat}\n")),
-            [whole(flat), Ok(Line::Heartbeat), whole(&format!("  {flat}"))]
+            [complete(flat), Ok(Line::Heartbeat), complete(&format!("  {flat}"))]
         );
         let indented = "{\n  \"seq\": 1,\n  \"hosts\": [\n  ]\n}";
-        let mut parts: Vec<_> = (0..4).map(|_| Ok(Line::Part)).collect();
-        parts.push(whole(indented));
+        let mut parts: Vec<_> = (0..4).map(|_| Ok(Line::Partial)).collect();
+        parts.push(complete(indented));
         assert_eq!(lines(&format!("{indented}\n")), parts);
-        // Cut in the middle: the next empty line ends it, and reading it will fail.
-        assert_eq!(lines("{\"seq\":1,\"ho\n\n"), [whole("{\"seq\":1,\"ho"), Ok(Line::Heartbeat)]);
-        assert_eq!(lines("{\"seq\":1,\n\n"), [Ok(Line::Part), whole("{\"seq\":1,\n")]);
-        // Two at once are one that cannot be read.
-        assert_eq!(lines(&format!("{flat}{flat}\n")), [whole(&format!("{flat}{flat}"))]);
+        // A truncated list ends with the next empty line, and parsing it will fail.
+        assert_eq!(lines("{\"seq\":1,\"ho\n\n"), [complete("{\"seq\":1,\"ho"), Ok(Line::Heartbeat)]);
+        assert_eq!(lines("{\"seq\":1,\n\n"), [Ok(Line::Partial), complete("{\"seq\":1,\n")]);
+        // Two lists on one line are a single invalid one.
+        assert_eq!(lines(&format!("{flat}{flat}\n")), [complete(&format!("{flat}{flat}"))]);
     }
 
     #[test]
-    fn services_are_told_by_one_name_or_several_and_nonsense_says_nothing() {
+    fn services_are_one_name_or_several_and_other_values_are_ignored() {
         let host = |more: &str| {
             let text = format!(
                 r#"{{"seq":1,"hosts":[{{"host":"a","dial":"127.0.0.1:1","health":"active"{more}}}]}}"#
@@ -605,20 +620,23 @@
     }
 
     #[test]
-    fn who_holds_all_services_takes_a_longer_line() {
-        let mut lists = Lists::new(LONGEST_OF_ALL);
-        assert!(lists.take(&vec![b'['; 30 << 20]).is_ok());
+    fn a_watcher_of_all_services_accepts_a_longer_line() {
+        let mut assembler = ListAssembler::new(MAX_ALL_SERVICES_LINE_BYTES);
+        assert!(assembler.append(&vec![b'['; 30 << 20]).is_ok());
+        assert!(
+            matches!(assembler.end_line(&vec![b']'; 30 << 20]), Ok(Line::Complete(list)) if list.len() == 60 << 20)
+        );
         assert!(
-            matches!(lists.end_line(&vec![b']'; 30 << 20]), Ok(Line::Whole(list)) if list.len() == 60 << 20)
+            assembler.append(&vec![b'['; MAX_ALL_SERVICES_LINE_BYTES]).is_ok(),
+            "the limit applies to each line"
         );
-        assert!(lists.take(&vec![b'['; LONGEST_OF_ALL]).is_ok(), "the bound is that of one line");
-        assert!(matches!(lists.take(b"["), Err(WatchError::TooLong(LONGEST_OF_ALL))));
+        assert!(matches!(assembler.append(b"["), Err(WatchError::TooLong(MAX_ALL_SERVICES_LINE_BYTES))));
     }
 
     #[test]
-    fn a_line_without_end_is_bounded() {
-        let mut lists = Lists::new(LONGEST);
-        assert!(lists.take(&vec![b'['; LONGEST]).is_ok());
-        assert!(matches!(lists.take(b"["), Err(WatchError::TooLong(LONGEST))));
+    fn an_endless_line_is_bounded() {
+        let mut assembler = ListAssembler::new(MAX_LINE_BYTES);
+        assert!(assembler.append(&vec![b'['; MAX_LINE_BYTES]).is_ok());
+        assert!(matches!(assembler.append(b"["), Err(WatchError::TooLong(MAX_LINE_BYTES))));
     }
 }
--- a/crates/node/src/files.rs
+++ b/crates/node/src/files.rs
@@ -1,43 +1,43 @@
-//! Small files that are read and replaced as a whole.
+//! Small files that are read whole and replaced atomically.
 
 use std::fs::{self, File};
 use std::io::{self, Read, Write};
 use std::path::Path;
 
-/// A file's bytes, one more than `most` at most: enough to see that it is longer.
-pub(crate) fn read(path: &Path, most: usize) -> io::Result<Vec<u8>> {
+/// Reads at most `max_bytes + 1` bytes of a file: enough to detect that it is too long.
+pub(crate) fn read_bounded(path: &Path, max_bytes: usize) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
-    File::open(path)?.take(most as u64 + 1).read_to_end(&mut bytes)?;
+    File::open(path)?.take(max_bytes as u64 + 1).read_to_end(&mut bytes)?;
     Ok(bytes)
 }
 
-/// Puts these bytes in a file's place. Whoever reads finds the former file or the new one, also after a crash.
-pub(crate) fn replace(path: &Path, bytes: &[u8]) -> io::Result<()> {
-    let draft = path.with_extension(format!("{}-{}", kind(path), std::process::id()));
-    let written = write(&draft, bytes).and_then(|()| fs::rename(&draft, path));
+/// Replaces a file's contents. A reader finds either the old contents or the new ones, also after a crash.
+pub(crate) fn replace_atomically(path: &Path, bytes: &[u8]) -> io::Result<()> {
+    let temporary = path.with_extension(format!("{}-{}", extension(path), std::process::id()));
+    let written = write(&temporary, bytes).and_then(|()| fs::rename(&temporary, path));
     if written.is_err() {
-        let _ = fs::remove_file(&draft);
+        let _ = fs::remove_file(&temporary);
     }
     written?;
-    // The name is on the disk once its folder is.
-    path.parent().map_or(Ok(()), |folder| File::open(folder)?.sync_all())
+    // The rename is durable only after the directory has been synced.
+    path.parent().map_or(Ok(()), |directory| File::open(directory)?.sync_all())
 }
 
-/// Keeps a file that is not sound beside its place, and says so.
-pub(crate) fn set_aside(path: &Path) {
-    let aside = path.with_extension(format!("{}-unsound", kind(path)));
-    match fs::rename(path, &aside) {
-        Ok(()) => tracing::warn!("it is kept as {}", aside.display()),
-        Err(error) => tracing::warn!("it cannot be set aside: {error}"),
+/// Renames a corrupt file so that it is kept for inspection, and logs its new name.
+pub(crate) fn quarantine(path: &Path) {
+    let quarantined = path.with_extension(format!("{}-unsound", extension(path)));
+    match fs::rename(path, &quarantined) {
+        Ok(()) => tracing::warn!("the corrupt file was renamed to {}", quarantined.display()),
+        Err(error) => tracing::warn!("the corrupt file cannot be renamed: {error}"),
     }
 }
 
-fn kind(path: &Path) -> String {
+fn extension(path: &Path) -> String {
     path.extension().unwrap_or_default().to_string_lossy().into_owned()
 }
 
-fn write(draft: &Path, bytes: &[u8]) -> io::Result<()> {
-    let mut file = File::create(draft)?;
+fn write(temporary: &Path, bytes: &[u8]) -> io::Result<()> {
+    let mut file = File::create(temporary)?;
     file.write_all(bytes)?;
     file.sync_all()
 }
--- a/crates/node/src/fleet/cli.rs
+++ b/crates/node/src/fleet/cli.rs
@@ -1,6 +1,6 @@
 //! `laurelroute fleet`: what a running member says of its fleet, for people.
 
-use crate::staff::{answered, Call, CallError};
+use crate::management_client::{request, ManagementError, ManagementRequest};
 use serde_json::Value;
 use std::net::SocketAddr;
 
@@ -39,18 +39,22 @@
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum FleetFailure {
     #[error("{0}")]
-    Call(#[from] CallError),
+    Call(#[from] ManagementError),
     #[error("the node's answer cannot be read: {0}")]
     Odd(#[from] serde_json::Error),
 }
 
 pub(crate) fn run(call: &FleetCall, at: Option<SocketAddr>) -> Result<(), FleetFailure> {
     let text = match call {
-        FleetCall::Members { json: true } => answered(&Call::Fleet, at)?,
-        FleetCall::Members { json: false } => members(&asked(&Call::Fleet, at)?),
-        FleetCall::Explain { name } => explain(&asked(&Call::Fleet, at)?, name).map_err(CallError::No)?,
-        FleetCall::State { kind, json: true } => answered(&Call::FleetState(kind.clone()), at)?,
-        FleetCall::State { kind, json: false } => state(&asked(&Call::FleetState(kind.clone()), at)?),
+        FleetCall::Members { json: true } => request(&ManagementRequest::Fleet, at)?,
+        FleetCall::Members { json: false } => members(&asked(&ManagementRequest::Fleet, at)?),
+        FleetCall::Explain { name } => {
+            explain(&asked(&ManagementRequest::Fleet, at)?, name).map_err(ManagementError::Refused)?
+        }
+        FleetCall::State { kind, json: true } => request(&ManagementRequest::FleetState(kind.clone()), at)?,
+        FleetCall::State { kind, json: false } => {
+            state(&asked(&ManagementRequest::FleetState(kind.clone()), at)?)
+        }
         FleetCall::Differ { a, b } => differ(*a, *b)?,
     };
     println!("{text}");
@@ -58,24 +62,24 @@
 }
 
 /// What a node says, as JSON.
-fn asked(call: &Call, at: Option<SocketAddr>) -> Result<Value, FleetFailure> {
-    Ok(serde_json::from_str(&answered(call, at)?)?)
+fn asked(call: &ManagementRequest, at: Option<SocketAddr>) -> Result<Value, FleetFailure> {
+    Ok(serde_json::from_str(&request(call, at)?)?)
 }
 
 fn differ(a: SocketAddr, b: SocketAddr) -> Result<String, FleetFailure> {
-    let copy = |at| asked(&Call::FleetState(None), Some(at));
+    let copy = |at| asked(&ManagementRequest::FleetState(None), Some(at));
     let lines = differences(&copy(a)?, &copy(b)?);
     match lines.is_empty() {
         true => Ok("the copies are equal".to_owned()),
-        false => Err(CallError::No(lines.join("\n")).into()),
+        false => Err(ManagementError::Refused(lines.join("\n")).into()),
     }
 }
 
 /// After staff's word: which members have it. A no where one has not, or does not answer.
-pub(crate) fn everywhere(server: &str, at: Option<SocketAddr>) -> Result<String, CallError> {
-    let said = answered(&Call::FleetHeld(server.to_owned()), at)?;
-    let rows: Vec<(String, Option<bool>)> =
-        serde_json::from_str(&said).map_err(|_| CallError::No(format!("that is no answer: {said}")))?;
+pub(crate) fn everywhere(server: &str, at: Option<SocketAddr>) -> Result<String, ManagementError> {
+    let said = request(&ManagementRequest::FleetHeld(server.to_owned()), at)?;
+    let rows: Vec<(String, Option<bool>)> = serde_json::from_str(&said)
+        .map_err(|_| ManagementError::Refused(format!("that is no answer: {said}")))?;
     let line = |(name, has): &(String, Option<bool>)| {
         let has = match has {
             Some(true) => "has it",
@@ -87,7 +91,7 @@
     let text = rows.iter().map(line).collect::<Vec<_>>().join("\n");
     match rows.iter().all(|(_, has)| *has == Some(true)) {
         true => Ok(text),
-        false => Err(CallError::No(text)),
+        false => Err(ManagementError::Refused(text)),
     }
 }
 
--- a/crates/node/src/fleet/copy.rs
+++ b/crates/node/src/fleet/copy.rs
@@ -60,7 +60,7 @@
 }
 
 fn load(path: &Path) -> Vec<(Key, Entry)> {
-    let bytes = match files::read(path, disk::MOST_FILE) {
+    let bytes = match files::read_bounded(path, disk::MOST_FILE) {
         Ok(bytes) => bytes,
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Vec::new(),
         Err(error) => {
@@ -70,7 +70,7 @@
     };
     disk::decode(&bytes).unwrap_or_else(|error| {
         tracing::warn!("{}: {error}; nothing is taken from it", path.display());
-        files::set_aside(path);
+        files::quarantine(path);
         Vec::new()
     })
 }
@@ -108,7 +108,7 @@
             let bytes = disk::encode(self.machine.borrow().store());
             let path = path.clone();
             // A disk may take its time, and clients do not wait for it.
-            let written = tokio::task::spawn_blocking(move || files::replace(&path, &bytes)).await;
+            let written = tokio::task::spawn_blocking(move || files::replace_atomically(&path, &bytes)).await;
             let error = match written {
                 Ok(Ok(())) => None,
                 Ok(Err(error)) => Some(error.to_string()),
--- a/crates/node/src/fleet/table.rs
+++ b/crates/node/src/fleet/table.rs
@@ -1,6 +1,6 @@
 //! The operator's file on the fleet: who the members are, and which of them this process is (`[fleet]`).
 
-use crate::site::{Check, SiteError};
+use crate::site::{SiteError, Validator};
 use laurelroute_membership::{Roster, Seat};
 use ring::hmac;
 use serde::Deserialize;
@@ -61,34 +61,32 @@
 }
 
 impl FleetTable {
-    pub(crate) fn checked(self, check: &Check<'_>) -> Result<FleetSite, SiteError> {
+    pub(crate) fn checked(self, validator: &Validator<'_>) -> Result<FleetSite, SiteError> {
         if self.site.get_ref().is_empty() {
-            return Err(check.at(&self.site, "`fleet.site` has no text"));
+            return Err(validator.error_at(&self.site, "`fleet.site` has no text"));
         }
         for (k, member) in self.members.iter().enumerate() {
             let (name, address) = (member.name.get_ref(), member.address.get_ref());
             let before = &self.members[..k];
             if before.iter().any(|m| m.name.get_ref() == name) {
-                return Err(check.at(&member.name, format!("the member `{name}` stands twice")));
+                return Err(validator.error_at(&member.name, format!("the member `{name}` stands twice")));
             }
             if let Some(other) = before.iter().find(|m| m.address.get_ref() == address) {
                 let other = other.name.get_ref();
-                return Err(
-                    check.at(&member.address, format!("`{name}` has the address of `{other}`: {address}"))
-                );
+                return Err(validator
+                    .error_at(&member.address, format!("`{name}` has the address of `{other}`: {address}")));
             }
             if address.port() == 0 || address.ip().is_unspecified() {
-                return Err(check.at(&member.address, format!("nobody can send to {address}")));
+                return Err(validator.error_at(&member.address, format!("nobody can send to {address}")));
             }
         }
         let names = self.members.iter().map(|m| m.name.get_ref().clone()).collect();
-        let roster =
-            Roster::new(names).map_err(|e| check.at(&self.name, format!("`[[fleet.member]]`: {e}")))?;
+        let roster = Roster::new(names)
+            .map_err(|e| validator.error_at(&self.name, format!("`[[fleet.member]]`: {e}")))?;
         let own = self.name.get_ref();
         let Some(me) = roster.seat(own) else {
-            return Err(
-                check.at(&self.name, format!("`fleet.name` is `{own}`, which is no `[[fleet.member]]`"))
-            );
+            return Err(validator
+                .error_at(&self.name, format!("`fleet.name` is `{own}`, which is no `[[fleet.member]]`")));
         };
         let mut addresses: Vec<(&String, SocketAddr)> =
             self.members.iter().map(|m| (m.name.get_ref(), *m.address.get_ref())).collect();
@@ -102,10 +100,12 @@
                 Some(bytes) => {
                     let message =
                         format!("`fleet.key` has {} bytes; it has to have {LEAST_KEY} at least", bytes.len());
-                    return Err(check.at(text, message));
+                    return Err(validator.error_at(text, message));
                 }
                 None => {
-                    return Err(check.at(text, "`fleet.key` has to be hexadecimal digits, two for a byte"))
+                    return Err(
+                        validator.error_at(text, "`fleet.key` has to be hexadecimal digits, two for a byte")
+                    )
                 }
             },
         };
@@ -113,12 +113,12 @@
         if let Some(at) = self.confirm.as_ref().filter(|_| confirm >= roster.len()) {
             let message =
                 format!("`fleet.confirm` is {confirm}, where there are {} others", roster.len() - 1);
-            return Err(check.at(at, message));
+            return Err(validator.error_at(at, message));
         }
         if !here(listen.ip()) {
             let at = self.listen.as_ref().map_or(self.name.span().start, |l| l.span().start);
             return Err(
-                check.error(Some(at), format!("`fleet.listen`: {listen} is no address of this machine"))
+                validator.error(Some(at), format!("`fleet.listen`: {listen} is no address of this machine"))
             );
         }
         Ok(FleetSite {
@@ -128,7 +128,7 @@
             addresses,
             listen,
             key,
-            history: self.history.map(|path| check.beside(path)),
+            history: self.history.map(|path| validator.resolve_path(path)),
             confirm,
         })
     }
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -1,13 +1,13 @@
-//! The forwarder's role: the same gateway and decision module as ever, led by a plan.
+//! The forwarder role: the same gateway and balancing policy as a standalone node, guided by a planner's plan.
 //!
-//! One task a planner keeps a connection, takes in parts and sends reports. What they say meets in one
-//! [`Follower`]; each change of its view is handed to the gateway as a list and a guide. With no planner heard, the
-//! membership is watched as on one level.
+//! One task per planner holds a connection, receives the parts of plans and sends reports. All planners feed one
+//! [`Follower`]; each change of its view is passed to the gateway as a server list and a guide. While no planner is
+//! reachable, the server list is watched as on a standalone node.
 
 use crate::config::Config;
 use crate::discovery::Watcher;
-use crate::levels::{Forward, LevelError, Peers};
-use crate::log::Seldom;
+use crate::levels::{ForwarderSettings, PeerSettings, RoleError};
+use crate::log::RateLimitedWarning;
 use crate::services;
 use crate::site::Site;
 use crate::source;
@@ -34,26 +34,27 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::timeout;
 
-/// How often reports are made, and what has come by itself (age, whom to follow) is looked at.
-const REPORT: Duration = Duration::from_millis(200);
+/// Interval between reports to a planner.
+const REPORT_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval at which the age of the plan and the choice of the planner to follow are checked.
 const TICK: Duration = Duration::from_millis(50);
-const CONNECT: Duration = Duration::from_millis(500);
-const HANDSHAKE: Duration = Duration::from_secs(3);
-/// A planner says something at least four times a second.
-const SILENCE: Duration = Duration::from_secs(3);
-const WRITE: Duration = Duration::from_secs(3);
-/// Waits before a planner is connected to again: doubled from the first to the last, and spread.
-const PAUSE_FIRST: f64 = 0.05;
-const PAUSE_LAST: f64 = 0.4;
-/// Answers to a planner that wait to be written; more are never under way.
-const REPLIES: usize = 64;
-/// The membership is watched for this long after a planner has taken over.
-const STILL_WATCH: Nanos = 2_000_000_000;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
+/// A planner sends a message at least four times a second.
+const READ_TIMEOUT: Duration = Duration::from_secs(3);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Reconnect backoff in seconds: starts at the minimum, doubles up to the maximum, with jitter.
+const MIN_BACKOFF_S: f64 = 0.05;
+const MAX_BACKOFF_S: f64 = 0.4;
+/// Capacity of the queue of replies to a planner; no more are ever outstanding.
+const REPLY_QUEUE: usize = 64;
+/// How long the server list is still watched after a planner has become reachable again.
+const WATCH_LINGER: Nanos = 2_000_000_000;
 
-/// What the operator's file says of the role, with the certificates read.
+/// The forwarder's part of the operator's file, with the certificates loaded.
 pub(crate) struct Forwarding {
-    forward: Forward,
-    peers: Peers,
+    forward: ForwarderSettings,
+    peers: PeerSettings,
     tls: Tls,
 }
 
@@ -62,7 +63,7 @@
     #[error("{0}")]
     Io(#[from] std::io::Error),
     #[error("no answer in time")]
-    Silent,
+    Timeout,
     #[error("{0}")]
     Hello(#[from] HelloError),
     #[error("{0}")]
@@ -72,28 +73,31 @@
 struct Forwarder {
     gateway: Rc<Gateway>,
     follower: RefCell<Follower>,
-    told: RefCell<Told>,
+    applied: RefCell<Told>,
+    /// The guide last passed to the gateway.
     guide: RefCell<Guide>,
-    /// The operator's own limit of connections to one box.
-    most_connections: Option<u32>,
-    /// Where boxes speak Thrift whose entry does not say.
+    /// The operator's own limit of connections to one server.
+    max_connections: Option<u32>,
+    /// Thrift port of servers whose entry has no Thrift address.
     thrift_port: Option<u16>,
     identity: Identity,
-    heard_at: Cell<Nanos>,
+    /// When no planner was reachable last.
+    isolated_at: Cell<Nanos>,
 }
 
 impl Forwarding {
-    pub(crate) fn new(site: &Site) -> Result<Self, LevelError> {
-        let peers = site.levels.peers.clone().ok_or(LevelError::Missing("peers"))?;
-        let forward = site.levels.forward.clone().ok_or(LevelError::Missing("forward"))?;
+    pub(crate) fn new(site: &Site) -> Result<Self, RoleError> {
+        let peers = site.levels.peers.clone().ok_or(RoleError::Missing("peers"))?;
+        let forward = site.levels.forward.clone().ok_or(RoleError::Missing("forward"))?;
         let tls = peers.tls()?;
         Ok(Forwarding { forward, peers, tls })
     }
 
-    /// Starts to follow planners by services, where the file says so: where requests name them, and who knows them.
+    /// Starts to follow the planners per service, if the operator's file enables services; returns the routing of
+    /// requests to services.
     pub(crate) fn by_services(&self, gateway: &Rc<Gateway>, site: &Site) -> Option<Routing> {
-        let own = self.forward.services.as_ref()?;
-        Some(services::forwarder::start(gateway, site, &self.forward, &self.peers, &self.tls, own))
+        let settings = self.forward.services.as_ref()?;
+        Some(services::forwarder::start(gateway, site, &self.forward, &self.peers, &self.tls, settings))
     }
 
     /// Starts to follow the planners.
@@ -105,7 +109,7 @@
         discovery: watch::Receiver<SocketAddr>,
     ) {
         let now = gateway.clock.now();
-        let names: Vec<String> = self.forward.planners.iter().map(SocketAddr::to_string).collect();
+        let planner_names: Vec<String> = self.forward.planners.iter().map(SocketAddr::to_string).collect();
         let identity = Identity {
             role: Role::Forwarder,
             name: self.peers.name.clone(),
@@ -116,17 +120,17 @@
         };
         let forwarder = Rc::new(Forwarder {
             gateway: gateway.clone(),
-            follower: RefCell::new(Follower::new(now, &self.peers.name, &self.peers.site, &names)),
-            told: RefCell::default(),
+            follower: RefCell::new(Follower::new(now, &self.peers.name, &self.peers.site, &planner_names)),
+            applied: RefCell::default(),
             guide: RefCell::default(),
-            most_connections: gateway.site.most_connections,
+            max_connections: gateway.site.most_connections,
             thrift_port: site.thrift.as_ref().and_then(|t| t.port),
             identity,
-            heard_at: Cell::new(0),
+            isolated_at: Cell::new(0),
         });
-        for (place, address) in self.forward.planners.iter().enumerate() {
+        for (index, address) in self.forward.planners.iter().enumerate() {
             let report_bytes = f64::from(self.forward.report_bytes);
-            spawn_local(forwarder.clone().keep(place, *address, self.tls.clone(), report_bytes));
+            spawn_local(forwarder.clone().keep_session(index, *address, self.tls.clone(), report_bytes));
         }
         let watcher = {
             let (forwarder, config, site) = (forwarder.clone(), config.clone(), site.clone());
@@ -137,37 +141,38 @@
 }
 
 impl Forwarder {
-    /// Discovery's word, for while no planner speaks.
+    /// Receives discovery's lists, which count while no planner is reachable.
     fn sink(self: &Rc<Self>) -> crate::discovery::Sink {
         let forwarder = self.clone();
         Box::new(move |kind, version, entries| {
-            let members: Vec<Member> = entries.into_iter().map(source::member).collect();
-            let whole = match kind {
+            let members: Vec<Member> = entries.into_iter().map(source::to_member).collect();
+            let full = match kind {
                 ListKind::Failed => return,
-                // The configuration's list is only for a start with nobody to ask.
-                ListKind::Cached if members.is_empty() || !forwarder.told.borrow().is_empty() => return,
+                // The configuration's list is used only at a start where neither planners nor discovery are
+                // reachable.
+                ListKind::Cached if members.is_empty() || !forwarder.applied.borrow().is_empty() => return,
                 ListKind::Cached | ListKind::Full => true,
                 ListKind::Changes => false,
             };
             let now = forwarder.gateway.clock.now();
-            forwarder.follower.borrow_mut().membership(now, version, whole, members);
+            forwarder.follower.borrow_mut().membership(now, version, full, members);
             forwarder.apply();
         })
     }
 
-    /// Hands what is to be gone by now to the gateway, as far as it has changed.
+    /// Passes the changes of the current view to the gateway.
     fn apply(&self) {
         let now = self.gateway.clock.now();
         let view = self.follower.borrow().view(now);
-        let changes = self.told.borrow_mut().changes(&view);
-        let entries: Vec<_> = changes.into_iter().map(|m| source::entry(m, self.thrift_port)).collect();
+        let changes = self.applied.borrow_mut().changes(&view);
+        let entries: Vec<_> = changes.into_iter().map(|m| source::to_entry(m, self.thrift_port)).collect();
         if !entries.is_empty() {
             self.gateway.list(ListKind::Changes, entries);
         }
-        let most =
-            [self.most_connections, Some(view.connections).filter(|&n| n > 0)].into_iter().flatten().min();
-        self.gateway.fleet(|f| f.limit(most));
-        let guide = self.guide_of(&view);
+        let connection_limit =
+            [self.max_connections, Some(view.connections).filter(|&n| n > 0)].into_iter().flatten().min();
+        self.gateway.fleet(|f| f.limit(connection_limit));
+        let guide = self.guide_from(&view);
         if *self.guide.borrow() != guide {
             self.guide.replace(guide.clone());
             self.gateway.guide(guide);
@@ -177,7 +182,7 @@
         }
     }
 
-    fn guide_of(&self, view: &View) -> Guide {
+    fn guide_from(&self, view: &View) -> Guide {
         let site = &self.gateway.site;
         let tenants = site.tenants.iter().zip(&site.settings.tenant_quota);
         lead::guide(
@@ -188,25 +193,25 @@
         )
     }
 
-    /// Time: the plan ages, planners fall silent, and the membership is watched as long as it has to be.
+    /// Periodic work: expires plans and planners, and watches the server list while no planner is reachable.
     async fn tick(self: Rc<Self>, watcher: impl Fn() -> Watcher) {
-        let mut watching: Option<AbortHandle> = None;
+        let mut watch: Option<AbortHandle> = None;
         loop {
             let now = self.gateway.clock.now();
-            let alone = {
+            let isolated = {
                 let mut follower = self.follower.borrow_mut();
                 follower.poll(now);
                 follower.alone(now)
             };
-            if alone && watching.is_none() {
-                tracing::warn!("no planner speaks: the membership is read here");
-                watching = Some(spawn_local(watcher().follow()).abort_handle());
+            if isolated && watch.is_none() {
+                tracing::warn!("no planner is reachable: the server list is read from discovery");
+                watch = Some(spawn_local(watcher().follow()).abort_handle());
             }
-            if alone {
-                self.heard_at.set(now);
-            } else if watching.is_some() && now.saturating_sub(self.heard_at.get()) > STILL_WATCH {
-                tracing::info!("a planner speaks again");
-                watching.take().inspect(AbortHandle::abort);
+            if isolated {
+                self.isolated_at.set(now);
+            } else if watch.is_some() && now.saturating_sub(self.isolated_at.get()) > WATCH_LINGER {
+                tracing::info!("a planner is reachable again");
+                watch.take().inspect(AbortHandle::abort);
                 self.follower.borrow_mut().forget_membership();
             }
             self.apply();
@@ -214,72 +219,81 @@
         }
     }
 
-    /// Keeps a connection to one planner, for good.
-    async fn keep(self: Rc<Self>, place: usize, address: SocketAddr, tls: Tls, report_bytes: f64) {
-        let mut rng = Pcg64Mcg::seed_from_u64(self.gateway.site.seed ^ 0x706c_616e ^ place as u64);
-        let mut pause = PAUSE_FIRST;
-        let mut seldom = Seldom::default();
+    /// Keeps a connection to one planner open, reconnecting with backoff forever.
+    async fn keep_session(
+        self: Rc<Self>,
+        planner_index: usize,
+        address: SocketAddr,
+        tls: Tls,
+        report_bytes: f64,
+    ) {
+        let mut rng = Pcg64Mcg::seed_from_u64(self.gateway.site.seed ^ 0x706c_616e ^ planner_index as u64);
+        let mut backoff = MIN_BACKOFF_S;
+        let mut warning = RateLimitedWarning::default();
         loop {
-            let begun = tokio::time::Instant::now();
-            let error = self.session(place, address, &tls, report_bytes).await.err();
+            let started_at = tokio::time::Instant::now();
+            let error = self.session(planner_index, address, &tls, report_bytes).await.err();
             if let Some(error) = error {
-                seldom.warn(|more| format!("planner {address}: {error}{more}"));
+                warning.warn(|suppressed| format!("planner {address}: {error}{suppressed}"));
             }
-            if begun.elapsed() > SILENCE {
-                pause = PAUSE_FIRST;
+            if started_at.elapsed() > READ_TIMEOUT {
+                backoff = MIN_BACKOFF_S;
             }
-            let spread = 0.5 + f64::from(rng.next_u32()) / f64::from(u32::MAX);
-            tokio::time::sleep(Duration::from_secs_f64(pause * spread)).await;
-            pause = (pause * 2.0).min(PAUSE_LAST);
+            let jitter = 0.5 + f64::from(rng.next_u32()) / f64::from(u32::MAX);
+            tokio::time::sleep(Duration::from_secs_f64(backoff * jitter)).await;
+            backoff = (backoff * 2.0).min(MAX_BACKOFF_S);
         }
     }
 
+    /// Connects to a planner, then receives parts and sends replies and reports until the connection fails.
     async fn session(
         &self,
-        place: usize,
+        planner_index: usize,
         address: SocketAddr,
         tls: &Tls,
         report_bytes: f64,
     ) -> Result<(), SessionError> {
-        let late = |_| SessionError::Silent;
-        let stream = timeout(CONNECT, establish(address)).await.map_err(late)??;
+        let timed_out = |_| SessionError::Timeout;
+        let stream = timeout(CONNECT_TIMEOUT, establish(address)).await.map_err(timed_out)??;
         stream.set_nodelay(true)?;
-        let mut stream = timeout(HANDSHAKE, tls.connect(Retried::new(stream))).await.map_err(late)??;
-        let planner = timeout(HANDSHAKE, hello::greet(&mut stream, &self.identity, Role::Planner))
+        let mut stream =
+            timeout(HANDSHAKE_TIMEOUT, tls.connect(Retried::new(stream))).await.map_err(timed_out)??;
+        let planner = timeout(HANDSHAKE_TIMEOUT, hello::greet(&mut stream, &self.identity, Role::Planner))
             .await
-            .map_err(late)??;
-        tracing::info!("planner {address}: `{}` is there", planner.name.escape_debug());
+            .map_err(timed_out)??;
+        tracing::info!("planner {address}: connected to `{}`", planner.name.escape_debug());
         let (mut reader, mut writer) = tokio::io::split(stream);
-        let (replies, mut waiting) = mpsc::channel(REPLIES);
+        let (replies, mut queued_replies) = mpsc::channel(REPLY_QUEUE);
         let read = async {
             loop {
-                let body = timeout(SILENCE, frames::read(&mut reader)).await.map_err(late)??;
+                let body = timeout(READ_TIMEOUT, frames::read(&mut reader)).await.map_err(timed_out)??;
                 let Some(Body::Part(part)) = body else { continue };
-                let reply = self.follower.borrow_mut().receive(self.gateway.clock.now(), place, &part);
+                let reply =
+                    self.follower.borrow_mut().receive(self.gateway.clock.now(), planner_index, &part);
                 self.apply();
-                // A planner that sends on and on without reading is not worth the memory.
+                // Bounds the memory for a planner that sends without reading the replies.
                 if replies.try_send(reply).is_err() {
-                    return Err(SessionError::Silent);
+                    return Err(SessionError::Timeout);
                 }
             }
         };
         let write = async {
             let mut reporter = Reporter::new(self.gateway.clock.now(), report_bytes);
-            let mut next = tokio::time::Instant::now();
+            let mut next_report_at = tokio::time::Instant::now();
             loop {
                 let body = tokio::select! {
-                    Some(reply) = waiting.recv() => Some(Body::Reply(reply)),
-                    _ = tokio::time::sleep_until(next) => {
-                        next = tokio::time::Instant::now() + REPORT;
+                    Some(reply) = queued_replies.recv() => Some(Body::Reply(reply)),
+                    _ = tokio::time::sleep_until(next_report_at) => {
+                        next_report_at = tokio::time::Instant::now() + REPORT_INTERVAL;
                         self.report(&mut reporter)
                     }
                 };
                 if let Some(body) = body {
-                    timeout(WRITE, frames::write(&mut writer, body)).await.map_err(late)??;
+                    timeout(WRITE_TIMEOUT, frames::write(&mut writer, body)).await.map_err(timed_out)??;
                 }
             }
         };
-        tokio::select! { ended = read => ended, ended = write => ended }
+        tokio::select! { result = read => result, result = write => result }
     }
 
     fn report(&self, reporter: &mut Reporter) -> Option<Body> {
--- a/crates/node/src/ledger.rs
+++ b/crates/node/src/ledger.rs
@@ -1,11 +1,12 @@
-//! The file of bans: where it lies, how it is read at the start, and how it is replaced.
+//! The file that persists bans: its path, how it is loaded at the start and how it is replaced.
 //!
-//! Both processes of a node write the same file, and neither waits for the other: each writes what it knows and what it
-//! finds there, as one, in place of what was there. Should one overwrite a word that the other has just written, the word
-//! is told to it all the same, and it writes again before it says that it has noted it (`crates/handover/tests/ledger.rs`).
+//! During a takeover both processes of a node write the same file without locking: each replaces it with the union
+//! of its own records and those in the file. If one overwrites a record that the other has just written, it still
+//! receives that record by message, and writes the file again before it acknowledges it
+//! (`crates/handover/tests/ledger.rs`).
 //!
-//! A disk may fail for a while. What it could not take is written again until it has it, and a file that could not be read
-//! at the start is read again: neither is given up for the failure, as the operators were told that their word counts.
+//! The disk may fail for a while. A failed write is retried until it succeeds, and a file that could not be read at
+//! the start is read again: operators have been told that their bans count, so neither is given up.
 
 use crate::files;
 use crate::upgrade::link::place;
@@ -22,197 +23,199 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// Pauses before a failed write is tried again: from the first, doubled up to the last.
-const PAUSE_FIRST: Duration = Duration::from_millis(100);
-const PAUSE_LAST: Duration = Duration::from_millis(800);
+/// Backoff after a failed write: starts at the minimum and doubles up to the maximum.
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
-/// Why bans do not outlive this process yet.
+/// Why the bans have not been persisted yet.
 #[derive(Clone, Debug, thiserror::Error)]
-pub(crate) enum KeepError {
-    #[error("TMPDIR names no folder")]
-    NoPlace,
+pub(crate) enum PersistError {
+    #[error("TMPDIR does not name a directory")]
+    NoDirectory,
     #[error("{0}")]
     Disk(String),
 }
 
-/// Why a file says nothing.
+/// Why the file could not be loaded.
 #[derive(Debug, thiserror::Error)]
 enum ReadError {
     #[error("{0}")]
     Io(#[from] io::Error),
     #[error("{0}")]
-    Unsound(#[from] LedgerError),
+    Corrupt(#[from] LedgerError),
 }
 
-/// How far the file is behind the words that were said.
+/// Which of the requested writes have reached the file.
 #[derive(Debug, Default)]
 struct Progress {
-    /// Writes that were asked for, and how many of them the file has.
-    asked: u64,
+    /// Number of writes requested, and how many of them the file contains.
+    requested: u64,
     written: u64,
-    /// The last write that failed, and why.
+    /// The last write that failed, and the error.
     failed: Option<(u64, String)>,
-    /// A task is at work.
+    /// The writer task is running.
     writing: bool,
 }
 
-/// The file of a node's bans.
-pub(crate) struct Ledger {
+/// Persists a node's bans.
+pub(crate) struct BanLedger {
     path: Option<PathBuf>,
     progress: RefCell<Progress>,
-    /// The progress has changed.
-    moved: Notify,
-    /// A write is asked for: no pause is waited out.
-    wanted: Notify,
-    /// The file could not be read yet, for the disk's fault.
+    /// Notified when the progress has changed.
+    progress_changed: Notify,
+    /// Notified when a write is requested; cuts the backoff short.
+    write_requested: Notify,
+    /// The file could not be read yet because of an I/O error.
     unread: Cell<bool>,
 }
 
-impl Ledger {
-    /// That of the node that listens there.
-    pub(crate) fn of(listen: SocketAddr) -> Rc<Ledger> {
-        Rc::new(Ledger {
+impl BanLedger {
+    /// The ledger of the node that listens on an address.
+    pub(crate) fn for_listener(listen: SocketAddr) -> Rc<BanLedger> {
+        Rc::new(BanLedger {
             path: place(listen, "bans"),
             progress: RefCell::default(),
-            moved: Notify::new(),
-            wanted: Notify::new(),
+            progress_changed: Notify::new(),
+            write_requested: Notify::new(),
             unread: Cell::new(false),
         })
     }
 
-    /// Has the gateway know the words that were kept by processes before. A file that is not sound says nothing, and is set
-    /// aside; one that the disk does not give is read again until it does.
-    pub(crate) fn recover(self: &Rc<Self>, gateway: &Rc<Gateway>) {
+    /// Loads the bans of earlier processes into the gateway. A corrupt file is renamed and ignored; a file that
+    /// cannot be read because of an I/O error is read again until that succeeds.
+    pub(crate) fn load(self: &Rc<Self>, gateway: &Rc<Gateway>) {
         let Some(path) = &self.path else { return };
-        match load(path) {
-            Ok(words) => gateway.merge_bans(words),
+        match read_file(path) {
+            Ok(records) => gateway.merge_bans(records),
             Err(ReadError::Io(e)) if e.kind() == io::ErrorKind::NotFound => {}
             Err(ReadError::Io(error)) => {
-                tracing::warn!("{}: {error}; it is read again", path.display());
+                tracing::warn!("{}: {error}; it will be read again", path.display());
                 self.unread.set(true);
-                self.ask(gateway);
+                self.request_write(gateway);
             }
-            Err(error @ ReadError::Unsound(_)) => {
-                tracing::warn!("{}: {error}; no ban is taken from it", path.display());
-                files::set_aside(path);
+            Err(error @ ReadError::Corrupt(_)) => {
+                tracing::warn!("{}: {error}; its bans are ignored", path.display());
+                files::quarantine(path);
             }
         }
     }
 
-    /// Keeps all words that the gateway knows, and has it know those that another process has kept. Where the disk fails, that
-    /// is told, and it is tried again all the same.
-    pub(crate) async fn keep(self: &Rc<Self>, gateway: &Rc<Gateway>) -> Result<(), KeepError> {
+    /// Persists all bans that the gateway knows, and merges those that another process has persisted into it. A
+    /// disk error is returned, and the write is retried all the same.
+    pub(crate) async fn persist(self: &Rc<Self>, gateway: &Rc<Gateway>) -> Result<(), PersistError> {
         if self.path.is_none() {
-            return Err(KeepError::NoPlace);
+            return Err(PersistError::NoDirectory);
         }
-        let own = self.ask(gateway);
+        let write_number = self.request_write(gateway);
         loop {
-            let moved = self.moved.notified();
+            let changed = self.progress_changed.notified();
             {
                 let progress = self.progress.borrow();
-                if progress.written >= own {
+                if progress.written >= write_number {
                     return Ok(());
                 }
-                if let Some((_, error)) = progress.failed.as_ref().filter(|(at, _)| *at >= own) {
-                    return Err(KeepError::Disk(error.clone()));
+                if let Some((_, error)) =
+                    progress.failed.as_ref().filter(|(failed, _)| *failed >= write_number)
+                {
+                    return Err(PersistError::Disk(error.clone()));
                 }
             }
-            moved.await;
+            changed.await;
         }
     }
 
-    /// Waits until the disk has all that was asked for, at the end of the process and for no longer than that.
-    pub(crate) async fn close(&self, patience: Duration) {
-        let behind = || {
+    /// Waits at the end of the process until all requested writes are done, at most for `limit`.
+    pub(crate) async fn flush(&self, limit: Duration) {
+        let pending = || {
             let progress = self.progress.borrow();
-            progress.written < progress.asked
+            progress.written < progress.requested
         };
         let all_written = async {
-            while behind() {
-                let moved = self.moved.notified();
-                // No pause is waited out: there is not much time left.
-                self.wanted.notify_one();
-                let _ = timeout(PAUSE_FIRST, moved).await;
+            while pending() {
+                let changed = self.progress_changed.notified();
+                // Cuts the backoff short: little time is left.
+                self.write_requested.notify_one();
+                let _ = timeout(MIN_BACKOFF, changed).await;
             }
         };
-        let _ = timeout(patience, all_written).await;
+        let _ = timeout(limit, all_written).await;
     }
 
-    /// Asks for a write; its number.
-    fn ask(self: &Rc<Self>, gateway: &Rc<Gateway>) -> u64 {
+    /// Requests a write and returns its number.
+    fn request_write(self: &Rc<Self>, gateway: &Rc<Gateway>) -> u64 {
         let mut progress = self.progress.borrow_mut();
-        progress.asked += 1;
-        self.wanted.notify_one();
+        progress.requested += 1;
+        self.write_requested.notify_one();
         if !std::mem::replace(&mut progress.writing, true) {
-            spawn_local(self.clone().write(gateway.clone()));
+            spawn_local(self.clone().run_writer(gateway.clone()));
         }
-        progress.asked
+        progress.requested
     }
 
-    /// Writes until the file has all that was asked for, one write at a time.
-    async fn write(self: Rc<Self>, gateway: Rc<Gateway>) {
+    /// Writer task: writes until the file contains all requested writes, one write at a time.
+    async fn run_writer(self: Rc<Self>, gateway: Rc<Gateway>) {
         let Some(path) = self.path.clone() else { return };
-        let mut pause = PAUSE_FIRST;
+        let mut backoff = MIN_BACKOFF;
         loop {
-            let asked = self.progress.borrow().asked;
+            let requested = self.progress.borrow().requested;
             match self.write_once(&path, &gateway).await {
                 Ok(()) => {
                     let mut progress = self.progress.borrow_mut();
-                    progress.written = asked;
+                    progress.written = requested;
                     progress.failed = None;
-                    progress.writing = progress.asked > asked;
-                    self.moved.notify_waiters();
+                    progress.writing = progress.requested > requested;
+                    self.progress_changed.notify_waiters();
                     if !progress.writing {
                         return;
                     }
-                    pause = PAUSE_FIRST;
+                    backoff = MIN_BACKOFF;
                 }
                 Err(error) => {
                     let text = error.to_string();
-                    let before = self.progress.borrow_mut().failed.replace((asked, text.clone()));
-                    if before.is_none_or(|(_, former)| former != text) {
-                        tracing::warn!("bans are not kept yet: {text}");
+                    let previous = self.progress.borrow_mut().failed.replace((requested, text.clone()));
+                    if previous.is_none_or(|(_, previous_text)| previous_text != text) {
+                        tracing::warn!("bans are not persisted yet: {text}");
                     }
-                    self.moved.notify_waiters();
-                    let _ = timeout(pause, self.wanted.notified()).await;
-                    pause = (pause * 2).min(PAUSE_LAST);
+                    self.progress_changed.notify_waiters();
+                    let _ = timeout(backoff, self.write_requested.notified()).await;
+                    backoff = (backoff * 2).min(MAX_BACKOFF);
                 }
             }
         }
     }
 
-    async fn write_once(&self, path: &Path, gateway: &Rc<Gateway>) -> Result<(), KeepError> {
-        let words: Vec<Word> = gateway.fleet(|f| f.bans.words().cloned().collect());
+    async fn write_once(&self, path: &Path, gateway: &Rc<Gateway>) -> Result<(), PersistError> {
+        let records: Vec<Word> = gateway.fleet(|f| f.bans.words().cloned().collect());
         let path = path.to_owned();
-        // A disk may take its time, and clients do not wait for it.
-        let written = tokio::task::spawn_blocking(move || replace(&path, words)).await;
-        let all = written
-            .map_err(|_| KeepError::Disk("the writer has ended early".to_owned()))?
-            .map_err(|error| KeepError::Disk(error.to_string()))?;
+        // A slow disk must not block the event loop.
+        let written = tokio::task::spawn_blocking(move || merge_into_file(&path, records)).await;
+        let merged = written
+            .map_err(|_| PersistError::Disk("the blocking write task was cancelled".to_owned()))?
+            .map_err(|error| PersistError::Disk(error.to_string()))?;
         if self.unread.replace(false) {
-            tracing::info!("the file of bans is read");
+            tracing::info!("the ban file has been read");
         }
-        gateway.merge_bans(all);
+        gateway.merge_bans(merged);
         Ok(())
     }
 }
 
-fn load(path: &Path) -> Result<Vec<Word>, ReadError> {
-    Ok(decode(&files::read(path, MOST_FILE)?)?)
+fn read_file(path: &Path) -> Result<Vec<Word>, ReadError> {
+    Ok(decode(&files::read_bounded(path, MOST_FILE)?)?)
 }
 
-/// Puts these words and those that are there into the file; gives all of them.
-fn replace(path: &Path, words: Vec<Word>) -> io::Result<Vec<Word>> {
-    let mut all = Bans::default();
-    all.merge(words);
-    match load(path) {
-        Ok(there) => drop(all.merge(there)),
+/// Replaces the file with the union of these records and its own; returns the union.
+fn merge_into_file(path: &Path, records: Vec<Word>) -> io::Result<Vec<Word>> {
+    let mut merged = Bans::default();
+    merged.merge(records);
+    match read_file(path) {
+        Ok(stored) => drop(merged.merge(stored)),
         Err(ReadError::Io(error)) if error.kind() == io::ErrorKind::NotFound => {}
-        // Words that cannot be read now may still be there, and must not be overwritten.
+        // Records that cannot be read now may still be intact and must not be overwritten.
         Err(ReadError::Io(error)) => return Err(error),
-        // What is not sound was told of at the start, or has been spoilt since: what is known here takes its place.
-        Err(ReadError::Unsound(_)) => {}
+        // A corrupt file was reported at the start or has been damaged since: the records known here replace it.
+        Err(ReadError::Corrupt(_)) => {}
     }
-    files::replace(path, &encode(all.words()))?;
-    Ok(all.words().cloned().collect())
+    files::replace_atomically(path, &encode(merged.words()))?;
+    Ok(merged.words().cloned().collect())
 }
--- a/crates/node/src/levels.rs
+++ b/crates/node/src/levels.rs
@@ -1,8 +1,8 @@
-//! The operator's file on two levels: who this peer is (`[peers]`), and what it does as forwarder (`[forward]`) or as
-//! planner (`[plan]`).
+//! The operator's settings of a two-level installation: this peer's identity (`[peers]`) and its role as a forwarder
+//! (`[forward]`) or as a planner (`[plan]`).
 
 use crate::services::table::{Publish, PublishTable, Use, UseTable};
-use crate::site::{Check, Classes, SiteError};
+use crate::site::{Classes, SiteError, Validator};
 use laurelroute_channel::tls::{Tls, TlsError};
 use laurelroute_plan::member::LONGEST_NAME;
 use laurelroute_plan::planner::SETTLE;
@@ -12,18 +12,18 @@
 use std::path::PathBuf;
 use toml::Spanned;
 
-/// Planners of one installation at most: each forwarder speaks with all of them.
-const MOST_PLANNERS: usize = 16;
-const MOST_BYTES: u32 = 10_000_000;
-const MOST_SETTLE_MS: u64 = 60_000;
+/// Maximum number of planners in an installation: each forwarder connects to all of them.
+const MAX_PLANNERS: usize = 16;
+const MAX_BYTES_PER_SECOND: u32 = 10_000_000;
+const MAX_SETTLE_MS: u64 = 60_000;
 
-/// Why a role cannot be taken on.
+/// Why a role cannot be started.
 #[derive(Debug, thiserror::Error)]
-pub enum LevelError {
-    /// The operator's file does not have the part.
+pub enum RoleError {
+    /// The operator's file lacks the section.
     #[error("this role needs `[{0}]` in the operator's file (--site FILE)")]
     Missing(&'static str),
-    /// The certificates cannot be used.
+    /// The certificates cannot be loaded.
     #[error("`[peers]`: {0}")]
     Tls(#[from] TlsError),
 }
@@ -36,11 +36,11 @@
     authority: PathBuf,
     certificate: PathBuf,
     key: PathBuf,
-    #[serde(default = "planner_name")]
+    #[serde(default = "default_planner_name")]
     planner: String,
 }
 
-fn planner_name() -> String {
+fn default_planner_name() -> String {
     "planner.laurelroute".to_owned()
 }
 
@@ -86,124 +86,132 @@
     limit: Spanned<f64>,
 }
 
-/// The parts of the file, unchecked.
+/// The sections of the file, not yet validated.
 pub(crate) struct LevelTables {
     pub(crate) peers: Option<Spanned<PeersTable>>,
     pub(crate) forward: Option<Spanned<ForwardTable>>,
     pub(crate) plan: Option<Spanned<PlanTable>>,
 }
 
-/// Who this peer is.
+/// Identity of this peer.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Peers {
-    /// The installation.
+pub struct PeerSettings {
+    /// Name of the installation.
     pub site: String,
-    /// Its name, unlike any other's of the installation.
+    /// Name of this peer, unique within the installation.
     pub name: String,
-    /// The installation's authority, a PEM file.
+    /// The installation's certificate authority, a PEM file.
     pub authority: PathBuf,
-    /// Its certificate, a PEM file.
+    /// Certificate of this peer, a PEM file.
     pub certificate: PathBuf,
-    /// The key to that, a PEM file.
+    /// Private key of the certificate, a PEM file.
     pub key: PathBuf,
-    /// The name that planners' certificates hold.
+    /// Name in the planners' certificates.
     pub planner: String,
 }
 
-impl Peers {
-    /// Reads the certificates.
+impl PeerSettings {
+    /// Loads the certificates.
     pub fn tls(&self) -> Result<Tls, TlsError> {
         Tls::load(&self.authority, &self.certificate, &self.key, &self.planner)
     }
 }
 
-/// What a forwarder is told.
+/// Settings of the forwarder role.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Forward {
-    /// Where the planners are.
+pub struct ForwarderSettings {
+    /// Addresses of the planners.
     pub planners: Vec<SocketAddr>,
-    /// Bytes a second that reports to one planner may take.
+    /// Bandwidth limit of reports to one planner, in bytes per second.
     pub report_bytes: u32,
-    /// It goes by services.
+    /// Set if the forwarder follows the planners per service.
     pub services: Option<Use>,
 }
 
-/// What a planner is told.
+/// Settings of the planner role.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Plan {
-    /// Where forwarders connect.
+pub struct PlannerSettings {
+    /// Address that forwarders connect to.
     pub listen: SocketAddr,
-    /// Planners of this installation, running or not.
+    /// Number of planners in this installation, running or not.
     pub planners: u32,
-    /// Connections that one box takes of all forwarders together.
+    /// Connections that one server accepts from all forwarders together.
     pub max_connections: Option<u32>,
-    /// Connections that a forwarder should be able to hold to each of its boxes.
+    /// Connections that a forwarder should be able to hold to each of its servers.
     pub wanted_connections: u32,
-    /// Bytes a second to one forwarder for changes that can wait.
+    /// Bandwidth limit of non-urgent changes to one forwarder, in bytes per second.
     pub plan_bytes: u32,
     /// How long reports are collected before the first plan, in nanoseconds.
     pub settle: Nanos,
-    /// Classes with a limit, in requests a second over all forwarders.
+    /// Request classes with a rate limit, in requests per second over all forwarders.
     pub limits: Vec<(String, f64)>,
-    /// It goes by services.
+    /// Set if the planner publishes its list per service.
     pub services: Option<Publish>,
 }
 
-/// All of it, checked.
+/// The validated settings of a two-level installation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Levels {
-    /// Who this peer is.
-    pub peers: Option<Peers>,
-    /// As a forwarder.
-    pub forward: Option<Forward>,
-    /// As a planner.
-    pub plan: Option<Plan>,
+    /// Identity of this peer.
+    pub peers: Option<PeerSettings>,
+    /// Settings of the forwarder role.
+    pub forward: Option<ForwarderSettings>,
+    /// Settings of the planner role.
+    pub plan: Option<PlannerSettings>,
 }
 
 impl LevelTables {
-    pub(crate) fn checked(self, check: &Check<'_>, classes: Classes<'_>) -> Result<Levels, SiteError> {
+    pub(crate) fn validate(
+        self,
+        validator: &Validator<'_>,
+        classes: Classes<'_>,
+    ) -> Result<Levels, SiteError> {
         for (name, span) in [
             ("forward", self.forward.as_ref().map(|t| t.span().start)),
             ("plan", self.plan.as_ref().map(|t| t.span().start)),
         ] {
             if let (Some(at), None) = (span, &self.peers) {
                 return Err(
-                    check.error(Some(at), format!("`[{name}]` needs `[peers]`, which says who this is"))
+                    validator.error(Some(at), format!("`[{name}]` needs `[peers]`, which names this peer"))
                 );
             }
         }
         Ok(Levels {
-            peers: self.peers.map(|t| peers(check, t.into_inner())).transpose()?,
-            forward: self.forward.map(|t| forward(check, t.into_inner())).transpose()?,
-            plan: self.plan.map(|t| plan(check, t.into_inner(), classes)).transpose()?,
+            peers: self.peers.map(|t| peers(validator, t.into_inner())).transpose()?,
+            forward: self.forward.map(|t| forward(validator, t.into_inner())).transpose()?,
+            plan: self.plan.map(|t| plan(validator, t.into_inner(), classes)).transpose()?,
         })
     }
 }
 
-fn peers(check: &Check<'_>, table: PeersTable) -> Result<Peers, SiteError> {
+fn peers(validator: &Validator<'_>, table: PeersTable) -> Result<PeerSettings, SiteError> {
     for (key, name) in [("peers.site", &table.site), ("peers.name", &table.name)] {
         if name.get_ref().is_empty() || name.get_ref().len() > LONGEST_NAME {
-            return Err(check.at(name, format!("`{key}` has to have 1 to {LONGEST_NAME} bytes")));
+            return Err(validator.error_at(name, format!("`{key}` has to have 1 to {LONGEST_NAME} bytes")));
         }
     }
-    Ok(Peers {
+    Ok(PeerSettings {
         site: table.site.into_inner(),
         name: table.name.into_inner(),
-        authority: check.beside(table.authority),
-        certificate: check.beside(table.certificate),
-        key: check.beside(table.key),
+        authority: validator.resolve_path(table.authority),
+        certificate: validator.resolve_path(table.certificate),
+        key: validator.resolve_path(table.key),
         planner: table.planner,
     })
 }
 
-fn forward(check: &Check<'_>, table: ForwardTable) -> Result<Forward, SiteError> {
+fn forward(validator: &Validator<'_>, table: ForwardTable) -> Result<ForwarderSettings, SiteError> {
     let planners = table.planners.get_ref();
-    if planners.is_empty() || planners.len() > MOST_PLANNERS {
-        return Err(check
-            .at(&table.planners, format!("`forward.planners` has to name 1 to {MOST_PLANNERS} addresses")));
+    if planners.is_empty() || planners.len() > MAX_PLANNERS {
+        return Err(validator.error_at(
+            &table.planners,
+            format!("`forward.planners` has to name 1 to {MAX_PLANNERS} addresses"),
+        ));
     }
-    if let Some(twice) = planners.iter().enumerate().find(|(k, p)| planners[..*k].contains(p)) {
-        return Err(check.at(&table.planners, format!("`forward.planners` names {} twice", twice.1)));
+    if let Some(duplicate) = planners.iter().enumerate().find(|(k, p)| planners[..*k].contains(p)) {
+        return Err(
+            validator.error_at(&table.planners, format!("`forward.planners` names {} twice", duplicate.1))
+        );
     }
     let planners = planners.clone();
     let services = UseTable {
@@ -217,12 +225,17 @@
         update_bytes: table.update_bytes,
         update_burst: table.update_burst,
     };
-    let services = services.checked(check, table.report_bytes.clone())?;
-    let report_bytes = check.number("forward.report_bytes", table.report_bytes, MOST_BYTES, 8_000)?;
-    Ok(Forward { planners, report_bytes, services })
+    let services = services.checked(validator, table.report_bytes.clone())?;
+    let report_bytes =
+        validator.bounded_number("forward.report_bytes", table.report_bytes, MAX_BYTES_PER_SECOND, 8_000)?;
+    Ok(ForwarderSettings { planners, report_bytes, services })
 }
 
-fn plan(check: &Check<'_>, table: PlanTable, classes: Classes<'_>) -> Result<Plan, SiteError> {
+fn plan(
+    validator: &Validator<'_>,
+    table: PlanTable,
+    classes: Classes<'_>,
+) -> Result<PlannerSettings, SiteError> {
     let services = PublishTable {
         services: table.services,
         most_forwarders: table.most_forwarders,
@@ -231,19 +244,19 @@
         drain_bytes: table.drain_bytes,
         drain_burst: table.drain_burst,
     };
-    let services = services.checked(check)?;
+    let services = services.checked(validator)?;
     if services.is_some() {
-        // To leave out what was asked for would let servers take more connections than they can.
-        let others = [
+        // Ignoring these settings silently would allow more connections than the servers can take.
+        let unsupported = [
             ("max_connections", table.max_connections.as_ref().map(|n| n.span().start)),
             ("wanted_connections", table.wanted_connections.as_ref().map(|n| n.span().start)),
             ("plan_bytes", table.plan_bytes.as_ref().map(|n| n.span().start)),
             ("settle_ms", table.settle_ms.as_ref().map(|n| n.span().start)),
             ("class", table.classes.first().map(|c| c.name.span().start)),
         ];
-        if let Some((key, Some(at))) = others.into_iter().find(|(_, at)| at.is_some()) {
-            let message = format!("`plan.{key}` does not count with `services = true`");
-            return Err(check.error(Some(at), message));
+        if let Some((key, Some(at))) = unsupported.into_iter().find(|(_, at)| at.is_some()) {
+            let message = format!("`plan.{key}` has no effect with `services = true`");
+            return Err(validator.error(Some(at), message));
         }
     }
     let mut limits: Vec<(String, f64)> = Vec::new();
@@ -252,30 +265,45 @@
         if let Some((names, _)) = classes {
             if !names.contains(name) {
                 let message = format!("`name` is `{name}`; the settings have {}", names.join(", "));
-                return Err(check.at(&class.name, message));
+                return Err(validator.error_at(&class.name, message));
             }
         }
         if limits.iter().any(|(other, _)| other == name) {
-            return Err(check.at(&class.name, format!("`{name}` stands twice")));
+            return Err(validator.error_at(&class.name, format!("`{name}` is defined twice")));
         }
         let limit = *class.limit.get_ref();
         if !(limit.is_finite() && limit > 0.0) {
-            return Err(check.at(&class.limit, format!("`limit` is {limit}; it has to be above 0")));
+            return Err(validator.error_at(&class.limit, format!("`limit` is {limit}; it has to be above 0")));
         }
         limits.push((name.clone(), limit));
     }
     let max_connections = match table.max_connections {
         None => None,
-        some => Some(check.number("plan.max_connections", some, 1_000_000, 1)?),
+        some => Some(validator.bounded_number("plan.max_connections", some, 1_000_000, 1)?),
     };
-    Ok(Plan {
+    Ok(PlannerSettings {
         listen: table.listen,
-        planners: check.number("plan.planners", table.planners, MOST_PLANNERS as u32, 1)?,
+        planners: validator.bounded_number("plan.planners", table.planners, MAX_PLANNERS as u32, 1)?,
         max_connections,
-        wanted_connections: check.number("plan.wanted_connections", table.wanted_connections, 10_000, 8)?,
-        plan_bytes: check.number("plan.plan_bytes", table.plan_bytes, MOST_BYTES, 16_000)?,
+        wanted_connections: validator.bounded_number(
+            "plan.wanted_connections",
+            table.wanted_connections,
+            10_000,
+            8,
+        )?,
+        plan_bytes: validator.bounded_number(
+            "plan.plan_bytes",
+            table.plan_bytes,
+            MAX_BYTES_PER_SECOND,
+            16_000,
+        )?,
         settle: 1_000_000
-            * check.number("plan.settle_ms", table.settle_ms, MOST_SETTLE_MS, SETTLE / 1_000_000)?,
+            * validator.bounded_number(
+                "plan.settle_ms",
+                table.settle_ms,
+                MAX_SETTLE_MS,
+                SETTLE / 1_000_000,
+            )?,
         limits,
         services,
     })
@@ -289,7 +317,7 @@
     const PEERS: &str = "[peers]\nsite = \"perth\"\nname = \"f0\"\nauthority = \"ca.pem\"\ncertificate = \"f0.pem\"\nkey = \"f0.key\"\n";
 
     #[test]
-    fn files_are_meant_from_where_the_operators_file_is() {
+    fn paths_are_relative_to_the_operators_file() {
         let site = Site::parse("/etc/laurelroute/site.toml", PEERS, None).unwrap();
         let peers = site.levels.peers.unwrap();
         assert_eq!(peers.key.to_str(), Some("/etc/laurelroute/f0.key"));
@@ -297,27 +325,27 @@
     }
 
     #[test]
-    fn a_service_stands_in_the_host_or_in_a_header() {
-        let place = |own: &str| {
-            let text = format!("{PEERS}[forward]\nplanners = [\"127.0.0.1:1\"]\n{own}");
+    fn the_service_name_comes_from_the_host_or_a_header() {
+        let name_source = |settings: &str| {
+            let text = format!("{PEERS}[forward]\nplanners = [\"127.0.0.1:1\"]\n{settings}");
             let forward = Site::parse("s", &text, None).unwrap().levels.forward.unwrap();
             forward.services.map(|s| s.place)
         };
-        assert_eq!(place(""), None);
-        assert_eq!(place("services = false\n"), None);
-        assert_eq!(place("services = true\n"), Some(Place::Nowhere));
-        assert_eq!(place("services = true\nservice = \"host\"\n"), Some(Place::Host));
-        let header = place("services = true\nservice = { header = \"X-Service\" }\n");
+        assert_eq!(name_source(""), None);
+        assert_eq!(name_source("services = false\n"), None);
+        assert_eq!(name_source("services = true\n"), Some(Place::Nowhere));
+        assert_eq!(name_source("services = true\nservice = \"host\"\n"), Some(Place::Host));
+        let header = name_source("services = true\nservice = { header = \"X-Service\" }\n");
         assert_eq!(header, Some(Place::Header(hyper::header::HeaderName::from_static("x-service"))));
     }
 
     #[test]
-    fn errors_name_key_and_line() {
+    fn errors_name_the_key_and_the_line() {
         let wrong = |text: &str| Site::parse("s", text, None).unwrap_err().to_string();
         let with = |text: &str| wrong(&format!("{PEERS}{text}"));
         assert_eq!(
             wrong("\n[plan]\nlisten = \"127.0.0.1:1\"\n"),
-            "s, line 2: `[plan]` needs `[peers]`, which says who this is"
+            "s, line 2: `[plan]` needs `[peers]`, which names this peer"
         );
         assert_eq!(
             with("[forward]\nplanners = []\n"),
@@ -354,7 +382,7 @@
         );
         assert_eq!(
             with("[plan]\nlisten = \"127.0.0.1:1\"\nservices = true\nmax_connections = 4\n"),
-            "s, line 10: `plan.max_connections` does not count with `services = true`"
+            "s, line 10: `plan.max_connections` has no effect with `services = true`"
         );
         assert!(with("[plan]\nlisten = \"127.0.0.1:1\"\nwhat = 1\n").contains("line 9: unknown field `what`"));
     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,9 +1,10 @@
-//! The node: configuration, discovery and the wiring of fronts, core and decision module.
+//! The `laurelroute` program: configuration, service discovery, the management endpoint, and the wiring of the
+//! protocol front ends, the core and the balancing policy.
 
-mod ask;
 pub mod cli;
 pub mod config;
 pub mod discovery;
+mod explain;
 mod files;
 mod fleet;
 mod forward;
@@ -11,6 +12,7 @@
 pub mod levels;
 mod log;
 mod management;
+mod management_client;
 mod plan;
 pub mod run;
 pub mod services;
@@ -18,6 +20,5 @@
 mod signals;
 pub mod site;
 mod source;
-mod staff;
 mod tenants;
 mod upgrade;
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,4 +1,5 @@
-//! The program `laurelroute`. With no argument it is the platform's node, told by `GW_CONFIG`.
+//! The `laurelroute` binary. Without arguments it runs the platform's node, configured by the file that `GW_CONFIG`
+//! names.
 
 use std::process::ExitCode;
 
--- a/crates/node/src/management.rs
+++ b/crates/node/src/management.rs
@@ -1,7 +1,8 @@
-//! The second address, where operators call: whether this process takes clients, and servers taken out and put back.
+//! The management endpoint, an HTTP server for operators: readiness, counters and events, detaching and attaching
+//! servers, traffic shifts and the state of the fleet.
 
 use crate::fleet::Member;
-use crate::ledger::Ledger;
+use crate::ledger::BanLedger;
 use crate::upgrade::succession::Succession;
 use http_body_util::Full;
 use hyper::body::{Bytes, Incoming};
@@ -24,76 +25,81 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::timeout;
 
-/// Connections at once; with one more the oldest that has not made its call yet goes.
-const MOST: usize = MANAGEMENT_SOCKETS - 4;
-/// A call is there at once, or its caller has none to make.
-const CALL: Duration = Duration::from_millis(1000);
-/// From its call on, a connection is given this long to take its answer.
-const WHOLE: Duration = Duration::from_millis(3000);
-/// How long an answer waits until the word is on the disk, and the node's other process knows of it too.
-const KEPT: Duration = Duration::from_millis(300);
-/// How long a call on a server waits for the first list after the start.
-const LIST: Duration = Duration::from_millis(600);
-/// The system gives no descriptor or memory: waiting is all that helps.
-const EXHAUSTED: Duration = Duration::from_millis(20);
-/// A call's head.
-const BUFFER: usize = 8192;
+/// Maximum number of concurrent connections; one more closes the oldest that has not sent its request yet.
+const MAX_CONNECTIONS: usize = MANAGEMENT_SOCKETS - 4;
+/// Time limit for receiving the request head.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Time limit of a connection after its request head: for the answer and for the client to read it.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(3000);
+/// How long an answer waits until a ban is on disk and has been sent to the node's other process.
+const PERSIST_TIMEOUT: Duration = Duration::from_millis(300);
+/// How long a detach or attach waits for the first server list after the start.
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(600);
+/// Pause after a failed accept, which is caused by a lack of descriptors or memory.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Maximum size of a request head in bytes.
+const MAX_HEAD_BYTES: usize = 8192;
 
-struct Caller {
-    called: Rc<Cell<bool>>,
+/// An open connection.
+struct Connection {
+    request_received: Rc<Cell<bool>>,
     task: AbortHandle,
 }
 
-/// Takes operators' calls.
-pub(crate) struct Desk {
+/// Serves the requests of operators.
+pub(crate) struct ManagementServer {
     gateway: Rc<Gateway>,
     succession: Rc<Succession>,
-    ledger: Rc<Ledger>,
+    ledger: Rc<BanLedger>,
     member: Option<Rc<Member>>,
 }
 
-impl Desk {
+impl ManagementServer {
     pub(crate) fn new(
         gateway: Rc<Gateway>,
         succession: Rc<Succession>,
-        ledger: Rc<Ledger>,
+        ledger: Rc<BanLedger>,
         member: Option<Rc<Member>>,
     ) -> Rc<Self> {
-        Rc::new(Desk { gateway, succession, ledger, member })
+        Rc::new(ManagementServer { gateway, succession, ledger, member })
     }
 
-    /// Takes calls for good.
+    /// Accepts connections forever.
     pub(crate) async fn accept(self: Rc<Self>, listener: TcpListener) {
-        let callers = Rc::new(RefCell::new(VecDeque::<Caller>::new()));
+        let connections = Rc::new(RefCell::new(VecDeque::<Connection>::new()));
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                tokio::time::sleep(EXHAUSTED).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
-            let mut open = callers.borrow_mut();
+            let mut open = connections.borrow_mut();
             open.retain(|c| !c.task.is_finished());
-            if open.len() >= MOST {
-                let silent = open.iter().position(|c| !c.called.get()).unwrap_or(0);
-                if let Some(caller) = open.remove(silent) {
-                    caller.task.abort();
+            if open.len() >= MAX_CONNECTIONS {
+                let evicted = open.iter().position(|c| !c.request_received.get()).unwrap_or(0);
+                if let Some(connection) = open.remove(evicted) {
+                    connection.task.abort();
                 }
             }
-            let called = Rc::new(Cell::new(false));
-            let task = spawn_local(self.clone().serve(stream, called.clone())).abort_handle();
-            open.push_back(Caller { called, task });
+            let request_received = Rc::new(Cell::new(false));
+            let task = spawn_local(self.clone().serve(stream, request_received.clone())).abort_handle();
+            open.push_back(Connection { request_received, task });
         }
     }
 
-    async fn serve(self: Rc<Self>, stream: TcpStream, called: Rc<Cell<bool>>) {
+    async fn serve(self: Rc<Self>, stream: TcpStream, request_received: Rc<Cell<bool>>) {
         let service = service_fn(|request| {
-            called.set(true);
+            request_received.set(true);
             self.answer(request)
         });
         let mut builder = http1::Builder::new();
-        builder.keep_alive(false).max_buf_size(BUFFER).timer(TokioTimer::new()).header_read_timeout(CALL);
+        builder
+            .keep_alive(false)
+            .max_buf_size(MAX_HEAD_BYTES)
+            .timer(TokioTimer::new())
+            .header_read_timeout(REQUEST_TIMEOUT);
         let connection = builder.serve_connection(TokioIo::new(Retried::new(stream)), service);
-        // A caller that has gone, or sent what is no call, has had all that it can get.
-        let _ = timeout(CALL + WHOLE, connection).await;
+        // Errors are ignored: the client has disconnected or sent an invalid request, which hyper has answered.
+        let _ = timeout(REQUEST_TIMEOUT + RESPONSE_TIMEOUT, connection).await;
     }
 
     async fn answer(&self, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
@@ -102,24 +108,24 @@
         let (status, text) = match (request.method(), servers) {
             (&Method::GET | &Method::HEAD, None) if path == "/_ready" => {
                 let now = self.gateway.clock.now();
-                let behind = self.member.as_ref().is_some_and(|m| !m.ready(now));
+                let catching_up = self.member.as_ref().is_some_and(|m| !m.ready(now));
                 match self.succession.serving(&self.gateway) {
-                    true if behind => {
+                    true if catching_up => {
                         (StatusCode::SERVICE_UNAVAILABLE, "has yet to hear what its fleet knows".to_owned())
                     }
                     true => (StatusCode::OK, "takes clients".to_owned()),
                     false => (StatusCode::SERVICE_UNAVAILABLE, "takes no clients".to_owned()),
                 }
             }
-            (&Method::POST, Some(("detach", id))) => self.decide(id, true, Gateway::detach).await,
-            (&Method::POST, Some(("attach", id))) => self.decide(id, false, Gateway::attach).await,
+            (&Method::POST, Some(("detach", id))) => self.change_server(id, true, Gateway::detach).await,
+            (&Method::POST, Some(("attach", id))) => self.change_server(id, false, Gateway::attach).await,
             (&Method::GET, None) if path == "/_counters" => (StatusCode::OK, events::counts()),
             (&Method::GET, None) if path == "/_events" => {
                 (StatusCode::OK, events::last(self.gateway.clock.now()))
             }
             (&Method::GET, None) if path == "/_shift" => crate::shift::desk::status(&self.gateway),
             (&Method::POST, None) if path.starts_with("/_shift/") => {
-                crate::shift::desk::say(&self.gateway, &path["/_shift/".len()..], decode)
+                crate::shift::desk::say(&self.gateway, &path["/_shift/".len()..], percent_decode)
             }
             (&Method::GET, None) if path == "/_fleet" => match &self.member {
                 Some(member) => (StatusCode::OK, member.members(self.gateway.clock.now()).to_string()),
@@ -141,7 +147,8 @@
         Ok(response)
     }
 
-    /// What a member's copy has, and who has the same of one server.
+    /// The `/_fleet/` requests: this member's copy of the shared state, and which members hold the same state of a
+    /// server.
     async fn fleet(&self, call: &str) -> (StatusCode, String) {
         let Some(member) = &self.member else {
             return (StatusCode::NOT_FOUND, "this node is no member of a fleet".to_owned());
@@ -151,7 +158,7 @@
             Some(("state", kind @ ("ban" | "drain"))) => {
                 (StatusCode::OK, member.state(Some(kind)).to_string())
             }
-            Some(("held", id)) => match decode(id) {
+            Some(("held", id)) => match percent_decode(id) {
                 Some(host) => (StatusCode::OK, serde_json::json!(member.held(&host).await).to_string()),
                 None => (StatusCode::BAD_REQUEST, "that is no server's name".to_owned()),
             },
@@ -159,51 +166,54 @@
         }
     }
 
-    /// Takes a server out or puts it back, and sees to it that the node's other process knows.
-    async fn decide(
+    /// Detaches or attaches a server, persists the ban and sends it to the node's other process and to the fleet.
+    async fn change_server(
         &self,
         id: &str,
-        out: bool,
+        ban: bool,
         change: fn(&Rc<Gateway>, &str) -> Result<Option<Word>, Unmanaged>,
     ) -> (StatusCode, String) {
-        let Some(host) = decode(id).filter(|host| (1..=MOST_NAME).contains(&host.len())) else {
+        let Some(host) = percent_decode(id).filter(|host| (1..=MOST_NAME).contains(&host.len())) else {
             return (StatusCode::BAD_REQUEST, "that is no server's name".to_owned());
         };
-        let mut done = change(&self.gateway, &host);
-        if done == Err(Unmanaged::Unknown) && !self.gateway.ready.get() {
-            // The list is on its way: only then is a name nobody's.
-            let _ = timeout(LIST, self.gateway.listed()).await;
-            done = change(&self.gateway, &host);
+        let mut result = change(&self.gateway, &host);
+        if result == Err(Unmanaged::Unknown) && !self.gateway.ready.get() {
+            // Before the first list, an unknown name may still be that of a server.
+            let _ = timeout(FIRST_LIST_TIMEOUT, self.gateway.listed()).await;
+            result = change(&self.gateway, &host);
         }
-        match done {
-            Ok(word) => {
-                if let Some(word) = &word {
-                    tracing::info!("server {host}: {}", if word.out { "taken out" } else { "put back" });
+        match result {
+            Ok(record) => {
+                if let Some(record) = &record {
+                    tracing::info!("server {host}: {}", if record.out { "detached" } else { "attached" });
                 }
                 let fleet = async {
                     match &self.member {
-                        Some(member) => format!("; {}", member.say(&self.gateway, &host, out).await),
+                        Some(member) => format!("; {}", member.say(&self.gateway, &host, ban).await),
                         None => String::new(),
                     }
                 };
-                let (kept, fleet) = tokio::join!(self.kept(word), fleet);
-                (StatusCode::OK, kept + &fleet)
+                let (text, fleet) = tokio::join!(self.persist(record), fleet);
+                (StatusCode::OK, text + &fleet)
             }
             Err(error @ Unmanaged::Unknown) => (StatusCode::NOT_FOUND, error.to_string()),
             Err(error @ Unmanaged::Bans(_)) => (StatusCode::INSUFFICIENT_STORAGE, error.to_string()),
         }
     }
 
-    /// Sees to it that a word outlives this process, and that the node's other one knows of it.
-    async fn kept(&self, word: Option<Word>) -> String {
-        let told = async {
-            if let Some(word) = word {
-                self.succession.tell(word).await;
+    /// Persists a change of a ban and sends it to the node's other process; returns the text of the answer.
+    async fn persist(&self, record: Option<Word>) -> String {
+        let sent = async {
+            if let Some(record) = record {
+                self.succession.tell(record).await;
             }
         };
-        // A word that was said before may not have been kept then.
-        let (kept, _) = tokio::join!(timeout(KEPT, self.ledger.keep(&self.gateway)), timeout(KEPT, told));
-        let error = match kept {
+        // Writes the file even if nothing has changed: an earlier write may have failed.
+        let (persisted, _) = tokio::join!(
+            timeout(PERSIST_TIMEOUT, self.ledger.persist(&self.gateway)),
+            timeout(PERSIST_TIMEOUT, sent)
+        );
+        let error = match persisted {
             Ok(Ok(())) => return "done".to_owned(),
             Ok(Err(error)) => error.to_string(),
             Err(_) => "the disk does not answer yet".to_owned(),
@@ -212,16 +222,19 @@
     }
 }
 
-/// A name as a part of a path: all but the unreserved characters escaped (RFC 3986, section 2.3).
-pub(crate) fn encode(name: &str) -> String {
-    let plain = |b: u8| b.is_ascii_alphanumeric() || b"-._~".contains(&b);
-    name.bytes().map(|b| if plain(b) { char::from(b).to_string() } else { format!("%{b:02X}") }).collect()
+/// Percent-encodes a name as a path segment: all but the unreserved characters are escaped (RFC 3986, section 2.3).
+pub(crate) fn percent_encode(name: &str) -> String {
+    let unreserved = |b: u8| b.is_ascii_alphanumeric() || b"-._~".contains(&b);
+    name.bytes()
+        .map(|b| if unreserved(b) { char::from(b).to_string() } else { format!("%{b:02X}") })
+        .collect()
 }
 
-/// A part of a path without its percent signs (RFC 3986, section 2.1).
-fn decode(part: &str) -> Option<String> {
-    let mut bytes = Vec::with_capacity(part.len());
-    let mut rest = part.as_bytes();
+/// Decodes a percent-encoded path segment (RFC 3986, section 2.1). Invalid escapes, invalid UTF-8 and control
+/// characters are rejected.
+fn percent_decode(segment: &str) -> Option<String> {
+    let mut bytes = Vec::with_capacity(segment.len());
+    let mut rest = segment.as_bytes();
     while let Some((&first, tail)) = rest.split_first() {
         let escaped =
             || std::str::from_utf8(tail.get(..2)?).ok().and_then(|hex| u8::from_str_radix(hex, 16).ok());
@@ -233,17 +246,17 @@
 
 #[cfg(test)]
 mod tests {
-    use super::{decode, encode};
+    use super::{percent_decode, percent_encode};
 
     #[test]
-    fn names_come_out_of_paths() {
-        assert_eq!(decode("s-5be2").as_deref(), Some("s-5be2"));
-        assert_eq!(decode("a%2fb%20c").as_deref(), Some("a/b c"));
+    fn names_survive_percent_coding() {
+        assert_eq!(percent_decode("s-5be2").as_deref(), Some("s-5be2"));
+        assert_eq!(percent_decode("a%2fb%20c").as_deref(), Some("a/b c"));
         for name in ["s-5be2", "a/b c", "100%", "\u{e9}~", "?#&"] {
-            assert_eq!(decode(&encode(name)).as_deref(), Some(name));
+            assert_eq!(percent_decode(&percent_encode(name)).as_deref(), Some(name));
         }
         for bad in ["%", "%2", "%zz", "%+1", "%0a", "%ff"] {
-            assert_eq!(decode(bad), None, "{bad}");
+            assert_eq!(percent_decode(bad), None, "{bad}");
         }
     }
 }
--- a/crates/node/src/plan.rs
+++ b/crates/node/src/plan.rs
@@ -1,11 +1,12 @@
-//! The planner's role: the membership and forwarders' reports in, parts of plans out.
+//! The planner role: receives the server list and the forwarders' reports, and sends the forwarders parts of their
+//! plans.
 //!
-//! One thread, no disk. The state is borrowed only between awaits. A peer that does not prove itself gets nothing; one
-//! that does is bounded in messages (the channel), rows (the planner) and time (here).
+//! Runs on one thread and stores nothing on disk. The state is borrowed only between awaits. Unauthenticated peers
+//! get nothing; authenticated ones are bounded in message size (the channel), rows (the planner) and time (here).
 
 use crate::discovery::Watcher;
-use crate::levels::LevelError;
-use crate::log::Seldom;
+use crate::levels::RoleError;
+use crate::log::RateLimitedWarning;
 use crate::run::{listen, load, reload, StartError};
 use crate::services;
 use crate::signals::Signal;
@@ -30,53 +31,55 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// How often subsets, budgets and each forwarder's part are looked at without news.
+/// Interval at which subsets, budgets and each forwarder's pending part are checked without a change.
 const TICK: Duration = Duration::from_millis(50);
-const HANDSHAKE: Duration = Duration::from_secs(3);
-/// A forwarder says something at least once a second.
-const SILENCE: Duration = Duration::from_secs(5);
-const WRITE: Duration = Duration::from_secs(3);
-/// Connections at once: forwarders, those that are just being replaced, and askers.
-const MOST_PEERS: usize = 12_000;
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
+/// A forwarder sends a message at least once a second.
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Maximum number of concurrent connections: forwarders, connections being replaced, and explain queries.
+const MAX_CONNECTIONS: usize = 12_000;
 
 #[derive(Debug, thiserror::Error)]
 enum SessionError {
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    #[error("nothing heard in time")]
-    Silent,
+    #[error("no message in time")]
+    Timeout,
     #[error("{0}")]
     Hello(#[from] HelloError),
     #[error("{0}")]
     Frame(#[from] FrameError),
     #[error("{0}")]
     Report(#[from] ReportError),
-    #[error("a newer connection of the same name has come")]
+    #[error("replaced by a newer connection of the same forwarder")]
     Replaced,
 }
 
-struct Desk {
+/// The planner and its connections to forwarders.
+struct PlannerServer {
     planner: RefCell<Planner>,
     clock: Clock,
-    /// Something has changed that forwarders should hear of at once.
-    news: Notify,
+    /// Notified on changes that are to be sent to forwarders immediately.
+    changed: Notify,
     identity: Identity,
     tls: Tls,
-    /// The latest connection of each forwarder.
-    latest: RefCell<BTreeMap<String, u64>>,
-    connections: Cell<u64>,
-    peers: Cell<usize>,
-    log: RefCell<Seldom>,
-    /// Of what is not planned for.
-    limits: RefCell<Seldom>,
+    /// Number of the latest connection of each forwarder.
+    latest_connections: RefCell<BTreeMap<String, u64>>,
+    /// Number of the last accepted connection.
+    last_connection: Cell<u64>,
+    open_connections: Cell<usize>,
+    connection_warning: RefCell<RateLimitedWarning>,
+    /// Warns about what exceeds the planner's limits.
+    limit_warning: RefCell<RateLimitedWarning>,
 }
 
-/// Counts a peer for as long as it lives.
-struct Seat(Rc<Desk>);
+/// Decrements the number of open connections when dropped.
+struct ConnectionGuard(Rc<PlannerServer>);
 
-impl Drop for Seat {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        self.0.peers.set(self.0.peers.get() - 1);
+        self.0.open_connections.set(self.0.open_connections.get() - 1);
     }
 }
 
@@ -85,25 +88,25 @@
     let mut terminate = Signal::terminate()?;
     let hangup = Signal::hangup()?;
     let (config, site) = load(site)?;
-    let peers = site.levels.peers.clone().ok_or(LevelError::Missing("peers"))?;
-    let own = site.levels.plan.clone().ok_or(LevelError::Missing("plan"))?;
+    let peers = site.levels.peers.clone().ok_or(RoleError::Missing("peers"))?;
+    let plan = site.levels.plan.clone().ok_or(RoleError::Missing("plan"))?;
     let discovery = watch::Sender::new(config.discovery);
-    if let Some(publish) = &own.services {
+    if let Some(publish) = &plan.services {
         let watch = |sink| Watcher::new(sink, &config, &site, discovery.subscribe());
-        services::planner::start(&peers, &own, publish, watch)?;
+        services::planner::start(&peers, &plan, publish, watch)?;
         spawn_local(reload(config, discovery, hangup));
         terminate.recv().await;
         return Ok(());
     }
-    let tls = peers.tls().map_err(LevelError::from)?;
+    let tls = peers.tls().map_err(RoleError::from)?;
     let clock = Clock::start();
     let life = clock.now() / 1_000_000;
     let settings = settings(&config.site, &site, &peers.site, life);
-    let listener = listen(own.listen)?;
-    let desk = Rc::new(Desk {
+    let listener = listen(plan.listen)?;
+    let server = Rc::new(PlannerServer {
         planner: RefCell::new(Planner::new(clock.now(), settings)),
         clock,
-        news: Notify::new(),
+        changed: Notify::new(),
         identity: Identity {
             role: Role::Planner,
             name: peers.name,
@@ -113,35 +116,35 @@
             services: false,
         },
         tls,
-        latest: RefCell::default(),
-        connections: Cell::new(0),
-        peers: Cell::new(0),
-        log: RefCell::default(),
-        limits: RefCell::default(),
+        latest_connections: RefCell::default(),
+        last_connection: Cell::new(0),
+        open_connections: Cell::new(0),
+        connection_warning: RefCell::default(),
+        limit_warning: RefCell::default(),
     });
-    let watcher = Watcher::new(desk.sink(), &config, &site, discovery.subscribe());
+    let watcher = Watcher::new(server.sink(), &config, &site, discovery.subscribe());
     spawn_local(watcher.with_all_addresses().follow());
     spawn_local(reload(config, discovery, hangup));
-    spawn_local(desk.clone().tick());
-    spawn_local(desk.accept(listener));
-    // All state is soft: there is nothing to put in order.
+    spawn_local(server.clone().tick());
+    spawn_local(server.accept(listener));
+    // All state is soft: nothing has to be saved.
     terminate.recv().await;
     Ok(())
 }
 
 fn settings(core: &laurelroute_core::gateway::Site, site: &Site, name: &str, life: u64) -> Settings {
-    let own = site.levels.plan.as_ref();
+    let plan = site.levels.plan.as_ref();
     let limit =
-        |class: &String| own.and_then(|o| o.limits.iter().find(|(name, _)| name == class)).map(|l| l.1);
+        |class: &String| plan.and_then(|p| p.limits.iter().find(|(name, _)| name == class)).map(|l| l.1);
     Settings {
         site: name.to_owned(),
         life,
-        planners: own.map_or(1, |o| o.planners),
-        cap: own.and_then(|o| o.max_connections),
-        wanted: own.map_or(8, |o| o.wanted_connections),
+        planners: plan.map_or(1, |p| p.planners),
+        cap: plan.and_then(|p| p.max_connections),
+        wanted: plan.map_or(8, |p| p.wanted_connections),
         cold_from: core.settings.cold_from,
         ramp: core.settings.ramp,
-        settle: own.map_or(SETTLE, |o| o.settle),
+        settle: plan.map_or(SETTLE, |p| p.settle),
         classes: core.classes.iter().map(|c| (c.clone(), limit(c))).collect(),
         tenants: core
             .tenants
@@ -149,32 +152,32 @@
             .map(str::to_owned)
             .zip(core.settings.tenant_quota.iter().copied())
             .collect(),
-        bytes_per_second: own.map_or(16_000.0, |o| f64::from(o.plan_bytes)),
+        bytes_per_second: plan.map_or(16_000.0, |p| f64::from(p.plan_bytes)),
     }
 }
 
-impl Desk {
+impl PlannerServer {
     fn sink(self: &Rc<Self>) -> crate::discovery::Sink {
-        let desk = self.clone();
+        let server = self.clone();
         Box::new(move |kind, version, entries| {
-            // The configuration's list may be hours old: forwarders with a better one must not hear of it.
+            // The configuration's list may be hours old and must not override a newer one of the forwarders.
             if matches!(kind, ListKind::Failed | ListKind::Cached) {
                 return;
             }
-            let members = entries.into_iter().map(source::member).collect();
-            let now = desk.clock.now();
-            let mut planner = desk.planner.borrow_mut();
+            let members = entries.into_iter().map(source::to_member).collect();
+            let now = server.clock.now();
+            let mut planner = server.planner.borrow_mut();
             planner.membership(now, version, kind == ListKind::Full, members);
-            desk.tell_limits(&planner);
-            desk.news.notify_waiters();
+            server.warn_of_limits(&planner);
+            server.changed.notify_waiters();
         })
     }
 
-    /// What is not planned for is written down, seldom.
-    fn tell_limits(&self, planner: &Planner) {
+    /// Logs what exceeds the planner's limits.
+    fn warn_of_limits(&self, planner: &Planner) {
         let limits = planner.limits().join("; ");
         if !limits.is_empty() {
-            self.limits.borrow_mut().warn(|more| format!("{limits}{more}"));
+            self.limit_warning.borrow_mut().warn(|suppressed| format!("{limits}{suppressed}"));
         }
     }
 
@@ -190,74 +193,88 @@
             let (stream, address) = match listener.accept().await {
                 Ok(accepted) => accepted,
                 Err(error) => {
-                    self.log.borrow_mut().warn(|more| format!("cannot accept: {error}{more}"));
+                    self.connection_warning
+                        .borrow_mut()
+                        .warn(|suppressed| format!("cannot accept: {error}{suppressed}"));
                     tokio::time::sleep(TICK).await;
                     continue;
                 }
             };
-            if self.peers.get() >= MOST_PEERS {
-                self.log
-                    .borrow_mut()
-                    .warn(|more| format!("{address}: {MOST_PEERS} peers are here already{more}"));
+            if self.open_connections.get() >= MAX_CONNECTIONS {
+                self.connection_warning.borrow_mut().warn(|suppressed| {
+                    format!("{address}: refused, {MAX_CONNECTIONS} connections are open{suppressed}")
+                });
                 continue;
             }
-            self.peers.set(self.peers.get() + 1);
-            let seat = Seat(self.clone());
+            self.open_connections.set(self.open_connections.get() + 1);
+            let guard = ConnectionGuard(self.clone());
             spawn_local(async move {
-                if let Err(error) = seat.0.clone().serve(stream).await {
-                    seat.0.log.borrow_mut().warn(|more| format!("{address}: {error}{more}"));
+                if let Err(error) = guard.0.clone().serve(stream).await {
+                    guard
+                        .0
+                        .connection_warning
+                        .borrow_mut()
+                        .warn(|suppressed| format!("{address}: {error}{suppressed}"));
                 }
             });
         }
     }
 
     async fn serve(self: Rc<Self>, stream: TcpStream) -> Result<(), SessionError> {
-        let late = |_| SessionError::Silent;
+        let timed_out = |_| SessionError::Timeout;
         stream.set_nodelay(true)?;
-        let mut stream = timeout(HANDSHAKE, self.tls.accept(Retried::new(stream))).await.map_err(late)??;
-        let roles = [Role::Forwarder, Role::Asker];
-        let peer =
-            timeout(HANDSHAKE, hello::welcome(&mut stream, &self.identity, &roles)).await.map_err(late)??;
+        let mut stream =
+            timeout(HANDSHAKE_TIMEOUT, self.tls.accept(Retried::new(stream))).await.map_err(timed_out)??;
+        let accepted_roles = [Role::Forwarder, Role::Asker];
+        let peer = timeout(HANDSHAKE_TIMEOUT, hello::welcome(&mut stream, &self.identity, &accepted_roles))
+            .await
+            .map_err(timed_out)??;
         if peer.role() == Role::Asker {
-            return timeout(HANDSHAKE, self.tell(&mut stream)).await.map_err(late)?;
+            return timeout(HANDSHAKE_TIMEOUT, self.answer_query(&mut stream)).await.map_err(timed_out)?;
         }
         let zone = peer.zone.min(255) as u8;
         self.planner.borrow_mut().joined(self.clock.now(), &peer.name, zone)?;
-        let number = self.connections.get() + 1;
-        self.connections.set(number);
-        self.latest.borrow_mut().insert(peer.name.clone(), number);
-        let ended = self.lead(stream, &peer, number).await;
-        let mut latest = self.latest.borrow_mut();
-        if latest.get(&peer.name) == Some(&number) {
-            latest.remove(&peer.name);
+        let number = self.last_connection.get() + 1;
+        self.last_connection.set(number);
+        self.latest_connections.borrow_mut().insert(peer.name.clone(), number);
+        let result = self.run_session(stream, &peer, number).await;
+        let mut latest_connections = self.latest_connections.borrow_mut();
+        if latest_connections.get(&peer.name) == Some(&number) {
+            latest_connections.remove(&peer.name);
             self.planner.borrow_mut().left(self.clock.now(), &peer.name);
         }
-        ended
+        result
     }
 
-    async fn tell<S: AsyncRead + AsyncWrite + Unpin>(&self, stream: &mut S) -> Result<(), SessionError> {
-        if let Some(Body::Ask(ask)) = frames::read(stream).await? {
-            let text = match ask.change > 0 || ask.service.is_some() {
+    /// Answers one explain query.
+    async fn answer_query<S: AsyncRead + AsyncWrite + Unpin>(
+        &self,
+        stream: &mut S,
+    ) -> Result<(), SessionError> {
+        if let Some(Body::Ask(query)) = frames::read(stream).await? {
+            let text = match query.change > 0 || query.service.is_some() {
                 true => "this planner does not go by services\n".to_owned(),
-                false => self.planner.borrow().explain(&ask),
+                false => self.planner.borrow().explain(&query),
             };
             frames::write(stream, Body::Told(Told { text })).await?;
         }
         Ok(())
     }
 
-    async fn lead<S: AsyncRead + AsyncWrite>(
+    /// Receives replies and reports of a forwarder and sends it the parts of its plan, until the connection fails
+    /// or is replaced.
+    async fn run_session<S: AsyncRead + AsyncWrite>(
         &self,
         stream: S,
         peer: &Hello,
         number: u64,
     ) -> Result<(), SessionError> {
-        let late = |_| SessionError::Silent;
+        let timed_out = |_| SessionError::Timeout;
         let (mut reader, mut writer) = tokio::io::split(stream);
-        let current = || self.latest.borrow().get(&peer.name) == Some(&number);
+        let current = || self.latest_connections.borrow().get(&peer.name) == Some(&number);
         let read = async {
             loop {
-                let body = timeout(SILENCE, frames::read(&mut reader)).await.map_err(late)??;
+                let body = timeout(READ_TIMEOUT, frames::read(&mut reader)).await.map_err(timed_out)??;
                 if !current() {
                     return Err(SessionError::Replaced);
                 }
@@ -267,7 +284,7 @@
                         let now = self.clock.now();
                         self.planner.borrow_mut().report(now, &peer.name, &report)?;
                         if !report.closed.is_empty() {
-                            self.news.notify_waiters();
+                            self.changed.notify_waiters();
                         }
                     }
                     _ => {}
@@ -276,15 +293,17 @@
         };
         let write = async {
             loop {
-                let news = self.news.notified();
+                let changed = self.changed.notified();
                 while current() {
                     let part = self.planner.borrow_mut().next_part(self.clock.now(), &peer.name);
                     let Some(part) = part else { break };
-                    timeout(WRITE, frames::write(&mut writer, Body::Part(part))).await.map_err(late)??;
+                    timeout(WRITE_TIMEOUT, frames::write(&mut writer, Body::Part(part)))
+                        .await
+                        .map_err(timed_out)??;
                 }
-                let _ = timeout(TICK, news).await;
+                let _ = timeout(TICK, changed).await;
             }
         };
-        tokio::select! { ended = read => ended, ended = write => ended }
+        tokio::select! { result = read => result, result = write => result }
     }
 }
--- a/crates/node/src/services/directory.rs
+++ b/crates/node/src/services/directory.rs
@@ -140,7 +140,8 @@
             match change {
                 Change::Members { service, members, subscribers } => {
                     let Some(gateway) = self.gateway(&service) else { continue };
-                    let entries = members.into_iter().map(|m| source::entry(m, self.thrift_port)).collect();
+                    let entries =
+                        members.into_iter().map(|m| source::to_entry(m, self.thrift_port)).collect();
                     gateway.list(ListKind::Changes, entries);
                     gateway.take_share(1.0 / f64::from(subscribers.max(1)));
                 }
--- a/crates/node/src/services/forwarder.rs
+++ b/crates/node/src/services/forwarder.rs
@@ -2,8 +2,8 @@
 
 use super::directory::Directory;
 use super::table::Use;
-use crate::levels::{Forward, Peers};
-use crate::log::Seldom;
+use crate::levels::{ForwarderSettings, PeerSettings};
+use crate::log::RateLimitedWarning;
 use crate::site::Site;
 use laurelroute_channel::hello::Identity;
 use laurelroute_channel::subscription::{SessionError, Subscribing};
@@ -29,8 +29,8 @@
 pub(crate) fn start(
     gateway: &Rc<Gateway>,
     site: &Site,
-    forward: &Forward,
-    peers: &Peers,
+    forward: &ForwarderSettings,
+    peers: &PeerSettings,
     tls: &Tls,
     own: &Use,
 ) -> Routing {
@@ -84,7 +84,7 @@
     planners: Vec<SocketAddr>,
     tls: Tls,
 ) {
-    let seldom = RefCell::new(Seldom::default());
+    let seldom = RefCell::new(RateLimitedWarning::default());
     let noted = |place: usize, word: Result<&Hello, &SessionError>| match word {
         Ok(planner) => {
             tracing::info!("planner {}: `{}` is there", planners[place], planner.name.escape_debug());
--- a/crates/node/src/services/planner.rs
+++ b/crates/node/src/services/planner.rs
@@ -5,8 +5,8 @@
 
 use super::table::Publish;
 use crate::discovery::{Sink, Watcher};
-use crate::levels::{LevelError, Peers, Plan};
-use crate::log::Seldom;
+use crate::levels::{PeerSettings, PlannerSettings, RoleError};
+use crate::log::RateLimitedWarning;
 use crate::run::{listen, StartError};
 use crate::source;
 use laurelroute_channel::frames::{self, FrameError};
@@ -39,8 +39,8 @@
     tls: Tls,
     most_peers: usize,
     peers: Cell<usize>,
-    log: RefCell<Seldom>,
-    dropped: RefCell<Seldom>,
+    log: RefCell<RateLimitedWarning>,
+    dropped: RefCell<RateLimitedWarning>,
 }
 
 /// Counts a peer for as long as it lives.
@@ -54,12 +54,12 @@
 
 /// Starts to publish; `watch` makes a watcher of discovery that tells a sink.
 pub(crate) fn start(
-    peers: &Peers,
-    plan: &Plan,
+    peers: &PeerSettings,
+    plan: &PlannerSettings,
     own: &Publish,
     watch: impl FnOnce(Sink) -> Watcher,
 ) -> Result<(), StartError> {
-    let tls = peers.tls().map_err(LevelError::from)?;
+    let tls = peers.tls().map_err(RoleError::from)?;
     let clock = Clock::start();
     let life = clock.now() / 1_000_000;
     let settings = Settings {
@@ -107,7 +107,7 @@
             }
             let listed = entries.into_iter().map(|mut entry| {
                 let services = entry.said.take().map(|said| said.services).unwrap_or_default();
-                Listed { services, member: source::member(entry) }
+                Listed { services, member: source::to_member(entry) }
             });
             let listed = listed.collect();
             let whole = kind == ListKind::Full;
--- a/crates/node/src/services/table.rs
+++ b/crates/node/src/services/table.rs
@@ -1,6 +1,6 @@
 //! The operator's file on services by subscription: keys of `[forward]` and `[plan]` that count with `services = true`.
 
-use crate::site::{Check, SiteError};
+use crate::site::{SiteError, Validator};
 use hyper::header::HeaderName;
 use laurelroute_http::service::Place;
 use laurelroute_policy::interface::Nanos;
@@ -80,14 +80,14 @@
 
 /// Refuses keys that count only with services, where there are none.
 fn unused(
-    check: &Check<'_>,
+    validator: &Validator<'_>,
     part: &str,
     keys: impl IntoIterator<Item = (&'static str, Option<usize>)>,
 ) -> Result<(), SiteError> {
     match keys.into_iter().find_map(|(key, at)| Some((key, at?))) {
         Some((key, at)) => {
             let message = format!("`{part}.{key}` counts only with `services = true`");
-            Err(check.error(Some(at), message))
+            Err(validator.error(Some(at), message))
         }
         None => Ok(()),
     }
@@ -100,7 +100,7 @@
 impl UseTable {
     pub(crate) fn checked(
         self,
-        check: &Check<'_>,
+        validator: &Validator<'_>,
         report_bytes: Option<Spanned<u32>>,
     ) -> Result<Option<Use>, SiteError> {
         if !self.services.is_some_and(Spanned::into_inner) {
@@ -114,14 +114,15 @@
                 ("update_bytes", start(&self.update_bytes)),
                 ("update_burst", start(&self.update_burst)),
             ];
-            return unused(check, "forward", keys).map(|()| None);
+            return unused(validator, "forward", keys).map(|()| None);
         }
-        let number = |key: &str, value, most, or| check.number(&format!("forward.{key}"), value, most, or);
+        let number =
+            |key: &str, value, most, or| validator.bounded_number(&format!("forward.{key}"), value, most, or);
         let seconds = |key: &str, value, or| {
-            check.number(&format!("forward.{key}"), value, MOST_SECONDS, or).map(|s| s * SECOND)
+            validator.bounded_number(&format!("forward.{key}"), value, MOST_SECONDS, or).map(|s| s * SECOND)
         };
         Ok(Some(Use {
-            place: self.service.map_or(Ok(Place::Nowhere), |value| place(check, &value))?,
+            place: self.service.map_or(Ok(Place::Nowhere), |value| place(validator, &value))?,
             most_services: number("most_services", self.most_services, MOST_SERVICES, 1_000)? as usize,
             most_bytes: number("most_service_bytes", self.most_service_bytes, MOST_SERVICE_BYTES, 16 << 20)?
                 as usize,
@@ -136,7 +137,7 @@
 }
 
 /// `"host"` or `{ header = "NAME" }`.
-fn place(check: &Check<'_>, value: &Spanned<Value>) -> Result<Place, SiteError> {
+fn place(validator: &Validator<'_>, value: &Spanned<Value>) -> Result<Place, SiteError> {
     let header = |table: &toml::Table| match table.get("header") {
         Some(Value::String(name)) if table.len() == 1 => HeaderName::try_from(name.as_str()).ok(),
         _ => None,
@@ -146,7 +147,7 @@
         Value::Table(table) => header(table).map(Place::Header),
         _ => None,
     }
-    .ok_or_else(|| check.at(value, "`forward.service` has to be \"host\" or { header = \"NAME\" }"))
+    .ok_or_else(|| validator.error_at(value, "`forward.service` has to be \"host\" or { header = \"NAME\" }"))
 }
 
 impl PublishTable {
@@ -154,7 +155,7 @@
         self.services.as_ref().is_some_and(|on| *on.get_ref())
     }
 
-    pub(crate) fn checked(self, check: &Check<'_>) -> Result<Option<Publish>, SiteError> {
+    pub(crate) fn checked(self, validator: &Validator<'_>) -> Result<Option<Publish>, SiteError> {
         if !self.on() {
             let keys = [
                 ("most_forwarders", start(&self.most_forwarders)),
@@ -163,9 +164,10 @@
                 ("drain_bytes", start(&self.drain_bytes)),
                 ("drain_burst", start(&self.drain_burst)),
             ];
-            return unused(check, "plan", keys).map(|()| None);
+            return unused(validator, "plan", keys).map(|()| None);
         }
-        let number = |key: &str, value, most, or| check.number(&format!("plan.{key}"), value, most, or);
+        let number =
+            |key: &str, value, most, or| validator.bounded_number(&format!("plan.{key}"), value, most, or);
         Ok(Some(Publish {
             most_forwarders: number("most_forwarders", self.most_forwarders, MOST_FORWARDERS, 10_000)?
                 as usize,
--- a/crates/node/src/shift/cli.rs
+++ b/crates/node/src/shift/cli.rs
@@ -1,6 +1,6 @@
 //! `laurelroute shift`.
 
-use crate::staff::{answered, Call, CallError};
+use crate::management_client::{request, ManagementError, ManagementRequest};
 use clap::{Args, Subcommand};
 use laurelroute_shift::course::{Verb, Word};
 use laurelroute_shift::explain::Status;
@@ -60,7 +60,7 @@
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ShiftFailure {
     #[error("{0}")]
-    Call(#[from] CallError),
+    Call(#[from] ManagementError),
     #[error("the node's answer cannot be read: {0}")]
     Odd(#[from] serde_json::Error),
     #[error("terminal: {0}")]
@@ -82,13 +82,13 @@
     let user = || std::env::var("USER").unwrap_or_else(|_| "operator".to_owned());
     let who = say.who.clone().unwrap_or_else(user);
     let word = Word { verb, who, why: say.why.clone(), insist: say.insist };
-    println!("{}", answered(&Call::ShiftWord(word), at)?);
+    println!("{}", request(&ManagementRequest::ShiftCommand(word), at)?);
     Ok(())
 }
 
 /// The status of a running node's shift.
 pub(super) fn status(at: Option<SocketAddr>) -> Result<Status, ShiftFailure> {
-    Ok(serde_json::from_str(&answered(&Call::ShiftStatus, at)?)?)
+    Ok(serde_json::from_str(&request(&ManagementRequest::ShiftStatus, at)?)?)
 }
 
 fn show(at: Option<SocketAddr>, json: bool, history: bool) -> Result<(), ShiftFailure> {
--- a/crates/node/src/shift/desk.rs
+++ b/crates/node/src/shift/desk.rs
@@ -1,6 +1,6 @@
 //! The shift at the second address: `GET /_shift`, `POST /_shift/VERB/WHO/WHY`, and `POST /_shift/insist/VERB/WHO/WHY`.
 
-use crate::management::encode;
+use crate::management::percent_encode;
 use hyper::StatusCode;
 use laurelroute_core::gateway::Gateway;
 use laurelroute_shift::course::{Verb, Word};
@@ -66,5 +66,5 @@
 pub(crate) fn path(word: &Word) -> String {
     let name = VERBS.iter().find(|(_, v)| *v == word.verb).map_or("", |(n, _)| n);
     let insist = if word.insist { "insist/" } else { "" };
-    format!("/_shift/{insist}{name}/{}/{}", encode(&word.who), encode(&word.why))
+    format!("/_shift/{insist}{name}/{}/{}", percent_encode(&word.who), percent_encode(&word.why))
 }
--- a/crates/node/src/shift/table.rs
+++ b/crates/node/src/shift/table.rs
@@ -1,6 +1,6 @@
 //! `[shift]` in the operator's file.
 
-use crate::site::{Check, Classes, SiteError};
+use crate::site::{Classes, SiteError, Validator};
 use ipnet::IpNet;
 use laurelroute_shift::judge::Judge;
 use laurelroute_shift::pool::{Pools, Predicate};
@@ -104,12 +104,12 @@
 }
 
 impl PoolTable {
-    fn predicate(&self, check: &Check<'_>, key: &str) -> Result<Predicate, SiteError> {
+    fn predicate(&self, validator: &Validator<'_>, key: &str) -> Result<Predicate, SiteError> {
         let network = |text: &Spanned<String>| {
             text.get_ref().parse::<IpNet>().map_err(|_| {
                 let message =
                     format!("`shift.{key}.network`: `{}` is no network, such as 10.2.0.0/16", text.get_ref());
-                check.at(text, message)
+                validator.error_at(text, message)
             })
         };
         Ok(Predicate {
@@ -124,10 +124,10 @@
 }
 
 impl ShiftTable {
-    pub(crate) fn checked(self, check: &Check<'_>, classes: Classes<'_>) -> Result<Shift, SiteError> {
+    pub(crate) fn checked(self, validator: &Validator<'_>, classes: Classes<'_>) -> Result<Shift, SiteError> {
         let pools = Pools {
-            old: self.old.get_ref().predicate(check, "old")?,
-            new: self.new.get_ref().predicate(check, "new")?,
+            old: self.old.get_ref().predicate(validator, "old")?,
+            new: self.new.get_ref().predicate(validator, "new")?,
         };
         let names = match classes {
             Some((names, _)) => names.to_vec(),
@@ -155,7 +155,7 @@
             let seconds = *value.get_ref();
             if !(0.0..=MOST_SECONDS).contains(&seconds) {
                 let message = format!("`shift.{key}` is {seconds}; it has to be from 0 to {MOST_SECONDS}");
-                return Err(check.at(value, message));
+                return Err(validator.error_at(value, message));
             }
             *place = (seconds * 1e9) as u64;
         }
@@ -163,30 +163,31 @@
             None | Some((_, "undo")) => OnAlarm::Undo,
             Some((_, "hold")) => OnAlarm::Hold,
             Some((value, other)) => {
-                return Err(check.at(value, format!("`shift.on_alarm` is `{other}`; known are undo, hold")));
+                return Err(
+                    validator.error_at(value, format!("`shift.on_alarm` is `{other}`; known are undo, hold"))
+                );
             }
         };
-        self.behind(check, &mut settings)?;
+        self.behind(validator, &mut settings)?;
         for split in &self.splits {
-            settings.splits.push(split.checked(check)?);
+            settings.splits.push(split.checked(validator)?);
         }
-        settings.validate().map_err(|e| self.blamed(check, &e))?;
-        let folder = Path::new(check.file).parent().unwrap_or(Path::new(""));
+        settings.validate().map_err(|e| self.blamed(validator, &e))?;
+        let folder = Path::new(validator.file).parent().unwrap_or(Path::new(""));
         Ok(Shift { settings, journal: self.journal.as_ref().map(|j| folder.join(j)) })
     }
 
-    fn behind(&self, check: &Check<'_>, settings: &mut ShiftSettings) -> Result<(), SiteError> {
+    fn behind(&self, validator: &Validator<'_>, settings: &mut ShiftSettings) -> Result<(), SiteError> {
         let mut seen = Vec::new();
         for class in &self.classes {
             let name = class.name.get_ref();
             let Some(at) = settings.classes.iter().position(|c| c == name) else {
                 let known = settings.classes.join(", ");
-                return Err(
-                    check.at(&class.name, format!("`shift.class` is `{name}`; the settings have {known}"))
-                );
+                return Err(validator
+                    .error_at(&class.name, format!("`shift.class` is `{name}`; the settings have {known}")));
             };
             if seen.contains(&at) {
-                return Err(check.at(&class.name, format!("`shift.class` has `{name}` twice")));
+                return Err(validator.error_at(&class.name, format!("`shift.class` has `{name}` twice")));
             }
             seen.push(at);
             settings.behind[at] = *class.behind.get_ref();
@@ -195,7 +196,7 @@
     }
 
     /// The place of what was found wrong with the settings as a whole.
-    fn blamed(&self, check: &Check<'_>, error: &ShiftError) -> SiteError {
+    fn blamed(&self, validator: &Validator<'_>, error: &ShiftError) -> SiteError {
         let message = format!("`shift`: {error}");
         let at = |value: &Option<Spanned<f64>>| value.as_ref().map(|v| v.span().start);
         let start = match error {
@@ -211,15 +212,15 @@
             ShiftError::Cells(_) => self.splits.first().map(|s| s.name.span().start),
             ShiftError::Name => None,
         };
-        check.error(Some(start.unwrap_or(self.name.span().start)), message)
+        validator.error(Some(start.unwrap_or(self.name.span().start)), message)
     }
 }
 
 impl SplitTable {
-    fn checked(&self, check: &Check<'_>) -> Result<Split, SiteError> {
+    fn checked(&self, validator: &Validator<'_>) -> Result<Split, SiteError> {
         let name = self.name.get_ref();
         let wrong = |group: &str| {
-            check.at(
+            validator.error_at(
                 &self.name,
                 format!("`shift.split.groups.{group}` of `{name}` has to be a list of patterns"),
             )
@@ -231,7 +232,9 @@
             groups.push((group.clone(), patterns(&texts.ok_or_else(|| wrong(group))?)));
         }
         if ["class", "zone", "repeat"].contains(&name.as_str()) {
-            return Err(check.at(&self.name, format!("`shift.split`: `{name}` is told apart already")));
+            return Err(
+                validator.error_at(&self.name, format!("`shift.split`: `{name}` is told apart already"))
+            );
         }
         Ok(Split { name: name.clone(), groups })
     }
--- a/crates/node/src/site.rs
+++ b/crates/node/src/site.rs
@@ -1,6 +1,6 @@
-//! The operator's own file (TOML): what this installation has beyond the platform's configuration.
+//! The operator's configuration file (TOML), which extends the platform's configuration.
 //!
-//! Every error names the file, the line and the key. Nothing in it is on unless it is named there.
+//! Every error names the file, the line and the key. Features are off unless the file configures them.
 
 use crate::fleet::table::{FleetSite, FleetTable};
 use crate::levels::{ForwardTable, LevelTables, Levels, PeersTable, PlanTable};
@@ -18,21 +18,22 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// A message may be allowed this many bytes at most: THeader tells sizes in 30 bits, and memory is bounded anyway.
-const MOST_MESSAGE: usize = 16 * 1024 * 1024;
-/// No service nests deeper; each level costs 16 bytes for every message under way.
-const MOST_DEPTH: usize = 1024;
-const MOST_PIPELINE: usize = 1024;
-const MOST_IDLE_MS: u64 = 86_400_000;
+/// Upper bound of `max_message`: THeader encodes sizes in 30 bits, and memory is bounded anyway.
+const MAX_MESSAGE_BYTES: usize = 16 * 1024 * 1024;
+/// Upper bound of `max_depth`: no service nests deeper, and each level costs 16 bytes for every message being
+/// decoded.
+const MAX_DEPTH: usize = 1024;
+const MAX_PIPELINE: usize = 1024;
+const MAX_IDLE_MS: u64 = 86_400_000;
 
-/// What is wrong with the file, and where.
+/// An error in the operator's file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SiteError {
     /// The file.
     pub file: String,
-    /// The line, from 1; `None` where the file as a whole is at fault.
+    /// The line, from 1; `None` if the error concerns the file as a whole.
     pub line: Option<usize>,
-    /// What is wrong, with the key.
+    /// The error, with the key.
     pub message: String,
 }
 
@@ -75,7 +76,8 @@
     max_depth: Option<Spanned<usize>>,
     pipeline: Option<Spanned<usize>>,
     idle_ms: Option<Spanned<u64>>,
-    boxes: BoxesTable,
+    #[serde(rename = "boxes")]
+    servers: ThriftServersTable,
     #[serde(default)]
     facts: FactsTable,
     #[serde(default, rename = "method")]
@@ -84,7 +86,7 @@
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct BoxesTable {
+struct ThriftServersTable {
     form: Spanned<String>,
     port: Option<Spanned<u16>>,
     turned_away: Option<i32>,
@@ -119,37 +121,37 @@
     route_key: Vec<Spanned<String>>,
 }
 
-/// The Thrift side, ready to run.
+/// Settings of the Thrift front end.
 #[derive(Clone, Debug)]
 pub struct Thrift {
-    /// Where clients connect.
+    /// Address that clients connect to.
     pub listen: SocketAddr,
-    /// The port on which boxes speak Thrift whose list entry has no address for it.
+    /// Thrift port of servers whose list entry has no Thrift address.
     pub port: Option<u16>,
-    /// All that the front is told.
+    /// Settings of the front end itself.
     pub front: FrontSettings,
 }
 
-/// The operator's file, checked.
+/// The validated contents of the operator's file.
 #[derive(Clone, Debug, Default)]
 pub struct Site {
-    /// Connections that one server may hold of this node's, over all wires.
+    /// Maximum number of connections from this node to one server, over all protocols.
     pub max_connections: Option<u32>,
-    /// The Thrift side.
+    /// The Thrift front end.
     pub thrift: Option<Thrift>,
-    /// Two levels: who this peer is, and what it does as forwarder or planner.
+    /// This peer's identity and role in a two-level installation.
     pub levels: Levels,
-    /// A shift from one pool of servers to another.
+    /// A traffic shift from one pool of servers to another.
     pub shift: Option<Shift>,
     /// The fleet that this process is a member of.
     pub fleet: Option<FleetSite>,
 }
 
-/// The classes that methods can name, with their effects; `None` where only the file itself is checked.
+/// The request classes that methods may name, with their settings; `None` skips the validation of class names.
 pub type Classes<'a> = Option<(&'a [String], &'a Settings)>;
 
 impl Site {
-    /// Reads and checks a file.
+    /// Reads and validates a file.
     pub fn load(path: &Path, classes: Classes<'_>) -> Result<Site, SiteError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|error| SiteError {
@@ -160,62 +162,62 @@
         Self::parse(&file, &text, classes)
     }
 
-    /// Checks the text of a file.
+    /// Validates the text of a file.
     pub fn parse(file: &str, text: &str, classes: Classes<'_>) -> Result<Site, SiteError> {
-        let check = Check { file, text };
+        let validator = Validator { file, text };
         let table: File =
-            toml::from_str(text).map_err(|e| check.error(e.span().map(|s| s.start), e.message()))?;
+            toml::from_str(text).map_err(|e| validator.error(e.span().map(|s| s.start), e.message()))?;
         let max_connections = match &table.servers.max_connections {
             Some(n) if *n.get_ref() == 0 => {
-                return Err(check.at(n, "`servers.max_connections` must be above 0"))
+                return Err(validator.error_at(n, "`servers.max_connections` must be above 0"))
             }
             n => n.as_ref().map(|n| *n.get_ref()),
         };
-        let thrift = table.thrift.map(|t| check.thrift(t, classes)).transpose()?;
+        let thrift = table.thrift.map(|t| validator.thrift(t, classes)).transpose()?;
         let tables = LevelTables { peers: table.peers, forward: table.forward, plan: table.plan };
-        let levels = tables.checked(&check, classes)?;
-        let shift = table.shift.map(|t| t.into_inner().checked(&check, classes)).transpose()?;
-        let fleet = table.fleet.map(|t| t.checked(&check)).transpose()?;
+        let levels = tables.validate(&validator, classes)?;
+        let shift = table.shift.map(|t| t.into_inner().checked(&validator, classes)).transpose()?;
+        let fleet = table.fleet.map(|t| t.checked(&validator)).transpose()?;
         Ok(Site { max_connections, thrift, levels, shift, fleet })
     }
 }
 
-/// The file under check.
-pub(crate) struct Check<'a> {
+/// Helper that validates the values of one file and reports errors with their line.
+pub(crate) struct Validator<'a> {
     pub(crate) file: &'a str,
     text: &'a str,
 }
 
-impl Check<'_> {
+impl Validator<'_> {
     pub(crate) fn error(&self, offset: Option<usize>, message: impl Into<String>) -> SiteError {
         let line = offset.map(|at| 1 + self.text[..at.min(self.text.len())].matches('\n').count());
         SiteError { file: self.file.to_owned(), line, message: message.into() }
     }
 
-    pub(crate) fn at<T>(&self, value: &Spanned<T>, message: impl Into<String>) -> SiteError {
+    pub(crate) fn error_at<T>(&self, value: &Spanned<T>, message: impl Into<String>) -> SiteError {
         self.error(Some(value.span().start), message)
     }
 
-    /// A path that the file names. It is meant from where the file is: the program may be started anywhere.
-    pub(crate) fn beside(&self, path: PathBuf) -> PathBuf {
+    /// Resolves a path in the file. It is relative to the file's directory: the program may be started anywhere.
+    pub(crate) fn resolve_path(&self, path: PathBuf) -> PathBuf {
         Path::new(self.file).parent().map(|p| p.join(&path)).unwrap_or(path)
     }
 
-    /// A number between 1 and a limit, or the default where there is none.
-    pub(crate) fn number<T>(
+    /// Checks that a number is between 1 and `max`; a missing one gets the default.
+    pub(crate) fn bounded_number<T>(
         &self,
         key: &str,
         value: Option<Spanned<T>>,
-        most: T,
-        or: T,
+        max: T,
+        default: T,
     ) -> Result<T, SiteError>
     where
         T: Copy + PartialOrd + Default + fmt::Display,
     {
-        let Some(value) = value else { return Ok(or) };
+        let Some(value) = value else { return Ok(default) };
         let number = *value.get_ref();
-        if number <= T::default() || number > most {
-            return Err(self.at(&value, format!("`{key}` is {number}; it has to be from 1 to {most}")));
+        if number <= T::default() || number > max {
+            return Err(self.error_at(&value, format!("`{key}` is {number}; it has to be from 1 to {max}")));
         }
         Ok(number)
     }
@@ -223,18 +225,18 @@
     fn form(&self, key: &str, name: &Spanned<String>) -> Result<Form, SiteError> {
         Form::named(name.get_ref()).ok_or_else(|| {
             let names: Vec<_> = FORMS.iter().map(|(name, _)| *name).collect();
-            self.at(name, format!("`{key}` is `{}`; known are {}", name.get_ref(), names.join(", ")))
+            self.error_at(name, format!("`{key}` is `{}`; known are {}", name.get_ref(), names.join(", ")))
         })
     }
 
     fn sources(&self, key: &str, list: &[Spanned<String>]) -> Result<Vec<Source>, SiteError> {
         let source = |text: &Spanned<String>| {
-            text.get_ref().parse().map_err(|e| self.at(text, format!("`{key}`: {e}")))
+            text.get_ref().parse().map_err(|e| self.error_at(text, format!("`{key}`: {e}")))
         };
         list.iter().map(source).collect()
     }
 
-    /// The sources of deadline, request id, tenant and route key, whose keys stand under `prefix`.
+    /// Parses the sources of deadline, request id, tenant and route key, whose keys have the given prefix.
     fn facts(&self, prefix: &str, lists: [&[Spanned<String>]; 4]) -> Result<Sources, SiteError> {
         let [deadline, request_id, tenant, route_key] = lists;
         let sources = |key: &str, list| self.sources(&format!("{prefix}{key}"), list);
@@ -247,22 +249,27 @@
     }
 
     fn thrift(&self, table: ThriftTable, classes: Classes<'_>) -> Result<Thrift, SiteError> {
-        let standard = Limits::default();
-        let message = self.number("thrift.max_message", table.max_message, MOST_MESSAGE, standard.message)?;
-        let depth = self.number("thrift.max_depth", table.max_depth, MOST_DEPTH, standard.depth)?;
-        let limits = Limits { message, depth, ..standard };
+        let defaults = Limits::default();
+        let message = self.bounded_number(
+            "thrift.max_message",
+            table.max_message,
+            MAX_MESSAGE_BYTES,
+            defaults.message,
+        )?;
+        let depth = self.bounded_number("thrift.max_depth", table.max_depth, MAX_DEPTH, defaults.depth)?;
+        let limits = Limits { message, depth, ..defaults };
         let accept = match &table.form {
             Some(name) if name.get_ref() != "detect" => Accept::Only(self.form("thrift.form", name)?),
             _ => Accept::Detect,
         };
         let boxes = Boxes {
-            form: self.form("thrift.boxes.form", &table.boxes.form)?,
-            turned_away: table.boxes.turned_away.unwrap_or(application::LOAD_SHEDDING),
+            form: self.form("thrift.boxes.form", &table.servers.form)?,
+            turned_away: table.servers.turned_away.unwrap_or(application::LOAD_SHEDDING),
             limits,
         };
-        let port = match table.boxes.port {
+        let port = match table.servers.port {
             Some(port) if *port.get_ref() == 0 => {
-                return Err(self.at(&port, "`thrift.boxes.port` must be above 0"));
+                return Err(self.error_at(&port, "`thrift.boxes.port` must be above 0"));
             }
             port => port.map(Spanned::into_inner),
         };
@@ -276,11 +283,11 @@
         if methods.is_empty() {
             return Err(self.error(None, "`thrift` has no `[[thrift.method]]`: every call would be refused"));
         }
-        let idle = self.number("thrift.idle_ms", table.idle_ms, MOST_IDLE_MS, 60_000)?;
+        let idle = self.bounded_number("thrift.idle_ms", table.idle_ms, MAX_IDLE_MS, 60_000)?;
         let front = FrontSettings {
             accept,
             limits,
-            pipeline: self.number("thrift.pipeline", table.pipeline, MOST_PIPELINE, 16)?,
+            pipeline: self.bounded_number("thrift.pipeline", table.pipeline, MAX_PIPELINE, 16)?,
             idle: Duration::from_millis(idle),
             table: methods,
             boxes,
@@ -297,7 +304,7 @@
     ) -> Result<(), SiteError> {
         let (name, class_name) = (method.name.get_ref(), method.class.get_ref());
         if name.is_empty() || name.len() > Limits::default().name {
-            return Err(self.at(&method.name, "`name` has to have 1 to 256 bytes"));
+            return Err(self.error_at(&method.name, "`name` has to have 1 to 256 bytes"));
         }
         let effect = method.effect.as_ref().map(|e| self.effect(e)).transpose()?;
         let class = match classes {
@@ -305,14 +312,17 @@
             Some((names, settings)) => {
                 let class = names.iter().position(|c| c == class_name).ok_or_else(|| {
                     let known = names.join(", ");
-                    self.at(&method.class, format!("`class` is `{class_name}`; the settings have {known}"))
+                    self.error_at(
+                        &method.class,
+                        format!("`class` is `{class_name}`; the settings have {known}"),
+                    )
                 })?;
-                let settled = settings.classes[class].effect;
-                if let Some((written, effect)) = effect.filter(|(_, effect)| *effect != settled) {
+                let class_effect = settings.classes[class].effect;
+                if let Some((text, effect)) = effect.filter(|(_, effect)| *effect != class_effect) {
                     let message = format!(
-                        "`effect` of `{name}` is {effect:?}, but its class `{class_name}` is {settled:?}"
+                        "`effect` of `{name}` is {effect:?}, but its class `{class_name}` is {class_effect:?}"
                     );
-                    return Err(self.at(written, message));
+                    return Err(self.error_at(text, message));
                 }
                 class
             }
@@ -320,7 +330,7 @@
         let sources =
             self.facts("", [&method.deadline, &method.request_id, &method.tenant, &method.route_key])?;
         if !methods.add(name, Method { class: class as u8, sources: sources.or(common) }) {
-            return Err(self.at(&method.name, format!("`{name}` stands twice")));
+            return Err(self.error_at(&method.name, format!("`{name}` is defined twice")));
         }
         Ok(())
     }
@@ -330,7 +340,9 @@
             "safe" => Ok((text, Effect::Safe)),
             "keyed" => Ok((text, Effect::Keyed)),
             "unsafe" => Ok((text, Effect::Unsafe)),
-            other => Err(self.at(text, format!("`effect` is `{other}`; known are safe, keyed, unsafe"))),
+            other => {
+                Err(self.error_at(text, format!("`effect` is `{other}`; known are safe, keyed, unsafe")))
+            }
         }
     }
 }
@@ -351,10 +363,10 @@
     }
 
     #[test]
-    fn the_example_is_sound() {
+    fn the_example_is_valid() {
         let (names, settings) = settings();
         let site = Site::parse("example", EXAMPLE, Some((&names, &settings))).unwrap();
-        let thrift = site.thrift.expect("the example has Thrift on");
+        let thrift = site.thrift.expect("the example enables Thrift");
         assert_eq!(thrift.front.table.method("Warnings:acknowledge").map(|m| m.class), Some(2));
         let levels = site.levels;
         assert!(levels.peers.is_some() && levels.forward.is_some());
@@ -363,7 +375,7 @@
     }
 
     #[test]
-    fn errors_name_key_and_line() {
+    fn errors_name_the_key_and_the_line() {
         let (names, settings) = settings();
         for (from, to, line_of, message) in [
             (
@@ -400,7 +412,7 @@
                 "[\"x-tenant-id",
                 "`thrift.facts.tenant`: `x-tenant-id` is neither",
             ),
-            ("name = \"gauges\"", "name = \"status\"", "", "`status` stands twice"),
+            ("name = \"gauges\"", "name = \"status\"", "", "`status` is defined twice"),
             ("max_connections = 48", "max_connections = 0", "max_connections", "must be above 0"),
         ] {
             let text = EXAMPLE.replacen(from, to, 1);
--- a/crates/node/src/source.rs
+++ b/crates/node/src/source.rs
@@ -1,4 +1,4 @@
-//! What discovery says, handed to whoever goes by it.
+//! Conversion of discovery's server entries for the gateway, the planner and the forwarders.
 
 use crate::discovery::Sink;
 use crate::fleet::copy::phases;
@@ -9,14 +9,15 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Straight to the gateway: the one-level node. Where it is a member of a fleet, the others hear of what drains.
-pub(crate) fn to_gateway(gateway: &Rc<Gateway>, fleet: Option<Rc<crate::fleet::Member>>) -> Sink {
+/// Sink of a standalone node: passes lists to the gateway and, if the node is a member of a fleet, replicates the
+/// drains in them to the other members.
+pub(crate) fn gateway_sink(gateway: &Rc<Gateway>, fleet: Option<Rc<crate::fleet::Member>>) -> Sink {
     let gateway = gateway.clone();
     Box::new(move |kind, version, entries| {
-        let said = fleet.is_some().then(|| phases(&entries));
+        let listed_phases = fleet.is_some().then(|| phases(&entries));
         gateway.list(kind, entries);
-        if let (Some(fleet), Some(said)) = (&fleet, said) {
-            fleet.listed(&gateway, kind, version, &said);
+        if let (Some(fleet), Some(listed_phases)) = (&fleet, listed_phases) {
+            fleet.listed(&gateway, kind, version, &listed_phases);
         }
         if matches!(kind, ListKind::Full | ListKind::Changes) {
             gateway.set_ready();
@@ -24,15 +25,16 @@
     })
 }
 
-/// A box as planners and forwarders know it.
-pub(crate) fn member(entry: Entry) -> Member {
+/// Converts an entry to a planner's and forwarder's member.
+pub(crate) fn to_member(entry: Entry) -> Member {
     Member { name: entry.host, addresses: entry.dials, server: entry.server }
 }
 
-/// A box as the gateway knows it. Where the list does not say where it speaks Thrift, it does so on `port`.
-pub(crate) fn entry(member: Member, port: Option<u16>) -> Entry {
+/// Converts a member to the gateway's entry. A server without a Thrift address of its own gets the port
+/// `thrift_port`.
+pub(crate) fn to_entry(member: Member, thrift_port: Option<u16>) -> Entry {
     let mut dials = member.addresses;
-    if let (Some(port), Some(Some(http)), [_, None]) = (port, dials.first().copied(), &dials[..]) {
+    if let (Some(port), Some(Some(http)), [_, None]) = (thrift_port, dials.first().copied(), &dials[..]) {
         dials[1] = Some(SocketAddr::new(http.ip(), port));
     }
     Entry { host: member.name, dials, server: member.server, said: None }
