--- a/crates/node/src/tenants.rs
+++ b/crates/node/src/tenants.rs
@@ -1,5 +1,5 @@
-//! Tenants in the configuration. There may be very many: each is read by itself and put where it stays, and no other copy of
-//! them all is ever made.
+//! Deserialization of the configuration's tenants. There may be very many: each is parsed by itself and stored in
+//! its final place, so that the whole list is never held twice.
 
 use crate::config::{flatten, name};
 use laurelroute_core::names::Listed;
@@ -9,37 +9,37 @@
 use serde_json::{Map, Value};
 use std::fmt;
 
-/// The configuration's settings: the list of tenants, and all others as they are.
-pub(crate) struct Said {
+/// The configuration's settings: the tenants, and all other settings as JSON.
+pub(crate) struct ParsedSettings {
     pub(crate) others: Value,
     pub(crate) tenants: Tenants,
 }
 
-/// Tenants in their order.
+/// Tenants in the order of the configuration.
 #[derive(Default)]
 pub(crate) struct Tenants {
     pub(crate) names: Listed,
     quotas: Vec<f64>,
-    /// What is wrong with the first share that cannot be read.
-    fault: Option<String>,
-    /// Some are more than a name: then all have to have a share.
-    shares: bool,
+    /// The error of the first invalid quota.
+    first_error: Option<String>,
+    /// Some tenants are objects, not only names: then each must have a quota.
+    has_quotas: bool,
 }
 
 impl Tenants {
-    /// Their shares; none where there are only names.
-    pub(crate) fn quotas(&mut self) -> Result<Vec<f64>, String> {
+    /// Takes the quotas; empty if the tenants are only names.
+    pub(crate) fn take_quotas(&mut self) -> Result<Vec<f64>, String> {
         let mut quotas = std::mem::take(&mut self.quotas);
-        if !self.shares {
+        if !self.has_quotas {
             return Ok(Vec::new());
         }
         quotas.shrink_to_fit();
-        self.fault.take().map_or(Ok(quotas), Err)
+        self.first_error.take().map_or(Ok(quotas), Err)
     }
 
     fn push(&mut self, tenant: &Value) {
         self.names.push(name(tenant));
-        self.shares |= tenant.is_object();
+        self.has_quotas |= tenant.is_object();
         let path = format!("tenants.{}", self.quotas.len());
         let mut pairs = Pairs::default();
         flatten(&path, tenant, &mut pairs);
@@ -47,34 +47,34 @@
             Ok(quota) => self.quotas.push(quota),
             Err(error) => {
                 self.quotas.push(0.0);
-                self.fault.get_or_insert(error);
+                self.first_error.get_or_insert(error);
             }
         }
     }
 }
 
-impl<'de> Deserialize<'de> for Said {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        from.deserialize_map(Settings)
+impl<'de> Deserialize<'de> for ParsedSettings {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        deserializer.deserialize_map(SettingsVisitor)
     }
 }
 
 impl<'de> Deserialize<'de> for Tenants {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        from.deserialize_any(List)
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        deserializer.deserialize_any(TenantListVisitor)
     }
 }
 
-struct Settings;
+struct SettingsVisitor;
 
-impl<'de> Visitor<'de> for Settings {
-    type Value = Said;
+impl<'de> Visitor<'de> for SettingsVisitor {
+    type Value = ParsedSettings;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the settings by their names")
+        f.write_str("a map of settings")
     }
 
-    fn visit_map<A: MapAccess<'de>>(self, mut settings: A) -> Result<Said, A::Error> {
+    fn visit_map<A: MapAccess<'de>>(self, mut settings: A) -> Result<ParsedSettings, A::Error> {
         let (mut others, mut tenants) = (Map::new(), Tenants::default());
         while let Some(key) = settings.next_key::<String>()? {
             if key == "tenants" {
@@ -83,14 +83,14 @@
                 others.insert(key, settings.next_value()?);
             }
         }
-        Ok(Said { others: Value::Object(others), tenants })
+        Ok(ParsedSettings { others: Value::Object(others), tenants })
     }
 }
 
-/// What is no list names no tenants.
-struct List;
+/// Visitor of the tenant list; a value that is not a list yields no tenants.
+struct TenantListVisitor;
 
-impl<'de> Visitor<'de> for List {
+impl<'de> Visitor<'de> for TenantListVisitor {
     type Value = Tenants;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/crates/node/src/upgrade/succession.rs
+++ b/crates/node/src/upgrade/succession.rs
@@ -3,7 +3,7 @@
 use super::claim::{offer, Claim, Offer};
 use super::link::{bind, place, Link, LinkError, Rest, SOCKET};
 use super::steer;
-use crate::ledger::Ledger;
+use crate::ledger::BanLedger;
 use laurelroute_core::accept::Gate;
 use laurelroute_core::gateway::Gateway;
 use laurelroute_handover::bans::Word;
@@ -56,11 +56,11 @@
     waiting: RefCell<VecDeque<u64>>,
     noted: Notify,
     sockets: usize,
-    ledger: Rc<Ledger>,
+    ledger: Rc<BanLedger>,
 }
 
 impl Succession {
-    pub(crate) fn new(sockets: usize, ledger: Rc<Ledger>) -> Rc<Succession> {
+    pub(crate) fn new(sockets: usize, ledger: Rc<BanLedger>) -> Rc<Succession> {
         Rc::new(Succession {
             gate: watch::Sender::new(Gate::Held),
             clients: RefCell::default(),
@@ -123,7 +123,7 @@
     /// Listens where only an address was kept so far, and has the kernel bring all new connections here.
     fn open_bound(&self, bound: Vec<(Door, TcpSocket, SocketAddr)>) {
         for (door, socket, address) in bound {
-            match socket.listen(crate::run::BACKLOG) {
+            match socket.listen(crate::run::LISTEN_BACKLOG) {
                 Ok(listener) => {
                     if let Err(error) = steer::to_last(&listener, address) {
                         tracing::warn!("takeover: connections go to both processes: {error}");
@@ -383,7 +383,7 @@
                 gateway.merge_bans(words);
                 let (gateway, link, ledger) = (gateway.clone(), link.clone(), self.ledger.clone());
                 spawn_local(async move {
-                    if let Err(error) = ledger.keep(&gateway).await {
+                    if let Err(error) = ledger.persist(&gateway).await {
                         tracing::warn!("bans are not kept: {error}");
                     }
                     let _ = link.send(&Message::Noted { mark }, &[]).await;
--- a/crates/rig/src/site.rs
+++ b/crates/rig/src/site.rs
@@ -69,7 +69,7 @@
 
 /// The node's process.
 pub fn node(site: &Path) -> Result<(), Failure> {
-    laurelroute_node::run::start(Some(site), laurelroute_node::run::Role::OneLevel)?;
+    laurelroute_node::run::start(Some(site), laurelroute_node::run::Role::Standalone)?;
     tell();
     Ok(())
 }
