--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -4,7 +4,7 @@
 mod wire;
 
 use laurelroute_policy::interface::{Action, Event};
-use laurelroute_policy::settings::{self, Pairs, ReportField};
+use laurelroute_policy::settings::{self, Pairs, LoadReportField};
 use laurelroute_policy::Balancer;
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
@@ -13,7 +13,7 @@
 
 struct Instance {
     balancer: Balancer,
-    fields: Vec<ReportField>,
+    fields: Vec<LoadReportField>,
 }
 
 #[derive(Default)]
@@ -51,13 +51,13 @@
             Record::Request(request) => Event::Request(request),
             Record::Message { from, bytes } => Event::Message { from, bytes: bytes.to_vec() },
             Record::ClientGone { request } => Event::ClientGone { request },
-            Record::Probed { server, ending, took, report } => {
+            Record::Probed { server, outcome: ending, took, report } => {
                 let report = self.instances.get(&id).and_then(|i| report.named(&i.fields));
-                Event::Probed { server, ending, took, report }
+                Event::Probed { server, outcome: ending, took, report }
             }
-            Record::Outcome { request, server, attempt, finished, took, ending, report } => {
+            Record::Outcome { request, server, attempt, finished, took, outcome: ending, report } => {
                 let report = self.instances.get(&id).and_then(|i| report.named(&i.fields));
-                Event::Outcome { request, server, attempt, finished, took, ending, report }
+                Event::AttemptEnded { request, server, attempt, finished, took, outcome: ending, report }
             }
             Record::StreamStarted { request, attempt, server, took } => {
                 Event::StreamStarted { request, attempt, server, took }
--- a/crates/benchlink/src/wire.rs
+++ b/crates/benchlink/src/wire.rs
@@ -1,7 +1,7 @@
 //! Frames of the simulator's wire: batches of event records in, batches of action records out.
 
-use laurelroute_policy::interface::{Action, Ending, Endpoint, ListKind, Phase, Report, Request, Server};
-use laurelroute_policy::settings::ReportField;
+use laurelroute_policy::interface::{Action, AttemptOutcome, Endpoint, ListKind, Phase, LoadReport, Request, Server};
+use laurelroute_policy::settings::LoadReportField;
 use std::fmt;
 
 /// Bytes of a batch header, an event record, an action record and a list entry.
@@ -56,7 +56,7 @@
     },
     Probed {
         server: Endpoint,
-        ending: Ending,
+        ending: AttemptOutcome,
         took: u64,
         report: RawReport,
     },
@@ -66,7 +66,7 @@
         attempt: u8,
         finished: bool,
         took: u64,
-        ending: Ending,
+        ending: AttemptOutcome,
         report: RawReport,
     },
     StreamStarted {
@@ -199,7 +199,7 @@
                     kind: u16_at(e, 7),
                     cell: u16_at(e, 9),
                     phase: match e[11] {
-                        0 => Phase::Gone,
+                        0 => Phase::Removed,
                         1 => Phase::Ready,
                         2 => Phase::Draining,
                         v => {
@@ -224,16 +224,16 @@
     }
 }
 
-fn ending(value: u16, record: usize) -> Result<Ending, WireError> {
+fn ending(value: u16, record: usize) -> Result<AttemptOutcome, WireError> {
     match value {
-        0 => Ok(Ending::Ok),
-        13 => Ok(Ending::Error),
-        8 => Ok(Ending::Full),
-        4 => Ok(Ending::TimedOut),
-        14 => Ok(Ending::ConnectFailed),
-        10 => Ok(Ending::Reset),
-        1 => Ok(Ending::Cancelled),
-        9 => Ok(Ending::NotSent),
+        0 => Ok(AttemptOutcome::Ok),
+        13 => Ok(AttemptOutcome::Error),
+        8 => Ok(AttemptOutcome::Rejected),
+        4 => Ok(AttemptOutcome::TimedOut),
+        14 => Ok(AttemptOutcome::ConnectFailed),
+        10 => Ok(AttemptOutcome::Reset),
+        1 => Ok(AttemptOutcome::Cancelled),
+        9 => Ok(AttemptOutcome::NotSent),
         v => Err(WireError::UnknownValue { record, what: "outcome code", value: v.into() }),
     }
 }
@@ -245,11 +245,11 @@
         class: r[9],
         tenant: u32_at(r, 10),
         key: u64_at(r, 14),
-        give_up_at: u64_at(r, 22),
+        deadline: u64_at(r, 22),
         work_hint: (options & 1 != 0).then(|| u64_at(r, 30)),
         is_retry: options & 2 != 0,
         is_write: options & 4 != 0,
-        place: 0,
+        split_position: 0,
     }
 }
 
@@ -263,21 +263,21 @@
 
 impl RawReport {
     /// Names the values by the instance's list of fields; none when the report is empty.
-    pub fn named(&self, fields: &[ReportField]) -> Option<Report> {
+    pub fn named(&self, fields: &[LoadReportField]) -> Option<LoadReport> {
         if self.count == 0 {
             return None;
         }
-        let mut report = Report::default();
+        let mut report = LoadReport::default();
         for (field, &value) in fields.iter().zip(&self.values[..usize::from(self.count).min(4)]) {
             let value = Some(value).filter(|v| v.is_finite());
             match field {
-                ReportField::Concurrent => report.concurrent = value,
-                ReportField::Queued => report.queued = value,
-                ReportField::Utilisation => report.utilisation = value,
-                ReportField::ServiceMs => report.service_ms = value,
-                ReportField::Rate => report.rate = value,
-                ReportField::ErrorRate => report.error_rate = value,
-                ReportField::Unknown => {}
+                LoadReportField::Concurrent => report.concurrent = value,
+                LoadReportField::Queued => report.queued = value,
+                LoadReportField::Utilisation => report.utilisation = value,
+                LoadReportField::ServiceMs => report.service_ms = value,
+                LoadReportField::Rate => report.rate = value,
+                LoadReportField::ErrorRate => report.error_rate = value,
+                LoadReportField::Unknown => {}
             }
         }
         Some(report)
@@ -334,7 +334,7 @@
                 r[0] = 30;
                 server(&mut r, 5, to);
             }
-            Action::Tell { to, bytes } => {
+            Action::SendToPeer { to, bytes } => {
                 r[0] = 60;
                 put(&mut r, 5, &to.unwrap_or(u32::MAX).to_be_bytes());
                 self.refer(&mut r, 9, bytes);
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -3,7 +3,7 @@
 //! The decision module says what it wants; this is asked right before it is done. What must not be done is not done, and
 //! where the module should have known, it is counted as a violation of the node's own invariants ([`crate::events`]).
 
-use laurelroute_policy::interface::{Effect, Ending, Group, Nanos};
+use laurelroute_policy::interface::{Idempotency, AttemptOutcome, DedupGroup, Nanos};
 
 /// Why an attempt may not begin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -59,7 +59,7 @@
     /// Where; `None` where that is forgotten.
     pub place: Option<Place>,
     /// How it ended; `None` while it is out.
-    pub ending: Option<Ending>,
+    pub ending: Option<AttemptOutcome>,
     /// When it was sent.
     pub sent_at: Nanos,
 }
@@ -74,13 +74,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Terms {
     /// What a repeat does.
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// Who drops repeats of a keyed request.
-    pub group: Group,
+    pub group: DedupGroup,
     /// For how long.
     pub window: Nanos,
     /// Two attempts of a request may be out at once.
-    pub second_copies: bool,
+    pub hedging: bool,
 }
 
 /// Whether one more attempt may be made at a server, by what became of the earlier ones.
@@ -90,14 +90,14 @@
     place: Option<Place>,
     now: Nanos,
 ) -> Result<(), Denied> {
-    if !terms.second_copies && earlier.clone().any(|e| e.ending.is_none()) {
+    if !terms.hedging && earlier.clone().any(|e| e.ending.is_none()) {
         return Err(Denied::SecondCopy);
     }
     let mut ran = earlier.filter(Earlier::may_have_run);
     match terms.effect {
-        Effect::Safe => Ok(()),
-        Effect::Unsafe => ran.next().map_or(Ok(()), |_| Err(Denied::MayHaveRun)),
-        Effect::Keyed => ran.try_for_each(|e| {
+        Idempotency::Safe => Ok(()),
+        Idempotency::Unsafe => ran.next().map_or(Ok(()), |_| Err(Denied::MayHaveRun)),
+        Idempotency::Keyed => ran.try_for_each(|e| {
             if now >= e.sent_at.saturating_add(terms.window) {
                 return Err(Denied::WindowOver);
             }
@@ -107,11 +107,11 @@
 }
 
 /// Whether two servers drop the repeats of each other's requests.
-fn same_group(group: Group, one: Option<Place>, other: Option<Place>) -> bool {
+fn same_group(group: DedupGroup, one: Option<Place>, other: Option<Place>) -> bool {
     match (group, one, other) {
-        (Group::All, ..) => true,
-        (Group::Zone, Some(one), Some(other)) => one.zone == other.zone,
-        (Group::Cell, Some(one), Some(other)) => one.cell == other.cell,
+        (DedupGroup::All, ..) => true,
+        (DedupGroup::Zone, Some(one), Some(other)) => one.zone == other.zone,
+        (DedupGroup::Cell, Some(one), Some(other)) => one.cell == other.cell,
         _ => false,
     }
 }
@@ -119,9 +119,9 @@
 /// Whether a client may be told that trying again is harmless.
 pub fn may_refuse(terms: &Terms, mut earlier: impl Iterator<Item = Earlier>) -> Result<(), Denied> {
     let harmless = match terms.effect {
-        Effect::Safe => true,
-        Effect::Keyed if terms.group == Group::All => true,
-        Effect::Keyed | Effect::Unsafe => !earlier.any(|e| e.may_have_run()),
+        Idempotency::Safe => true,
+        Idempotency::Keyed if terms.group == DedupGroup::All => true,
+        Idempotency::Keyed | Idempotency::Unsafe => !earlier.any(|e| e.may_have_run()),
     };
     harmless.then_some(()).ok_or(Denied::MayHaveRun)
 }
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -238,7 +238,7 @@
             } else {
                 release(&mut self.holders, endpoint, upstream);
                 let at = upstream.close(now);
-                if listed.phase == Phase::Gone {
+                if listed.phase == Phase::Removed {
                     self.departed.insert((at, endpoint));
                 }
             }
@@ -250,7 +250,7 @@
             self.steps += self.upstreams.len() as u64;
             for (endpoint, absent) in self.upstreams.iter_mut().filter(|(e, _)| !listed.contains(e)) {
                 release(&mut self.holders, *endpoint, absent);
-                absent.listed.phase = Phase::Gone;
+                absent.listed.phase = Phase::Removed;
                 self.departed.insert((absent.close(now), *endpoint));
             }
         }
@@ -284,7 +284,7 @@
             server: Server { started_at: u.told_start, ..u.listed },
             said: None,
         };
-        let entries = known.filter(|u| u.listed.phase != Phase::Gone).map(entry).collect();
+        let entries = known.filter(|u| u.listed.phase != Phase::Removed).map(entry).collect();
         self.apply(now, ListKind::Changes, entries)
     }
 
@@ -303,7 +303,7 @@
 
     /// Whether the list has a server of this name.
     pub fn listed(&self, host: &str) -> bool {
-        self.upstreams.get(&self.endpoint(host)).is_some_and(|u| u.listed.phase != Phase::Gone)
+        self.upstreams.get(&self.endpoint(host)).is_some_and(|u| u.listed.phase != Phase::Removed)
     }
 
     /// Only the first wire's addresses count: they tell processes apart, while those of others may follow from a rule
@@ -341,7 +341,7 @@
         for endpoint in gone {
             let Some(upstream) = self.upstreams.get_mut(&endpoint) else { continue };
             upstream.close(now);
-            let server = Server { phase: Phase::Gone, ..upstream.server };
+            let server = Server { phase: Phase::Removed, ..upstream.server };
             match places.get(&endpoint) {
                 Some(at) => servers[*at] = server,
                 None => servers.push(server),
--- a/crates/core/src/gateway.rs
+++ b/crates/core/src/gateway.rs
@@ -15,7 +15,7 @@
 use crate::running;
 use laurelroute_handover::bans::{BanError, Bans, Word};
 use laurelroute_policy::interface::{
-    Action, Ending, Endpoint, Event, Guide, Learnt, ListKind, Nanos, Observed, Request, RequestId, Server,
+    Action, AttemptOutcome, Endpoint, Event, NodePlan, LearnedState, ListKind, Nanos, ServerObservation, Request, RequestId, Server,
     Settings, SettingsError,
 };
 use laurelroute_policy::Balancer;
@@ -117,7 +117,7 @@
     sent_at: Nanos,
     open: bool,
     /// How it ended, once it has.
-    ending: Option<Ending>,
+    ending: Option<AttemptOutcome>,
     place: Option<Place>,
     /// The connection that it has, once it has one.
     handed: Handed,
@@ -351,7 +351,7 @@
         let id = state.next_id;
         state.next_id = id.wrapping_add(1);
         let give_up_at = call.give_up_at.min(self.ends_at());
-        let mut request = Request { id, give_up_at, ..call.request };
+        let mut request = Request { id, deadline: give_up_at, ..call.request };
         if let Some(shift) = &mut state.shift {
             request.place = shift.place(&request);
             shift.came(&request);
@@ -391,7 +391,7 @@
         for number in 0..attempts as u8 {
             let attempt = state.live.get(&request).and_then(|l| l.attempts.get(usize::from(number)));
             if attempt.is_some_and(|a| a.open && !a.handed_over()) {
-                self.conclude(state, AttemptId { request, number }, Ending::NotSent);
+                self.conclude(state, AttemptId { request, number }, AttemptOutcome::NotSent);
             }
         }
     }
@@ -424,7 +424,7 @@
             self.handle(state, Event::Split(split));
         }
         for server in state.fleet.restored() {
-            self.handle(state, Event::Restored { server });
+            self.handle(state, Event::Reinstated { server });
         }
     }
 
@@ -524,11 +524,11 @@
     /// This node's part of what is split among all nodes is now this, from 0 to 1.
     pub fn take_share(self: &Rc<Self>, share: f64) {
         let mut state = self.state.borrow_mut();
-        self.handle(&mut state, Event::Share(share));
+        self.handle(&mut state, Event::QuotaShare(share));
     }
 
     /// A plan for the whole fleet has come, or has aged.
-    pub fn guide(self: &Rc<Self>, guide: Guide) {
+    pub fn guide(self: &Rc<Self>, guide: NodePlan) {
         let mut state = self.state.borrow_mut();
         self.handle(&mut state, Event::Plan(guide));
     }
@@ -568,26 +568,26 @@
     }
 
     /// What the module has met of each server, by name.
-    pub fn observed(&self) -> Vec<(String, Observed)> {
+    pub fn observed(&self) -> Vec<(String, ServerObservation)> {
         let state = self.state.borrow();
-        let named = |o: Observed| Some((state.fleet.name(o.server)?.to_owned(), o));
-        state.balancer.observed(self.clock.now()).filter_map(named).collect()
+        let named = |o: ServerObservation| Some((state.fleet.name(o.server)?.to_owned(), o));
+        state.balancer.observations(self.clock.now()).filter_map(named).collect()
     }
 
     /// What this process has learnt, for one that takes over from it.
-    pub fn learnt(&self) -> Learnt {
-        self.state.borrow().balancer.learnt(self.clock.now())
+    pub fn learnt(&self) -> LearnedState {
+        self.state.borrow().balancer.learned_state(self.clock.now())
     }
 
     /// Takes over what another process of this node has learnt.
-    pub fn take_over(self: &Rc<Self>, learnt: Learnt) {
+    pub fn take_over(self: &Rc<Self>, learnt: LearnedState) {
         let mut state = self.state.borrow_mut();
-        self.handle(&mut state, Event::Learnt(learnt));
+        self.handle(&mut state, Event::TakeOver(learnt));
     }
 
     /// Requests a second that were let in lately, by class and by tenant.
     pub fn admitted(&self) -> [Vec<f64>; 2] {
-        self.state.borrow().balancer.admitted(self.clock.now())
+        self.state.borrow().balancer.admitted_rates(self.clock.now())
     }
 
     /// Waits for timers and tells the module of them, for good.
@@ -633,7 +633,7 @@
                 Wake::Module(token) => self.handle(&mut state, Event::Timer { token }),
                 Wake::Deadline(id) => self.deadline(&mut state, id),
                 Wake::AttemptTimeout(request, number) => {
-                    self.conclude(&mut state, AttemptId { request, number }, Ending::TimedOut);
+                    self.conclude(&mut state, AttemptId { request, number }, AttemptOutcome::TimedOut);
                 }
             }
         }
@@ -654,7 +654,7 @@
             return;
         };
         for number in 0..live.attempts.len() as u8 {
-            self.conclude(state, AttemptId { request, number }, Ending::TimedOut);
+            self.conclude(state, AttemptId { request, number }, AttemptOutcome::TimedOut);
         }
         // The module answers the last time-out. Should it not, or should it count on more time than this process has, the
         // client still must hear something, and what it sends again has no use.
@@ -666,7 +666,7 @@
     }
 
     /// Tells the module how an attempt ended, once.
-    fn conclude(self: &Rc<Self>, state: &mut State, id: AttemptId, ending: Ending) {
+    fn conclude(self: &Rc<Self>, state: &mut State, id: AttemptId, ending: AttemptOutcome) {
         let Some(live) = state.live.get_mut(&id.request) else { return };
         let Some(attempt) = live.attempts.get_mut(usize::from(id.number)).filter(|a| a.open) else { return };
         attempt.open = false;
@@ -676,16 +676,16 @@
             let at = (attempt.server, usize::from(id.number));
             shift.ended(&live.request, at, (attempt.sent_at, took), ending);
         }
-        let event = Event::Outcome {
+        let event = Event::AttemptEnded {
             request: id.request,
             server: attempt.server,
             attempt: id.number,
             finished: !live.owed,
             took,
-            ending,
+            outcome: ending,
             report: None,
         };
-        if matches!(ending, Ending::TimedOut | Ending::Cancelled | Ending::NotSent) {
+        if matches!(ending, AttemptOutcome::TimedOut | AttemptOutcome::Cancelled | AttemptOutcome::NotSent) {
             if let Some(task) = attempt.task.take() {
                 // Cut off before its last byte it never begins; after that the server does the work anyway.
                 if attempt.handed_over() {
@@ -738,7 +738,7 @@
                 self.forget(state, request);
             }
             Action::Cancel { request, attempt } => {
-                self.conclude(state, AttemptId { request, number: attempt }, Ending::Cancelled);
+                self.conclude(state, AttemptId { request, number: attempt }, AttemptOutcome::Cancelled);
             }
             Action::StartTimer { after, token } => {
                 let at = self.clock.now().saturating_add(after);
@@ -749,7 +749,7 @@
             Action::FetchList => drop(self.list_calls.send(ListCall::Fetch)),
             Action::Log { text } => tracing::info!("{text}"),
             // The site allows neither, and the module asks for neither.
-            Action::Probe { .. } | Action::Tell { .. } => {}
+            Action::Probe { .. } | Action::SendToPeer { .. } => {}
         }
     }
 
@@ -787,7 +787,7 @@
         }
         live.attempts.push(sent);
         if !wanted {
-            self.conclude(state, id, Ending::NotSent);
+            self.conclude(state, id, AttemptOutcome::NotSent);
         } else if timeout > 0 {
             let at = self.clock.now().saturating_add(timeout);
             self.start_timer(state, at, Wake::AttemptTimeout(request, id.number));
--- a/crates/core/src/gateway/attempt.rs
+++ b/crates/core/src/gateway/attempt.rs
@@ -5,7 +5,7 @@
 use crate::dispatch::Denied;
 use crate::events::Label;
 use crate::leaving::Presence;
-use laurelroute_policy::interface::{Ending, Endpoint, Nanos};
+use laurelroute_policy::interface::{AttemptOutcome, Endpoint, Nanos};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -93,7 +93,7 @@
     }
 
     /// It has come to an end without an answer for the client.
-    pub fn ended(&self, ending: Ending) {
+    pub fn ended(&self, ending: AttemptOutcome) {
         let mut state = self.gateway.state.borrow_mut();
         self.gateway.conclude(&mut state, self.id, ending);
     }
@@ -106,7 +106,7 @@
             return false;
         }
         let first = std::mem::replace(&mut live.owed, false);
-        self.gateway.conclude(&mut state, self.id, Ending::Ok);
+        self.gateway.conclude(&mut state, self.id, AttemptOutcome::Ok);
         self.gateway.withdraw(&mut state, self.id.request);
         first
     }
--- a/crates/core/src/gateway/permits.rs
+++ b/crates/core/src/gateway/permits.rs
@@ -3,7 +3,7 @@
 use super::{Gateway, Live, State};
 use crate::dispatch::{self, Denied, Place, Terms};
 use crate::events::{self, Kind, Label};
-use laurelroute_policy::interface::{Effect, Nanos, RequestId};
+use laurelroute_policy::interface::{Idempotency, Nanos, RequestId};
 
 impl Gateway {
     /// Whether the module's order to send a request may be carried out, by what became of its earlier attempts.
@@ -22,7 +22,7 @@
 
     /// A keyed request that may have run is sent again only within its window, which counts from that attempt's sending.
     pub(super) fn send_by(&self, live: &Live) -> Nanos {
-        let Some(terms) = self.terms(live).filter(|t| t.effect == Effect::Keyed) else { return Nanos::MAX };
+        let Some(terms) = self.terms(live).filter(|t| t.effect == Idempotency::Keyed) else { return Nanos::MAX };
         let ran = live.earlier().filter(|e| e.ending.is_some_and(|ending| !ending.never_ran()));
         ran.map(|e| e.sent_at.saturating_add(terms.window)).min().unwrap_or(Nanos::MAX)
     }
@@ -37,10 +37,10 @@
         let settings = &self.site.settings;
         let class = settings.classes.get(usize::from(live.request.class))?;
         Some(Terms {
-            effect: class.effect,
-            group: class.group,
-            window: class.window,
-            second_copies: settings.second_copies,
+            effect: class.idempotency,
+            group: class.dedup_group,
+            window: class.dedup_window,
+            hedging: settings.hedging,
         })
     }
 
--- a/crates/core/src/line.rs
+++ b/crates/core/src/line.rs
@@ -4,7 +4,7 @@
 use crate::connect::NoLink;
 use crate::fleet::Kept;
 use crate::gateway::Attempt;
-use laurelroute_policy::interface::{Ending, Nanos};
+use laurelroute_policy::interface::{AttemptOutcome, Nanos};
 use std::future::Future;
 use std::net::SocketAddr;
 
@@ -28,13 +28,13 @@
 
 impl<'a> Lines<'a> {
     /// For an attempt that begins now; an error is how it ended.
-    pub fn new(attempt: &'a Attempt, wire: Wire) -> Result<Self, Ending> {
-        let dial = attempt.dial(wire).ok_or(Ending::NotSent)?;
+    pub fn new(attempt: &'a Attempt, wire: Wire) -> Result<Self, AttemptOutcome> {
+        let dial = attempt.dial(wire).ok_or(AttemptOutcome::NotSent)?;
         Ok(Lines { attempt, wire, dial, fresh: false })
     }
 
     /// The next connection: the first time a kept one, if there is any that is still good, else one that `open` makes.
-    pub async fn next<C, F>(&mut self, open: impl FnOnce(SocketAddr) -> F) -> Result<Line<C>, Ending>
+    pub async fn next<C, F>(&mut self, open: impl FnOnce(SocketAddr) -> F) -> Result<Line<C>, AttemptOutcome>
     where
         C: Kept,
         F: Future<Output = Result<C, NoLink>>,
@@ -50,14 +50,14 @@
                 Ok(connection) => {
                     Line { connection: Box::new(connection), reused: false, opened: gateway.clock.now() }
                 }
-                Err(NoLink::Failed) => return Err(Ending::ConnectFailed),
-                Err(NoLink::Exhausted) => return Err(Ending::NotSent),
+                Err(NoLink::Failed) => return Err(AttemptOutcome::ConnectFailed),
+                Err(NoLink::Exhausted) => return Err(AttemptOutcome::NotSent),
             },
         };
         // Connecting takes time, and much may have changed meanwhile.
         match self.attempt.may_begin(self.wire).await {
             Ok(dial) if dial == self.dial => Ok(line),
-            _ => Err(Ending::NotSent),
+            _ => Err(AttemptOutcome::NotSent),
         }
     }
 
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -143,6 +143,6 @@
 
 /// Until when a request of this class that gives up then may wait for its service.
 pub fn latest(settings: &Settings, class: usize, give_up_at: Nanos) -> Nanos {
-    let answer = settings.classes.get(class).map_or(0, |c| c.aim / FIRST_ANSWER_PART);
+    let answer = settings.classes.get(class).map_or(0, |c| c.latency_target / FIRST_ANSWER_PART);
     give_up_at.saturating_sub(answer)
 }
--- a/crates/core/tests/dispatch.rs
+++ b/crates/core/tests/dispatch.rs
@@ -2,30 +2,30 @@
 
 use laurelroute_core::dispatch::{may_refuse, may_repeat, Denied, Earlier, Place, Terms};
 use laurelroute_core::events::{self, Kind, Label};
-use laurelroute_policy::interface::{Effect, Ending, Group};
+use laurelroute_policy::interface::{Idempotency, AttemptOutcome, DedupGroup};
 
 const HERE: Place = Place { zone: 1, cell: 2 };
 const THERE: Place = Place { zone: 1, cell: 3 };
 
-fn terms(effect: Effect, group: Group) -> Terms {
-    Terms { effect, group, window: 1_000, second_copies: true }
+fn terms(effect: Idempotency, group: DedupGroup) -> Terms {
+    Terms { effect, group, window: 1_000, hedging: true }
 }
 
-fn earlier(ending: Option<Ending>) -> Earlier {
+fn earlier(ending: Option<AttemptOutcome>) -> Earlier {
     Earlier { place: Some(HERE), ending, sent_at: 100 }
 }
 
-fn again(terms: Terms, ending: Option<Ending>, place: Place, now: u64) -> Result<(), Denied> {
+fn again(terms: Terms, ending: Option<AttemptOutcome>, place: Place, now: u64) -> Result<(), Denied> {
     may_repeat(&terms, [earlier(ending)].into_iter(), Some(place), now)
 }
 
 #[test]
 fn unsafe_requests_go_again_only_where_nothing_has_run() {
-    let terms = terms(Effect::Unsafe, Group::All);
-    for ending in [Ending::Full, Ending::ConnectFailed, Ending::NotSent] {
+    let terms = terms(Idempotency::Unsafe, DedupGroup::All);
+    for ending in [AttemptOutcome::Rejected, AttemptOutcome::ConnectFailed, AttemptOutcome::NotSent] {
         assert_eq!(again(terms, Some(ending), HERE, 200), Ok(()));
     }
-    for ending in [Ending::Ok, Ending::Error, Ending::TimedOut, Ending::Reset, Ending::Cancelled] {
+    for ending in [AttemptOutcome::Ok, AttemptOutcome::Error, AttemptOutcome::TimedOut, AttemptOutcome::Reset, AttemptOutcome::Cancelled] {
         assert_eq!(again(terms, Some(ending), HERE, 200), Err(Denied::MayHaveRun));
     }
     assert_eq!(again(terms, None, HERE, 200), Err(Denied::MayHaveRun));
@@ -33,32 +33,32 @@
 
 #[test]
 fn keyed_requests_go_again_within_their_window_and_group() {
-    let reset = Some(Ending::Reset);
-    assert_eq!(again(terms(Effect::Keyed, Group::All), reset, THERE, 1_099), Ok(()));
-    assert_eq!(again(terms(Effect::Keyed, Group::All), reset, THERE, 1_100), Err(Denied::WindowOver));
-    assert_eq!(again(terms(Effect::Keyed, Group::Zone), reset, THERE, 200), Ok(()));
-    assert_eq!(again(terms(Effect::Keyed, Group::Cell), reset, THERE, 200), Err(Denied::OtherGroup));
-    assert_eq!(again(terms(Effect::Keyed, Group::Cell), reset, HERE, 200), Ok(()));
-    assert_eq!(again(terms(Effect::Keyed, Group::Cell), Some(Ending::Full), THERE, 5_000), Ok(()));
+    let reset = Some(AttemptOutcome::Reset);
+    assert_eq!(again(terms(Idempotency::Keyed, DedupGroup::All), reset, THERE, 1_099), Ok(()));
+    assert_eq!(again(terms(Idempotency::Keyed, DedupGroup::All), reset, THERE, 1_100), Err(Denied::WindowOver));
+    assert_eq!(again(terms(Idempotency::Keyed, DedupGroup::Zone), reset, THERE, 200), Ok(()));
+    assert_eq!(again(terms(Idempotency::Keyed, DedupGroup::Cell), reset, THERE, 200), Err(Denied::OtherGroup));
+    assert_eq!(again(terms(Idempotency::Keyed, DedupGroup::Cell), reset, HERE, 200), Ok(()));
+    assert_eq!(again(terms(Idempotency::Keyed, DedupGroup::Cell), Some(AttemptOutcome::Rejected), THERE, 5_000), Ok(()));
 }
 
 #[test]
 fn second_copies_go_out_only_where_they_are_allowed() {
-    let allowed = terms(Effect::Safe, Group::All);
+    let allowed = terms(Idempotency::Safe, DedupGroup::All);
     assert_eq!(again(allowed, None, HERE, 200), Ok(()));
-    let forbidden = Terms { second_copies: false, ..allowed };
+    let forbidden = Terms { hedging: false, ..allowed };
     assert_eq!(again(forbidden, None, HERE, 200), Err(Denied::SecondCopy));
-    assert_eq!(again(forbidden, Some(Ending::Reset), HERE, 200), Ok(()));
+    assert_eq!(again(forbidden, Some(AttemptOutcome::Reset), HERE, 200), Ok(()));
 }
 
 #[test]
 fn a_refusal_promises_that_trying_again_is_harmless() {
     let refuse = |effect, group, ending| may_refuse(&terms(effect, group), [earlier(ending)].into_iter());
-    assert_eq!(refuse(Effect::Safe, Group::All, Some(Ending::Reset)), Ok(()));
-    assert_eq!(refuse(Effect::Keyed, Group::All, Some(Ending::Reset)), Ok(()));
-    assert_eq!(refuse(Effect::Keyed, Group::Zone, Some(Ending::Reset)), Err(Denied::MayHaveRun));
-    assert_eq!(refuse(Effect::Unsafe, Group::All, Some(Ending::Full)), Ok(()));
-    assert_eq!(refuse(Effect::Unsafe, Group::All, None), Err(Denied::MayHaveRun));
+    assert_eq!(refuse(Idempotency::Safe, DedupGroup::All, Some(AttemptOutcome::Reset)), Ok(()));
+    assert_eq!(refuse(Idempotency::Keyed, DedupGroup::All, Some(AttemptOutcome::Reset)), Ok(()));
+    assert_eq!(refuse(Idempotency::Keyed, DedupGroup::Zone, Some(AttemptOutcome::Reset)), Err(Denied::MayHaveRun));
+    assert_eq!(refuse(Idempotency::Unsafe, DedupGroup::All, Some(AttemptOutcome::Rejected)), Ok(()));
+    assert_eq!(refuse(Idempotency::Unsafe, DedupGroup::All, None), Err(Denied::MayHaveRun));
 }
 
 #[test]
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -38,7 +38,7 @@
         let mut moved = entry(7, Phase::Ready);
         (moved.dials, moved.server.started_at) = (vec![Some(address(9))], 5 * SECOND);
         let changes =
-            vec![entry(servers, Phase::Ready), entry(3, Phase::Draining), entry(3, Phase::Gone), moved];
+            vec![entry(servers, Phase::Ready), entry(3, Phase::Draining), entry(3, Phase::Removed), moved];
         let changed = cost(&mut fleet, 10 * SECOND, changes);
         assert_eq!(
             fleet.dial(fleet.known("box-9").expect("known"), Wire(0)),
@@ -77,16 +77,16 @@
     };
     let told = fleet.follow(2 * SECOND, ListKind::Changes, vec![newer(Phase::Ready)]);
     let phases: Vec<Phase> = told.iter().map(|s| s.phase).collect();
-    assert_eq!(phases, [Phase::Ready, Phase::Gone], "who had the address is gone");
+    assert_eq!(phases, [Phase::Ready, Phase::Removed], "who had the address is gone");
     let named = |fleet: &Fleet, host: &str| fleet.dial(fleet.known(host).expect("known"), Wire(0));
     assert_eq!((named(&fleet, "box-1"), named(&fleet, "new")), (None, Some(address(1))));
     // Named once more it is still the older one, also where both are in one list.
     for list in [vec![entry(1, Phase::Ready)], vec![newer(Phase::Ready), entry(1, Phase::Ready)]] {
         let told = fleet.follow(3 * SECOND, ListKind::Changes, list);
-        assert_eq!(told.last().map(|s| s.phase), Some(Phase::Gone));
+        assert_eq!(told.last().map(|s| s.phase), Some(Phase::Removed));
         assert_eq!((named(&fleet, "box-1"), named(&fleet, "new")), (None, Some(address(1))));
     }
-    fleet.follow(4 * SECOND, ListKind::Changes, vec![newer(Phase::Gone), entry(1, Phase::Ready)]);
+    fleet.follow(4 * SECOND, ListKind::Changes, vec![newer(Phase::Removed), entry(1, Phase::Ready)]);
     assert_eq!((named(&fleet, "box-1"), named(&fleet, "new")), (Some(address(1)), None));
 }
 
--- a/crates/handover/src/message.rs
+++ b/crates/handover/src/message.rs
@@ -1,7 +1,7 @@
 //! What the two processes say: one JSON object a packet.
 
 use crate::bans::Word;
-use laurelroute_policy::interface::{Endpoint, Known, Learnt, Nanos};
+use laurelroute_policy::interface::{Endpoint, LearnedServer, LearnedState, Nanos};
 use serde::{Deserialize, Serialize};
 
 /// Raised when a process could not understand one of another version.
@@ -29,7 +29,7 @@
     Rest,
 }
 
-/// What a process has learnt, as it is told ([`Learnt`]).
+/// What a process has learnt, as it is told ([`LearnedState`]).
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Lesson {
     rate: f64,
@@ -42,13 +42,13 @@
 
 impl Lesson {
     /// The parts in which it is told.
-    pub fn parts(learnt: &Learnt) -> Vec<Lesson> {
-        let row = |k: &Known| (k.server.address, k.server.port, k.accomplished, k.lag, k.faults);
-        let part = |servers: &[Known]| Lesson {
+    pub fn parts(learnt: &LearnedState) -> Vec<Lesson> {
+        let row = |k: &LearnedServer| (k.server.address, k.server.port, k.score, k.relative_latency, k.failure_rate);
+        let part = |servers: &[LearnedServer]| Lesson {
             rate: learnt.rate,
             classes: learnt.classes.clone(),
-            pressure: learnt.pressure,
-            faults: learnt.faults,
+            pressure: learnt.slowdown,
+            faults: learnt.failure_rate,
             servers: servers.iter().map(row).collect(),
         };
         match learnt.servers.is_empty() {
@@ -58,15 +58,15 @@
     }
 
     /// Puts a further part to what was told before.
-    pub fn join(self, learnt: &mut Learnt) {
-        let known = |(address, port, accomplished, lag, faults)| Known {
+    pub fn join(self, learnt: &mut LearnedState) {
+        let known = |(address, port, accomplished, lag, faults)| LearnedServer {
             server: Endpoint { address, port },
-            accomplished,
-            lag,
-            faults,
+            score: accomplished,
+            relative_latency: lag,
+            failure_rate: faults,
         };
-        (learnt.rate, learnt.classes, learnt.pressure) = (self.rate, self.classes, self.pressure);
-        learnt.faults = self.faults;
+        (learnt.rate, learnt.classes, learnt.slowdown) = (self.rate, self.classes, self.pressure);
+        learnt.failure_rate = self.faults;
         learnt.servers.extend(self.servers.into_iter().map(known));
         learnt.servers.truncate(MOST_SERVERS);
     }
--- a/crates/handover/tests/states.rs
+++ b/crates/handover/tests/states.rs
@@ -27,7 +27,7 @@
 fn what_is_gone_stays_gone_while_it_is_out() {
     let mut bans = Bans::default();
     bans.detach("a", 10).unwrap();
-    for phase in [Phase::Gone, Phase::Draining] {
+    for phase in [Phase::Removed, Phase::Draining] {
         assert_eq!(bans.overlay("a", Server { phase, ..server(0) }).phase, phase);
     }
 }
--- a/crates/http/src/front.rs
+++ b/crates/http/src/front.rs
@@ -21,7 +21,7 @@
 use laurelroute_core::leaving::LOOK;
 use laurelroute_core::rest::Rest;
 use laurelroute_core::route::{self, Routed, Unrouted, Waits};
-use laurelroute_policy::interface::{self, Effect, Nanos};
+use laurelroute_policy::interface::{self, Idempotency, Nanos};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::convert::Infallible;
@@ -408,18 +408,18 @@
     let name = head.uri.path().split('/').nth(1).unwrap_or_default();
     let class = gateway.site.classes.iter().position(|c| c == name).ok_or(Fault::Class)?;
     let settings = &gateway.site.settings.classes[class];
-    let method = if settings.effect == Effect::Safe { Method::GET } else { Method::POST };
+    let method = if settings.idempotency == Idempotency::Safe { Method::GET } else { Method::POST };
     if head.method != method {
         return Err(Fault::Method);
     }
-    if settings.effect == Effect::Keyed && only(&head.headers, IDEMPOTENCY_KEY).is_none_or(<[u8]>::is_empty) {
+    if settings.idempotency == Idempotency::Keyed && only(&head.headers, IDEMPOTENCY_KEY).is_none_or(<[u8]>::is_empty) {
         return Err(Fault::Key);
     }
     let id = only(&head.headers, REQUEST_ID).filter(|id| id.iter().all(u8::is_ascii_graphic));
     let id = id.filter(|id| (1..=MOST_ID).contains(&id.len())).ok_or(Fault::Id)?;
     let wait = only(&head.headers, TIMEOUT).and_then(number).filter(|ms| *ms > 0).ok_or(Fault::Timeout)?;
     // No client waits longer than its class: a longer figure would only hold memory.
-    let wait = wait.saturating_mul(1_000_000).min(settings.give_up);
+    let wait = wait.saturating_mul(1_000_000).min(settings.client_timeout);
     Ok(Head { class, id: laurelroute_core::mix(id), label: Label::of(id), wait })
 }
 
@@ -441,7 +441,7 @@
         Some(routing) => Some(Routed::new(&routing.services, routing.place.service(&parts)?)?),
         None => None,
     };
-    let safe = gateway.site.settings.classes[head.class].effect == Effect::Safe;
+    let safe = gateway.site.settings.classes[head.class].idempotency == Idempotency::Safe;
     let mut intake = Intake::new(&gateway.budget, body)?;
     let whole = intake.hold().await?;
     if safe && !intake.held.is_empty() {
--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -16,7 +16,7 @@
 use laurelroute_core::line::Lines;
 use laurelroute_core::payload::Pieces;
 use laurelroute_core::running;
-use laurelroute_policy::interface::Ending;
+use laurelroute_policy::interface::AttemptOutcome;
 use std::future::{poll_fn, Future};
 use std::net::SocketAddr;
 use std::pin::{pin, Pin};
@@ -144,13 +144,13 @@
 
 /// Plays one attempt to its end; an error is how it ended where it was not told of yet. Where the gateway has
 /// stopped waiting, the attempt may go on for a while, so that its connection can be kept.
-async fn exchange(message: &HttpExchange, attempt: &Attempt) -> Result<(), Ending> {
+async fn exchange(message: &HttpExchange, attempt: &Attempt) -> Result<(), AttemptOutcome> {
     let mut lines = Lines::new(attempt, HTTP)?;
     loop {
         let mut line = lines.next(|dial| open(attempt, dial)).await?;
         let link: &mut Link = &mut line.connection;
         if !message.body.available() {
-            return Err(Ending::NotSent);
+            return Err(AttemptOutcome::NotSent);
         }
         link.socket.expect_request(message.body.length());
         attempt.writes_through(link.socket.clone());
@@ -164,9 +164,9 @@
                 }
                 Ok(())
             }
-            Err(_) if socket.written() => Err(Ending::Reset),
+            Err(_) if socket.written() => Err(AttemptOutcome::Reset),
             Err(_) if line.reused && message.body.available() => continue,
-            Err(_) => Err(Ending::ConnectFailed),
+            Err(_) => Err(AttemptOutcome::ConnectFailed),
         };
     }
 }
@@ -234,7 +234,7 @@
     let not_processed = head.headers.get(NOT_PROCESSED).is_some_and(|v| v == "1");
     let turned_away = matches!(head.status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT);
     if head.status != StatusCode::OK {
-        let ending = if turned_away && not_processed { Ending::Full } else { Ending::Error };
+        let ending = if turned_away && not_processed { AttemptOutcome::Rejected } else { AttemptOutcome::Error };
         attempt.ended(ending);
         let unwanted = take(link, body, &head.headers, Pieces::new(budget.lease()));
         let read = running::timeout(BODY_STALL, unwanted).await;
@@ -263,7 +263,7 @@
             pass_on(link, body, came, sender).await
         }
         Err(_) => {
-            attempt.ended(Ending::Reset);
+            attempt.ended(AttemptOutcome::Reset);
             false
         }
     }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -127,7 +127,7 @@
         flatten("", &others, &mut pairs);
         let invalid = |error| ConfigError::Settings { path: path.clone(), error };
         let (mut settings, _) = settings::parse(&pairs).map_err(invalid)?;
-        settings.ask_within = settings.ask_within.min(MAX_ASK_WITHIN);
+        settings.max_list_age = settings.max_list_age.min(MAX_ASK_WITHIN);
         settings.tenant_quota = tenants.take_quotas().map_err(invalid)?;
         settings.validate().map_err(|error| invalid(error.to_string()))?;
         let names = |list: &str| names(&others[list]);
@@ -236,7 +236,7 @@
         // The protocol's bound on `askWithinNs` is below the configured value.
         let settings =
             parse(|s| s["guarantees"]["askWithinNs"] = 10_000_000_000u64.into()).unwrap().site.settings;
-        assert_eq!(settings.ask_within, MAX_ASK_WITHIN);
+        assert_eq!(settings.max_list_age, MAX_ASK_WITHIN);
     }
 
     #[test]
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -526,7 +526,7 @@
                 phase: match host.health {
                     Health::Active => Phase::Ready,
                     Health::Leaving => Phase::Draining,
-                    Health::Left => Phase::Gone,
+                    Health::Left => Phase::Removed,
                 },
                 size: host.share.filter(|s| s.is_finite()).unwrap_or(0.0),
                 started_at: host.born_ms.unwrap_or(0).saturating_mul(1_000_000),
--- a/crates/node/src/fleet/lesson.rs
+++ b/crates/node/src/fleet/lesson.rs
@@ -1,6 +1,6 @@
 //! What this node has learnt of servers, as members tell it to one that starts.
 
-use laurelroute_policy::interface::{Endpoint, Known, Learnt};
+use laurelroute_policy::interface::{Endpoint, LearnedServer, LearnedState};
 use laurelroute_replica::lesson::MOST_SERVERS;
 use laurelroute_replica::{Lesson, Row, Usual};
 
@@ -14,21 +14,21 @@
 }
 
 /// For one that asks.
-pub(super) fn told(number: u32, learnt: &Learnt) -> Lesson {
-    let row = |k: &Known| Row {
+pub(super) fn told(number: u32, learnt: &LearnedState) -> Lesson {
+    let row = |k: &LearnedServer| Row {
         address: k.server.address,
         port: k.server.port,
-        accomplished: (k.accomplished * SIXTEENTHS).round().clamp(0.0, f64::from(u32::MAX)) as u32,
-        lag: small(k.lag, THOUSANDTHS),
-        faults: small(k.faults, ALL),
+        accomplished: (k.score * SIXTEENTHS).round().clamp(0.0, f64::from(u32::MAX)) as u32,
+        lag: small(k.relative_latency, THOUSANDTHS),
+        faults: small(k.failure_rate, ALL),
     };
     let class =
         |(typical, answers): &(u64, u32)| (u32::try_from(typical / 1_000).unwrap_or(u32::MAX), *answers);
     Lesson {
         number,
         usual: Usual {
-            pressure: small(learnt.pressure, THOUSANDTHS),
-            faults: small(learnt.faults, ALL),
+            pressure: small(learnt.slowdown, THOUSANDTHS),
+            faults: small(learnt.failure_rate, ALL),
             classes: learnt.classes.iter().map(class).collect(),
         },
         rows: learnt.servers.iter().take(MOST_SERVERS).map(row).collect(),
@@ -36,14 +36,14 @@
 }
 
 /// From one that was asked, beside the rate of requests that this node sees itself.
-pub(super) fn heard(rate: f64, lesson: &Lesson) -> Learnt {
-    let known = |row: &Row| Known {
+pub(super) fn heard(rate: f64, lesson: &Lesson) -> LearnedState {
+    let known = |row: &Row| LearnedServer {
         server: Endpoint { address: row.address, port: row.port },
-        accomplished: f64::from(row.accomplished) / SIXTEENTHS,
-        lag: f64::from(row.lag) / THOUSANDTHS,
-        faults: f64::from(row.faults) / ALL,
+        score: f64::from(row.accomplished) / SIXTEENTHS,
+        relative_latency: f64::from(row.lag) / THOUSANDTHS,
+        failure_rate: f64::from(row.faults) / ALL,
     };
-    Learnt {
+    LearnedState {
         rate,
         classes: lesson
             .usual
@@ -51,8 +51,8 @@
             .iter()
             .map(|(us, answers)| (u64::from(*us) * 1_000, *answers))
             .collect(),
-        pressure: f64::from(lesson.usual.pressure) / THOUSANDTHS,
-        faults: f64::from(lesson.usual.faults) / ALL,
+        slowdown: f64::from(lesson.usual.pressure) / THOUSANDTHS,
+        failure_rate: f64::from(lesson.usual.faults) / ALL,
         servers: lesson.rows.iter().map(known).collect(),
     }
 }
@@ -63,25 +63,25 @@
 
     #[test]
     fn what_was_learnt_comes_through() {
-        let server = Known {
+        let server = LearnedServer {
             server: Endpoint { address: [10, 0, 0, 9], port: 8080 },
-            accomplished: 12_345.5,
-            lag: 1.25,
-            faults: 0.5,
+            score: 12_345.5,
+            relative_latency: 1.25,
+            failure_rate: 0.5,
         };
-        let odd = Known { accomplished: f64::NAN, lag: 1e9, faults: -1.0, ..server };
-        let learnt = Learnt {
+        let odd = LearnedServer { score: f64::NAN, relative_latency: 1e9, failure_rate: -1.0, ..server };
+        let learnt = LearnedState {
             rate: 3.0,
             classes: vec![(2_500_000, 300), (0, 0)],
-            pressure: 1.5,
-            faults: 0.25,
+            slowdown: 1.5,
+            failure_rate: 0.25,
             servers: vec![server, odd],
         };
         let back = heard(7.0, &told(4, &learnt));
-        assert_eq!((back.rate, &back.classes, back.pressure), (7.0, &learnt.classes, 1.5));
-        assert_eq!((back.servers[0].server, back.servers[0].accomplished), (server.server, 12_345.5));
-        assert!((back.servers[0].lag - 1.25).abs() < 1e-3 && (back.servers[0].faults - 0.5).abs() < 1e-4);
+        assert_eq!((back.rate, &back.classes, back.slowdown), (7.0, &learnt.classes, 1.5));
+        assert_eq!((back.servers[0].server, back.servers[0].score), (server.server, 12_345.5));
+        assert!((back.servers[0].relative_latency - 1.25).abs() < 1e-3 && (back.servers[0].failure_rate - 0.5).abs() < 1e-4);
         let odd = back.servers[1];
-        assert_eq!((odd.accomplished, odd.lag, odd.faults), (0.0, 65.535, 0.0));
+        assert_eq!((odd.score, odd.relative_latency, odd.failure_rate), (0.0, 65.535, 0.0));
     }
 }
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -23,7 +23,7 @@
 use laurelroute_plan::member::Member;
 use laurelroute_plan::reporter::{Now, Reporter};
 use laurelroute_plan::wire::{Body, Role};
-use laurelroute_policy::interface::{Guide, ListKind, Nanos, Phase};
+use laurelroute_policy::interface::{NodePlan, ListKind, Nanos, Phase};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cell::{Cell, RefCell};
@@ -75,7 +75,7 @@
     follower: RefCell<Follower>,
     applied: RefCell<Told>,
     /// The guide last passed to the gateway.
-    guide: RefCell<Guide>,
+    guide: RefCell<NodePlan>,
     /// The operator's own limit of connections to one server.
     max_connections: Option<u32>,
     /// Thrift port of servers whose entry has no Thrift address.
@@ -182,7 +182,7 @@
         }
     }
 
-    fn guide_from(&self, view: &View) -> Guide {
+    fn guide_from(&self, view: &View) -> NodePlan {
         let site = &self.gateway.site;
         let tenants = site.tenants.iter().zip(&site.settings.tenant_quota);
         lead::guide(
--- a/crates/node/src/plan.rs
+++ b/crates/node/src/plan.rs
@@ -142,7 +142,7 @@
         planners: plan.map_or(1, |p| p.planners),
         cap: plan.and_then(|p| p.max_connections),
         wanted: plan.map_or(8, |p| p.wanted_connections),
-        cold_from: core.settings.cold_from,
+        cold_from: core.settings.initial_capacity,
         ramp: core.settings.ramp,
         settle: plan.map_or(SETTLE, |p| p.settle),
         classes: core.classes.iter().map(|c| (c.clone(), limit(c))).collect(),
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -54,7 +54,7 @@
 
 /// Time from SIGTERM to the earliest SIGKILL.
 fn kill_delay(gateway: &Gateway) -> Duration {
-    Duration::from_nanos(gateway.site.settings.longest_deadline()).min(MAX_DEADLINE) + KILL_MARGIN
+    Duration::from_nanos(gateway.site.settings.longest_client_timeout()).min(MAX_DEADLINE) + KILL_MARGIN
 }
 
 /// Why a node does not start.
--- a/crates/node/src/services/directory.rs
+++ b/crates/node/src/services/directory.rs
@@ -11,7 +11,7 @@
 use laurelroute_plan::lead;
 use laurelroute_plan::services::subscriber::{self, Change, Subscriber};
 use laurelroute_plan::wire::Report;
-use laurelroute_policy::interface::{Guide, ListKind, Nanos, Observed};
+use laurelroute_policy::interface::{NodePlan, ListKind, Nanos, ServerObservation};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::future::Future;
@@ -68,7 +68,7 @@
     /// Services in use lately, and when; one that is not carried goes with the next look.
     used: RefCell<BTreeMap<String, Nanos>>,
     /// What counts of others' word on servers, by service; none where nothing is said.
-    guides: RefCell<BTreeMap<String, Guide>>,
+    guides: RefCell<BTreeMap<String, NodePlan>>,
     /// Since when there is no planner, where what others said counts still.
     alone_since: Cell<Option<Nanos>>,
     /// Without a planner for too long: others' word does not count.
@@ -149,7 +149,7 @@
                     let Some(gateway) = self.gateway(&service) else { continue };
                     if words.is_empty() {
                         self.guides.borrow_mut().remove(&service);
-                        gateway.guide(Guide::default());
+                        gateway.guide(NodePlan::default());
                         continue;
                     }
                     let view = View { words, trust: 1.0, ..View::default() };
@@ -168,9 +168,9 @@
     }
 
     /// A guide as far as it counts now.
-    fn weighed(&self, guide: &Guide) -> Guide {
+    fn weighed(&self, guide: &NodePlan) -> NodePlan {
         let trust = if self.mistrusts.get() { 0.0 } else { guide.trust };
-        Guide { trust, ..guide.clone() }
+        NodePlan { trust, ..guide.clone() }
     }
 
     /// What others said of servers counts no longer where no planner has been there for long, and again with the next one.
@@ -223,7 +223,7 @@
 
     /// What was met in some of the services that are in use.
     pub(crate) fn report(&self, now: Nanos) -> Option<Report> {
-        let mut observed: Vec<(String, Observed)> = Vec::new();
+        let mut observed: Vec<(String, ServerObservation)> = Vec::new();
         {
             let (used, mut reported) = (self.used.borrow(), self.reported.borrow_mut());
             let after = used
--- a/crates/node/src/site.rs
+++ b/crates/node/src/site.rs
@@ -5,7 +5,7 @@
 use crate::fleet::table::{FleetSite, FleetTable};
 use crate::levels::{ForwardTable, LevelTables, Levels, PeersTable, PlanTable};
 use crate::shift::table::{Shift, ShiftTable};
-use laurelroute_policy::interface::{Effect, Settings};
+use laurelroute_policy::interface::{Idempotency, Settings};
 use laurelroute_thrift::codec::decoder::Accept;
 use laurelroute_thrift::codec::{application, Form, Limits, FORMS};
 use laurelroute_thrift::front::FrontSettings;
@@ -317,7 +317,7 @@
                         format!("`class` is `{class_name}`; the settings have {known}"),
                     )
                 })?;
-                let class_effect = settings.classes[class].effect;
+                let class_effect = settings.classes[class].idempotency;
                 if let Some((text, effect)) = effect.filter(|(_, effect)| *effect != class_effect) {
                     let message = format!(
                         "`effect` of `{name}` is {effect:?}, but its class `{class_name}` is {class_effect:?}"
@@ -335,11 +335,11 @@
         Ok(())
     }
 
-    fn effect<'a>(&self, text: &'a Spanned<String>) -> Result<(&'a Spanned<String>, Effect), SiteError> {
+    fn effect<'a>(&self, text: &'a Spanned<String>) -> Result<(&'a Spanned<String>, Idempotency), SiteError> {
         match text.get_ref().as_str() {
-            "safe" => Ok((text, Effect::Safe)),
-            "keyed" => Ok((text, Effect::Keyed)),
-            "unsafe" => Ok((text, Effect::Unsafe)),
+            "safe" => Ok((text, Idempotency::Safe)),
+            "keyed" => Ok((text, Idempotency::Keyed)),
+            "unsafe" => Ok((text, Idempotency::Unsafe)),
             other => {
                 Err(self.error_at(text, format!("`effect` is `{other}`; known are safe, keyed, unsafe")))
             }
@@ -358,7 +358,7 @@
         let class = settings.classes[0].clone();
         settings.classes.push(class.clone());
         settings.classes.push(class);
-        settings.classes[2].effect = Effect::Unsafe;
+        settings.classes[2].idempotency = Idempotency::Unsafe;
         (["status", "gauges", "acknowledge"].map(str::to_owned).to_vec(), settings)
     }
 
--- a/crates/node/src/upgrade/claim.rs
+++ b/crates/node/src/upgrade/claim.rs
@@ -3,7 +3,7 @@
 use super::link::{address, place, socket, Link, LinkError, SOCKET};
 use laurelroute_handover::bans::Word;
 use laurelroute_handover::message::{Door, Message, VERSION};
-use laurelroute_policy::interface::Learnt;
+use laurelroute_policy::interface::LearnedState;
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
 use std::path::Path;
@@ -32,7 +32,7 @@
     pub(super) beats: bool,
     /// Servers that operators have taken out or put back.
     pub(super) words: Vec<Word>,
-    pub(super) learnt: Learnt,
+    pub(super) learnt: LearnedState,
 }
 
 impl Claim {
@@ -85,7 +85,7 @@
 
 /// The elder's offer, whenever it comes.
 pub(super) async fn offer(link: &Link) -> Result<Offer, LinkError> {
-    let (mut words, mut learnt) = (Vec::new(), Learnt::default());
+    let (mut words, mut learnt) = (Vec::new(), LearnedState::default());
     loop {
         match link.receive().await? {
             (Message::Bans { words: more, .. }, _) => words.extend(more),
--- a/crates/node/tests/leaving.rs
+++ b/crates/node/tests/leaving.rs
@@ -200,7 +200,7 @@
 
 /// A second copy goes out after half of the aim: not for one that has left by then.
 fn before_copy(wire: Wire) {
-    let wishes = Wishes { second_copies: true, aim_ms: 1_600, ..Wishes::default() };
+    let wishes = Wishes { hedging: true, aim_ms: 1_600, ..Wishes::default() };
     let bed = bed(wire, 2, wishes);
     let mut tally = Tally::new("before a second copy", wire);
     for _ in 0..2 {
--- a/crates/plan/src/explain.rs
+++ b/crates/plan/src/explain.rs
@@ -54,7 +54,7 @@
             if self.settled() { "settled" } else { "still collecting reports" },
             count(Phase::Ready),
             count(Phase::Draining),
-            count(Phase::Gone),
+            count(Phase::Removed),
             self.connected(),
             self.up_to_date(),
             self.forwarders.values().filter(|f| !f.following.is_empty()).count(),
@@ -87,7 +87,7 @@
         let phase = match facts.phase {
             Phase::Ready => "ready",
             Phase::Draining => "draining: nothing new goes there",
-            Phase::Gone => "gone: nothing new goes there",
+            Phase::Removed => "gone: nothing new goes there",
         };
         let _ = writeln!(
             text,
--- a/crates/plan/src/follower.rs
+++ b/crates/plan/src/follower.rs
@@ -243,7 +243,7 @@
             return;
         }
         let newer = |m: &Mark| {
-            membership > m.membership || server.started_at > m.started_at || server.phase == Phase::Gone
+            membership > m.membership || server.started_at > m.started_at || server.phase == Phase::Removed
         };
         if mark.is_none_or(newer) && self.marks.len() < MOST_ROWS {
             let mark = Mark { membership, phase: server.phase, started_at: server.started_at, at: now };
@@ -265,7 +265,7 @@
             let absent = planned.map(|h| &h.member).chain(before.members.values());
             let absent: BTreeMap<String, Member> = absent
                 .filter(|m| !own.members.contains_key(&m.name))
-                .map(|m| (m.name.clone(), m.clone().in_phase(Phase::Gone)))
+                .map(|m| (m.name.clone(), m.clone().in_phase(Phase::Removed)))
                 .collect();
             // A plan made from a later list may name who is not in this one yet.
             let newest = self.newest_beside(now, usize::MAX);
@@ -364,7 +364,7 @@
             name: name.clone(),
             membership: mark.membership,
             started_ms: mark.started_at / MS,
-            gone: mark.phase == Phase::Gone,
+            gone: mark.phase == Phase::Removed,
         };
         self.marks.iter().map(closed).collect()
     }
@@ -425,7 +425,7 @@
     fn closing(&self, members: Vec<Member>) -> Vec<Member> {
         let close = |m: Member| match self.marks.get(&m.name) {
             Some(mark) if mark.started_at >= m.server.started_at => {
-                let phase = if m.server.phase == Phase::Gone { Phase::Gone } else { mark.phase };
+                let phase = if m.server.phase == Phase::Removed { Phase::Removed } else { mark.phase };
                 m.in_phase(phase)
             }
             _ => m,
--- a/crates/plan/src/lead.rs
+++ b/crates/plan/src/lead.rs
@@ -3,7 +3,7 @@
 use crate::follower::View;
 use crate::member::Member;
 use crate::wire::Suspicion;
-use laurelroute_policy::interface::{Endpoint, Guide, Phase, Standing};
+use laurelroute_policy::interface::{Endpoint, NodePlan, Phase, ServerPlan};
 use std::collections::BTreeMap;
 
 /// What the decision module was told of the boxes.
@@ -29,7 +29,7 @@
             }
         }
         let absent = self.0.values().filter(|m| !members.contains_key(&m.name));
-        changes.extend(absent.map(|m| m.clone().in_phase(Phase::Gone)));
+        changes.extend(absent.map(|m| m.clone().in_phase(Phase::Removed)));
         self.0 = members;
         changes
     }
@@ -42,17 +42,17 @@
     find: impl Fn(&str) -> Option<Endpoint>,
     classes: &[String],
     tenants: impl Iterator<Item = (&'a str, f64)>,
-) -> Guide {
+) -> NodePlan {
     let standing = |word: &crate::follower::Word| {
-        Some(Standing {
+        Some(ServerPlan {
             server: find(&word.name)?,
-            accomplished: word.accomplished,
+            score: word.accomplished,
             suspected: word.suspicion != Suspicion::None,
-            cold_rate: word.cold_rate,
+            slow_start_rate: word.cold_rate,
         })
     };
     let class = |name: &String| view.classes.get(name).copied().unwrap_or(f64::INFINITY);
-    Guide {
+    NodePlan {
         trust: view.trust,
         servers: view.words.iter().filter_map(standing).collect(),
         tenants: tenants.map(|(name, even)| view.tenants.get(name).copied().unwrap_or(even)).collect(),
--- a/crates/plan/src/member.rs
+++ b/crates/plan/src/member.rs
@@ -67,7 +67,7 @@
             phase: match self.server.phase {
                 Phase::Ready => 0,
                 Phase::Draining => 1,
-                Phase::Gone => 2,
+                Phase::Removed => 2,
             },
             size: self.server.size,
             started_ms: self.server.started_at / 1_000_000,
@@ -104,7 +104,7 @@
                 phase: match facts.phase {
                     0 => Phase::Ready,
                     1 => Phase::Draining,
-                    2 => Phase::Gone,
+                    2 => Phase::Removed,
                     other => return Err(range("phase", other.to_string())),
                 },
                 size: facts.size,
--- a/crates/plan/src/planner.rs
+++ b/crates/plan/src/planner.rs
@@ -13,7 +13,7 @@
 use crate::share;
 use crate::subset::{self, Cover};
 use crate::wire::{Because, Facts, Part, Portion, Reply, Report, Row, Seen, Suspicion};
-use laurelroute_policy::interface::{Nanos, Phase, ENDINGS};
+use laurelroute_policy::interface::{Nanos, Phase, ATTEMPT_OUTCOMES};
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -108,7 +108,7 @@
     pub(crate) ejected: u32,
     pub(crate) faults: f64,
     pub(crate) lag: f64,
-    pub(crate) endings: [u64; ENDINGS],
+    pub(crate) endings: [u64; ATTEMPT_OUTCOMES],
     published: Published,
     /// Counts changes of who it is.
     facts: u32,
@@ -304,7 +304,7 @@
             let named: BTreeSet<&str> = members.iter().map(|m| m.name.as_str()).collect();
             let absent = |s: &&u32| !named.contains(self.servers[*s].member.name.as_str());
             let absent: Vec<u32> = self.servers.keys().filter(absent).copied().collect();
-            absent.into_iter().for_each(|s| self.close(now, s, Phase::Gone, version));
+            absent.into_iter().for_each(|s| self.close(now, s, Phase::Removed, version));
         }
         members.into_iter().for_each(|m| self.member(now, version, m));
     }
@@ -356,7 +356,7 @@
             ejected: 0,
             faults: 0.0,
             lag: 0.0,
-            endings: [0; ENDINGS],
+            endings: [0; ATTEMPT_OUTCOMES],
             published: Published::default(),
             facts: 0,
         };
@@ -367,10 +367,10 @@
     fn close(&mut self, now: Nanos, id: u32, phase: Phase, version: u64) {
         let Some(server) = self.servers.get_mut(&id) else { return };
         server.told_by = server.told_by.max(version);
-        if phase == Phase::Gone {
+        if phase == Phase::Removed {
             server.gone_at.get_or_insert(now);
         }
-        if server.member.server.phase != phase && server.member.server.phase != Phase::Gone {
+        if server.member.server.phase != phase && server.member.server.phase != Phase::Removed {
             server.member.server.phase = phase;
             server.facts += 1;
             self.dirty = true;
@@ -493,7 +493,7 @@
             let s = &self.servers[&server];
             let same_life = s.member.server.started_at / MS <= closed.started_ms;
             if closed.membership >= s.told_by && same_life {
-                let phase = if closed.gone { Phase::Gone } else { Phase::Draining };
+                let phase = if closed.gone { Phase::Removed } else { Phase::Draining };
                 self.close(now, server, phase, closed.membership);
             }
         }
@@ -516,7 +516,7 @@
 
     fn count_endings(&mut self, server: u32, before: Option<&Seen>, row: &Seen) {
         let Some(s) = self.servers.get_mut(&server) else { return };
-        for (k, &count) in row.endings.iter().take(ENDINGS).enumerate() {
+        for (k, &count) in row.endings.iter().take(ATTEMPT_OUTCOMES).enumerate() {
             let told = before.and_then(|b| b.endings.get(k)).copied().unwrap_or(0);
             // A count that falls is a new life's.
             s.endings[k] += u64::from(count.checked_sub(told).unwrap_or(count));
@@ -598,7 +598,7 @@
         let of = f64::from(witnesses);
         let usual = self.faults / self.rows.max(1.0);
         let reason = if s.ejected >= WITNESSES.max(witnesses.div_ceil(2)) {
-            let refused = s.endings[laurelroute_policy::interface::Ending::ConnectFailed as usize];
+            let refused = s.endings[laurelroute_policy::interface::AttemptOutcome::ConnectFailed as usize];
             if refused > 0 {
                 Suspicion::Refuses
             } else {
--- a/crates/plan/src/reporter.rs
+++ b/crates/plan/src/reporter.rs
@@ -4,7 +4,7 @@
 //! nothing is lost with a message, and what had no room is said later as it then stands.
 
 use crate::wire::{Closed, Portion, Report, Seen};
-use laurelroute_policy::interface::{Nanos, Observed, ENDINGS};
+use laurelroute_policy::interface::{Nanos, ServerObservation, ATTEMPT_OUTCOMES};
 use prost::Message;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Now<'a> {
     /// Every box that it uses, by name.
-    pub servers: Vec<(&'a str, Observed)>,
+    pub servers: Vec<(&'a str, ServerObservation)>,
     /// Requests a second let in, by class.
     pub classes: Vec<(&'a str, f64)>,
     /// The same by tenant.
@@ -133,30 +133,30 @@
 }
 
 /// What was met of a box, in the messages' form.
-pub(crate) fn seen(name: &str, observed: &Observed) -> Seen {
-    let mut endings = observed.endings.to_vec();
+pub(crate) fn seen(name: &str, observed: &ServerObservation) -> Seen {
+    let mut endings = observed.outcomes.to_vec();
     let used = endings.iter().rposition(|&n| n > 0).map_or(0, |last| last + 1);
-    endings.truncate(used.min(ENDINGS));
+    endings.truncate(used.min(ATTEMPT_OUTCOMES));
     Seen {
         name: name.to_owned(),
-        accomplished: observed.accomplished as f32,
+        accomplished: observed.score as f32,
         in_flight: observed.in_flight,
-        lag: observed.lag as f32,
-        faults: observed.faults.clamp(0.0, 1.0) as f32,
+        lag: observed.relative_latency as f32,
+        faults: observed.failure_rate.clamp(0.0, 1.0) as f32,
         ejected: observed.ejected,
         endings,
     }
 }
 
 /// How far a box has moved from what was told of it; 0 where that is not worth a row.
-fn change(told: &Seen, now: &Observed) -> f64 {
+fn change(told: &Seen, now: &ServerObservation) -> f64 {
     if told.ejected != now.ejected {
         return 1e6;
     }
     let part = |a: f64, b: f64, least: f64| (a - b).abs() / a.max(b).max(least);
-    let counts = part(told.accomplished.into(), now.accomplished, 1.0);
-    let lag = part(told.lag.into(), now.lag, 1.0);
-    let faults = (f64::from(told.faults) - now.faults).abs();
+    let counts = part(told.accomplished.into(), now.score, 1.0);
+    let lag = part(told.lag.into(), now.relative_latency, 1.0);
+    let faults = (f64::from(told.faults) - now.failure_rate).abs();
     let flights = told.in_flight.abs_diff(now.in_flight);
     let flight = if flights < FEW { 0.0 } else { part(told.in_flight.into(), now.in_flight.into(), 8.0) };
     let most = counts.max(lag / 2.0).max(faults).max(flight / 3.0);
@@ -172,16 +172,16 @@
     use super::*;
     use laurelroute_policy::interface::Endpoint;
 
-    fn observed(accomplished: f64) -> Observed {
+    fn observed(accomplished: f64) -> ServerObservation {
         let server = Endpoint { address: [0; 4], port: 1 };
-        Observed {
+        ServerObservation {
             server,
-            accomplished,
+            score: accomplished,
             in_flight: 0,
-            lag: 1.0,
-            faults: 0.0,
+            relative_latency: 1.0,
+            failure_rate: 0.0,
             ejected: false,
-            endings: [3, 0, 0, 0, 0, 0, 0, 0],
+            outcomes: [3, 0, 0, 0, 0, 0, 0, 0],
         }
     }
 
--- a/crates/plan/src/services/digest.rs
+++ b/crates/plan/src/services/digest.rs
@@ -12,7 +12,7 @@
 /// One member's part of the digest. A member that is gone has none.
 pub fn of(member: &Member) -> u64 {
     match member.server.phase {
-        Phase::Gone => 0,
+        Phase::Removed => 0,
         Phase::Ready | Phase::Draining => of_facts(&member.name, &member.facts()),
     }
 }
--- a/crates/plan/src/services/publisher/force.rs
+++ b/crates/plan/src/services/publisher/force.rs
@@ -143,7 +143,7 @@
         let phase = match server.member.server.phase {
             Phase::Ready => "ready",
             Phase::Draining => "draining: nothing new goes there",
-            Phase::Gone => "gone: nothing new goes there",
+            Phase::Removed => "gone: nothing new goes there",
         };
         let services = server.services.iter().filter_map(|id| self.services.get(id)).map(|s| &*s.name);
         let services: Vec<String> = services.take(MOST_NAMED).map(|name| format!("`{name}`")).collect();
--- a/crates/plan/src/services/publisher/forwarders.rs
+++ b/crates/plan/src/services/publisher/forwarders.rs
@@ -263,7 +263,7 @@
             let same_life = server.member.server.started_at / MS <= word.started_ms;
             let told = ListVersion { epoch: translated(word.epoch, own_epoch), number: word.membership };
             if told > source && same_life {
-                let phase = if word.gone { Phase::Gone } else { Phase::Draining };
+                let phase = if word.gone { Phase::Removed } else { Phase::Draining };
                 let names = server.services.iter().filter_map(|id| self.services.get(id));
                 let services: Vec<String> = names.map(|s| s.name.to_string()).collect();
                 let (name, own) = (Name::from(word.name.as_str()), server.member.clone());
--- a/crates/plan/src/services/publisher/hints.rs
+++ b/crates/plan/src/services/publisher/hints.rs
@@ -8,7 +8,7 @@
 use crate::check::check;
 use crate::grade;
 use crate::wire::{Report, Seen, Suspicion};
-use laurelroute_policy::interface::{Ending, Nanos};
+use laurelroute_policy::interface::{AttemptOutcome, Nanos};
 use std::collections::BTreeMap;
 
 /// Servers that one forwarder may report on; it says the rest when it has dropped some.
@@ -143,10 +143,10 @@
 }
 
 fn met(seen: &Seen) -> Met {
-    let count = |ending: Ending| seen.endings.get(ending as usize).copied().unwrap_or(0);
+    let count = |ending: AttemptOutcome| seen.endings.get(ending as usize).copied().unwrap_or(0);
     Met {
         accomplished: seen.accomplished,
         against: seen.ejected || seen.faults >= FAULTY,
-        refuses: count(Ending::ConnectFailed) > count(Ending::Ok),
+        refuses: count(AttemptOutcome::ConnectFailed) > count(AttemptOutcome::Ok),
     }
 }
--- a/crates/plan/src/services/publisher/list.rs
+++ b/crates/plan/src/services/publisher/list.rs
@@ -118,7 +118,7 @@
     ) {
         self.figures.steps += 1;
         let known = self.servers.get_key_value(member.name.as_str()).map(|(name, _)| name.clone());
-        if member.server.phase == Phase::Gone {
+        if member.server.phase == Phase::Removed {
             return known.into_iter().for_each(|name| self.remove(&name, touched));
         }
         if known.is_none() && self.servers.len() >= MOST_SERVERS {
--- a/crates/plan/src/services/subscriber/held.rs
+++ b/crates/plan/src/services/subscriber/held.rs
@@ -232,7 +232,7 @@
         if left.len() > MOST_LEFT {
             left.pop_front();
         }
-        changed.members.insert(name.to_owned(), server.member.in_phase(Phase::Gone));
+        changed.members.insert(name.to_owned(), server.member.in_phase(Phase::Removed));
     }
 
     /// The service is there no longer: all of its servers have left.
--- a/crates/plan/src/services/subscriber/words.rs
+++ b/crates/plan/src/services/subscriber/words.rs
@@ -4,7 +4,7 @@
 use crate::reporter::seen;
 use crate::services::list_version::Seen;
 use crate::wire::{Followed, Interest, Report};
-use laurelroute_policy::interface::Observed;
+use laurelroute_policy::interface::ServerObservation;
 
 /// Bytes of one message, about.
 const MESSAGE: usize = 2_000;
@@ -110,7 +110,7 @@
     pub fn next_report(
         &mut self,
         now: Nanos,
-        observed: &mut dyn Iterator<Item = (&str, Observed)>,
+        observed: &mut dyn Iterator<Item = (&str, ServerObservation)>,
     ) -> Option<Report> {
         self.planner()?;
         self.refill(now);
@@ -122,13 +122,13 @@
             }
             let told = self.reported.get(name).copied();
             let (count, out) = told.unwrap_or((0.0, false));
-            let most = f64::from(count).max(met.accomplished).max(LEAST);
-            let differs = (f64::from(count) - met.accomplished).abs() > HARDLY * most;
+            let most = f64::from(count).max(met.score).max(LEAST);
+            let differs = (f64::from(count) - met.score).abs() > HARDLY * most;
             let room = told.is_some() || self.reported.len() < MOST_REPORTED;
             if !room || !(differs || out != met.ejected) {
                 continue;
             }
-            self.reported.insert(name.to_owned(), (met.accomplished as f32, met.ejected));
+            self.reported.insert(name.to_owned(), (met.score as f32, met.ejected));
             let row = seen(name, &met);
             size += row.encoded_len() + 3;
             report.rows.push(row);
--- a/crates/plan/tests/limit.rs
+++ b/crates/plan/tests/limit.rs
@@ -47,7 +47,7 @@
         format!("box {one} is over the limit of {MOST_BOXES} and not planned for\n")
     );
     // One that leaves is over no limit any more, and a whole list says who there is.
-    planner.membership(0, 4, false, vec![member(MOST_BOXES).in_phase(Phase::Gone)]);
+    planner.membership(0, 4, false, vec![member(MOST_BOXES).in_phase(Phase::Removed)]);
     assert_eq!(planner.over_limit(), 2);
     planner.membership(0, 5, true, list(MOST_BOXES + 1));
     assert_eq!(planner.over_limit(), 1);
--- a/crates/plan/tests/services.rs
+++ b/crates/plan/tests/services.rs
@@ -56,7 +56,7 @@
 }
 
 fn gone(service: &str, name: &str) -> Listed {
-    listed(service, Member::warm(name).in_phase(Phase::Gone))
+    listed(service, Member::warm(name).in_phase(Phase::Removed))
 }
 
 /// A forwarder that is connected to this planner.
@@ -149,7 +149,7 @@
     assert_eq!((changes.rows.len(), changes.removed.len(), changes.base > 0), (1, 1, true));
     let Some(Change::Members { members, .. }) = f0.changes().pop() else { panic!() };
     let phases: Vec<_> = members.iter().map(|m| (m.name.as_str(), m.server.phase)).collect();
-    assert_eq!(phases, [("tide-0003", Phase::Draining), ("tide-0004", Phase::Gone)]);
+    assert_eq!(phases, [("tide-0003", Phase::Draining), ("tide-0004", Phase::Removed)]);
     equal(&publisher, &f0, "f0", "tide");
     assert!(exchange(S, &mut publisher, &mut f0, "f0", 0).is_empty());
     let beat = exchange(2 * S, &mut publisher, &mut f0, "f0", 0);
@@ -497,7 +497,7 @@
         let now = step * 100 * MS;
         if step % 40 == 39 {
             // A zone goes, and comes back.
-            let phase = if step % 80 == 39 { Phase::Gone } else { Phase::Ready };
+            let phase = if step % 80 == 39 { Phase::Removed } else { Phase::Ready };
             let tenth = list.iter().step_by(9).cloned();
             let tenth = tenth.map(|l| Listed { member: l.member.in_phase(phase), ..l }).collect();
             publisher.list(now, 2 + step, false, tenth);
--- a/crates/plan/tests/two.rs
+++ b/crates/plan/tests/two.rs
@@ -137,9 +137,9 @@
     let (mut a, now) = planner(6, &["f0"]);
     let mut follower = follower();
     exchange(now, &mut a, 0, &mut follower);
-    a.membership(now, 5, false, vec![Member::warm("box-2").in_phase(Phase::Gone)]);
+    a.membership(now, 5, false, vec![Member::warm("box-2").in_phase(Phase::Removed)]);
     exchange(now + MS, &mut a, 0, &mut follower);
-    assert_eq!(phase(&follower, now + MS, "box-2"), Some(Phase::Gone));
+    assert_eq!(phase(&follower, now + MS, "box-2"), Some(Phase::Removed));
     // Another planner begins with a list from before.
     let (mut b, _) = planner(6, &["f0"]);
     assert_eq!(exchange(now + 2 * MS, &mut b, 1, &mut follower)[0], Because::OldMembership);
@@ -148,7 +148,7 @@
     let part = b.next_part(later, "f0").unwrap();
     assert_eq!(follower.receive(later, 1, &part).refused(), Because::Taken);
     assert_eq!(follower.standing().unwrap().0, 1);
-    assert_eq!(phase(&follower, later, "box-2"), Some(Phase::Gone));
+    assert_eq!(phase(&follower, later, "box-2"), Some(Phase::Removed));
 }
 
 #[test]
--- a/crates/policy/src/balance.rs
+++ b/crates/policy/src/balance.rs
@@ -19,7 +19,7 @@
 
 use crate::interface::*;
 use crate::rate::Rate;
-use laurelroute_part::{half_drawn, Part, DRAWN};
+use laurelroute_part::{half_sample_size, Subset, MAX_SAMPLE};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
@@ -98,8 +98,8 @@
     load: f64,
     silent_since: Nanos,
     silence: silence::Silence,
-    lag: f64,
-    lag_at: Nanos,
+    relative_latency: f64,
+    latency_at: Nanos,
     queued: f64,
     report_at: Nanos,
     sent_since: f64,
@@ -108,16 +108,16 @@
     pool: u8,
     blocked_until: Nanos,
     strikes: u32,
-    faults: f64,
-    fault_at: Nanos,
+    failure_rate: f64,
+    failure_rate_at: Nanos,
     left_at: Nanos,
     cold_next: Nanos,
     planned: f64,
     suspected: bool,
-    cold_rate: f64,
+    slow_start_rate: f64,
     served: Rate,
     served_at: Option<Nanos>,
-    endings: [u32; ENDINGS],
+    outcomes: [u32; ATTEMPT_OUTCOMES],
 }
 
 #[derive(Clone, Copy)]
@@ -139,7 +139,7 @@
 }
 
 /// How an attempt has ended: whether the client has its answer, how long it took, and what came.
-type End = (bool, Nanos, Ending);
+type End = (bool, Nanos, AttemptOutcome);
 
 #[derive(Default)]
 struct Pending {
@@ -191,35 +191,35 @@
     answers: Vec<u32>,
     turned_away: f64,
     hints: Vec<forecast::Slope>,
-    pressure: f64,
-    pressure_at: Nanos,
+    slowdown: f64,
+    slowdown_at: Nanos,
     arrivals: Rate,
     served: Rate,
     tenants: Vec<Rate>,
     budget: f64,
     usual_queue: f64,
     line: forecast::Line,
-    faults: f64,
+    failure_rate: f64,
     jobs: BinaryHeap<Reverse<(Nanos, Job)>>,
     armed: Nanos,
     list_failures: u32,
     memory: f64,
     relief: f64,
     longest: Nanos,
-    guide: Guide,
+    guide: NodePlan,
     share: f64,
     classes: Vec<Rate>,
     trials: Vec<(usize, Nanos)>,
-    split: Option<Split>,
+    split: Option<TrafficSplit>,
     lane: Option<u8>,
-    part: Part,
+    part: Subset,
 }
 
 impl Balancer {
     /// A balancer without any servers yet. The seed settles all its random draws.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
-        let longest = settings.longest_deadline();
+        let longest = settings.longest_client_timeout();
         Ok(Balancer {
             rng: Pcg64Mcg::seed_from_u64(seed),
             nodes: Vec::new(),
@@ -230,32 +230,32 @@
             steps: 0,
             epoch: 0,
             pending: BTreeMap::new(),
-            typical: settings.classes.iter().map(|c| c.aim as f64 / 3.0).collect(),
+            typical: settings.classes.iter().map(|c| c.latency_target as f64 / 3.0).collect(),
             answers: vec![0; settings.classes.len()],
             turned_away: 0.0,
             hints: vec![forecast::Slope::default(); settings.classes.len()],
-            pressure: 1.0,
-            pressure_at: 0,
+            slowdown: 1.0,
+            slowdown_at: 0,
             arrivals: Rate::default(),
             served: Rate::default(),
             tenants: vec![Rate::default(); settings.tenant_quota.len()],
             budget: 1.0,
             usual_queue: 0.0,
             line: forecast::Line::default(),
-            faults: 0.0,
+            failure_rate: 0.0,
             jobs: BinaryHeap::new(),
             armed: Nanos::MAX,
             list_failures: 0,
             memory: LAG_MEMORY * longest as f64,
-            relief: RELIEF * settings.classes.iter().map(|c| c.aim).max().unwrap_or(1) as f64,
+            relief: RELIEF * settings.classes.iter().map(|c| c.latency_target).max().unwrap_or(1) as f64,
             longest,
-            guide: Guide::default(),
+            guide: NodePlan::default(),
             share: 1.0 / f64::from(settings.group_size),
             classes: vec![Rate::default(); settings.classes.len()],
             trials: Vec::new(),
             split: None,
             lane: None,
-            part: Part::NEW,
+            part: Subset::INITIAL,
             settings,
         })
     }
@@ -265,14 +265,14 @@
         match event {
             Event::List { kind, servers } => self.follow_list(now, kind, &servers, sink),
             Event::Plan(guide) => self.follow_plan(now, guide),
-            Event::Share(share) => self.share = share,
+            Event::QuotaShare(share) => self.share = share,
             Event::Split(split) => self.follow_split(now, split),
-            Event::Learnt(learnt) => self.take_over(now, learnt),
-            Event::Restored { server } => self.restored(now, server),
+            Event::TakeOver(learnt) => self.take_over(now, learnt),
+            Event::Reinstated { server } => self.restored(now, server),
             Event::Request(request) => self.admit(now, request, sink),
-            Event::Outcome { request, server, attempt, finished, took, ending, report } => {
+            Event::AttemptEnded { request, server, attempt, finished, took, outcome, report } => {
                 self.learn(now, server, report);
-                self.outcome(now, request, attempt, (finished, took, ending), sink)
+                self.outcome(now, request, attempt, (finished, took, outcome), sink)
             }
             Event::StreamStarted { request, .. } => {
                 self.pending.get_mut(&request).into_iter().for_each(|p| p.streaming = true);
@@ -295,12 +295,12 @@
     }
 
     /// How many servers are remembered, departed ones among them.
-    pub fn servers_held(&self) -> usize {
+    pub fn tracked_servers(&self) -> usize {
         self.nodes.len()
     }
 
     /// Servers looked at so far to follow lists, one for each look: what lists have cost.
-    pub fn steps(&self) -> u64 {
+    pub fn list_update_steps(&self) -> u64 {
         self.steps
     }
 
@@ -320,7 +320,7 @@
             ListKind::Failed => {
                 self.list_failures = (self.list_failures + 1).min(4);
                 let later = self.longest as f64 * f64::from(1 << self.list_failures);
-                let pause = later.min(ASK_PART * self.settings.ask_within as f64) * (0.5 + self.chance());
+                let pause = later.min(ASK_PART * self.settings.max_list_age as f64) * (0.5 + self.chance());
                 return self.jobs.push(Reverse((now + pause as Nanos, Job::Relist)));
             }
             ListKind::Cached => sink.extend(self.settings.must_subscribe.then_some(Action::Subscribe)),
@@ -331,7 +331,7 @@
             self.steps += self.nodes.len() as u64;
             for i in 0..self.nodes.len() {
                 if !listed.contains(&self.nodes[i].server.endpoint) {
-                    self.leave(now, i, Phase::Gone);
+                    self.leave(now, i, Phase::Removed);
                 }
             }
         }
@@ -433,7 +433,7 @@
 
     fn add(&mut self, now: Nanos, server: Server) {
         let size = if server.size > 0.0 && self.settings.sizes_known { f64::from(server.size) } else { 1.0 };
-        let node = Node { size, cold_rate: f64::INFINITY, ..Node::default() };
+        let node = Node { size, slow_start_rate: f64::INFINITY, ..Node::default() };
         // One that left so long ago that no request under way can have met it gives its place to the next.
         let forgotten = now.saturating_sub(2 * self.longest);
         while let Some((_, i)) = self.left.first().copied().filter(|l| l.0 < forgotten) {
@@ -454,7 +454,7 @@
         if server.phase != Phase::Ready || server.zone != self.nodes[i].server.zone {
             self.leave(now, i, server.phase);
         }
-        if server.phase != Phase::Gone {
+        if server.phase != Phase::Removed {
             self.left.remove(&(self.nodes[i].left_at, i));
             self.free.remove(&i);
         }
@@ -465,7 +465,7 @@
         self.nodes[i].server = server;
         if server.phase == Phase::Ready && (fresh || restarted) {
             let node = &mut self.nodes[i];
-            (node.lag, node.lag_at, node.faults, node.strikes, node.blocked_until) = (1.0, now, 0.0, 0, 0);
+            (node.relative_latency, node.latency_at, node.failure_rate, node.strikes, node.blocked_until) = (1.0, now, 0.0, 0, 0);
             node.silence.end();
             node.served = Rate::default();
             let zone = usize::from(server.zone);
@@ -502,11 +502,11 @@
                 (zone.left, zone.size) = (true, zone.size - self.nodes[i].size);
             }
         }
-        if server.phase != Phase::Gone {
+        if server.phase != Phase::Removed {
             self.nodes[i].left_at = now;
             self.left.insert((now, i));
         }
-        self.nodes[i].server.phase = if phase == Phase::Ready { Phase::Gone } else { phase };
+        self.nodes[i].server.phase = if phase == Phase::Ready { Phase::Removed } else { phase };
     }
 
     // ---- Ranking: accomplishment counters, faded by growing the increment ----
@@ -547,7 +547,7 @@
 
     // ---- Queue estimate, in mean responses ----
 
-    fn learn(&mut self, now: Nanos, endpoint: Endpoint, report: Option<Report>) {
+    fn learn(&mut self, now: Nanos, endpoint: Endpoint, report: Option<LoadReport>) {
         let (Some(&i), Some(report)) = (self.by_endpoint.get(&endpoint), report) else { return };
         let node = &mut self.nodes[i];
         node.queued = f64::from(report.queued.unwrap_or(0.0)).max(0.0);
@@ -571,9 +571,9 @@
     /// out if that is longer (a hung server must not look idle), and the work that waits per unit of size.
     fn queue(&self, now: Nanos, i: usize, mean: f64, weight: f64) -> f64 {
         let node = &self.nodes[i];
-        let faded = (-(now.saturating_sub(node.lag_at) as f64) / self.memory).exp();
-        let fleet = self.pressure_now(now);
-        let mut lag = fleet * (1.0 + (node.lag - 1.0) * faded) * weight;
+        let faded = (-(now.saturating_sub(node.latency_at) as f64) / self.memory).exp();
+        let fleet = self.slowdown_now(now);
+        let mut lag = fleet * (1.0 + (node.relative_latency - 1.0) * faded) * weight;
         if node.out > 0 {
             lag = lag.max(now.saturating_sub(node.silent_since) as f64 / mean);
         }
@@ -585,20 +585,20 @@
         let waiting =
             (node.queued / node.size * known + since.min(own) + self.usual_queue * (1.0 - known)).max(own);
         // The lag already holds the usual queue: only what differs from it counts.
-        let faults = (self.faults_now(now, i) - self.faults).max(0.0) * FAULT_COST;
+        let faults = (self.failure_rate_now(now, i) - self.failure_rate).max(0.0) * FAULT_COST;
         (lag + waiting - self.usual_queue).max(own) + faults
     }
 
     /// A server's share of failures. It fades: one that gets no requests has to be found out again.
-    fn faults_now(&self, now: Nanos, i: usize) -> f64 {
-        let age = now.saturating_sub(self.nodes[i].fault_at) as f64;
-        self.nodes[i].faults * (-age / self.memory).exp()
+    fn failure_rate_now(&self, now: Nanos, i: usize) -> f64 {
+        let age = now.saturating_sub(self.nodes[i].failure_rate_at) as f64;
+        self.nodes[i].failure_rate * (-age / self.memory).exp()
     }
 
     /// How much longer than usual the fleet takes to answer. It fades: who refuses all must find a jam over.
-    fn pressure_now(&self, now: Nanos) -> f64 {
-        let faded = (-(now.saturating_sub(self.pressure_at) as f64) / self.relief).exp();
-        1.0 + (self.pressure - 1.0) * faded
+    fn slowdown_now(&self, now: Nanos) -> f64 {
+        let faded = (-(now.saturating_sub(self.slowdown_at) as f64) / self.relief).exp();
+        1.0 + (self.slowdown - 1.0) * faded
     }
 
     // ---- Choice: JSQ-DAS within a zone ----
@@ -618,12 +618,12 @@
     /// A keyed request that may have run stays with the servers that drop its repeats, in their time.
     fn inside(&self, now: Nanos, i: usize, pending: &Pending) -> bool {
         let class = &self.settings.classes[usize::from(pending.request.class)];
-        pending.fence.filter(|_| class.effect == Effect::Keyed).is_none_or(|(first, until)| {
+        pending.fence.filter(|_| class.idempotency == Idempotency::Keyed).is_none_or(|(first, until)| {
             let (a, b) = (&self.nodes[first].server, &self.nodes[i].server);
-            let same = match class.group {
-                Group::All => true,
-                Group::Zone => a.zone == b.zone,
-                Group::Cell => a.cell == b.cell,
+            let same = match class.dedup_group {
+                DedupGroup::All => true,
+                DedupGroup::Zone => a.zone == b.zone,
+                DedupGroup::Cell => a.cell == b.cell,
             };
             same && now < until
         })
@@ -642,9 +642,9 @@
         let mean = self.typical[usize::from(pending.request.class)];
         let top = ((TOP_SHARE * count as f64).ceil() as usize).clamp(1, count.max(2) - 1).min(count);
         let weight = self.weight(&pending.request);
-        let mut drawn = [usize::MAX; DRAWN + 1];
+        let mut drawn = [usize::MAX; MAX_SAMPLE + 1];
         let mut have = 0;
-        let half = half_drawn(count);
+        let half = half_sample_size(count);
         for (from, to, want) in [(0, top, half), (top, count, half)] {
             let (mut tries, goal) = (0, have + want.min(to - from));
             while have < goal && tries < 4 * want {
@@ -680,7 +680,7 @@
     /// The server that has most likely met the key: highest hash of key and server.
     fn favourite(&self, now: Nanos, zone: usize, pending: &Pending) -> Option<usize> {
         let key = pending.request.key;
-        if key == 0 || !self.settings.warm_keys {
+        if key == 0 || !self.settings.key_affinity {
             return None;
         }
         let hash = |i: usize| self.nodes[i].server.endpoint.affinity(key);
@@ -691,10 +691,10 @@
     /// The home zone first; another where the local answer would be late and the other much sooner.
     fn choose_near(&mut self, now: Nanos, pending: &Pending) -> Option<(usize, f64)> {
         let class = usize::from(pending.request.class);
-        let (mean, aim) = (self.typical[class], self.settings.classes[class].aim as f64);
+        let (mean, latency_target) = (self.typical[class], self.settings.classes[class].latency_target as f64);
         let home = usize::from(self.settings.zone);
         let local = self.choose_in(now, home, pending);
-        if let Some(local) = local.filter(|c| c.cost * mean < WIDEN_AT * aim) {
+        if let Some(local) = local.filter(|c| c.cost * mean < WIDEN_AT * latency_target) {
             return Some((local.server, local.queue));
         }
         let skip = self.draw(self.zones.len());
@@ -722,13 +722,13 @@
 
     // ---- Health ----
 
-    fn strike(&mut self, now: Nanos, i: usize, ending: Ending, sink: &mut Vec<Action>) {
+    fn strike(&mut self, now: Nanos, i: usize, outcome: AttemptOutcome, sink: &mut Vec<Action>) {
         let zone = usize::from(self.nodes[i].server.zone);
         if self.nodes[i].blocked_until > now || self.nodes[i].server.phase != Phase::Ready {
             return;
         }
-        let hard = ending == Ending::ConnectFailed;
-        let sound = self.nodes[i].strikes == 0 && self.faults_now(now, i) < FAULTY + self.faults;
+        let hard = outcome == AttemptOutcome::ConnectFailed;
+        let sound = self.nodes[i].strikes == 0 && self.failure_rate_now(now, i) < FAULTY + self.failure_rate;
         let out = self.zones[zone].rank.iter().filter(|&&j| self.nodes[j].blocked_until > now).count();
         if !hard && (sound || out as f64 >= EJECT_CAP * self.zones[zone].rank.len() as f64) {
             return;
@@ -739,7 +739,7 @@
         let pause = self.longest as f64 / 2.0 * f64::from(1 << node.strikes) * jitter;
         node.blocked_until = now + pause as Nanos;
         if node.strikes == 2 {
-            sink.push(Action::Log { text: format!("ejected {:?} after {ending:?}", node.server.endpoint) });
+            sink.push(Action::Log { text: format!("ejected {:?} after {outcome:?}", node.server.endpoint) });
         }
     }
 
@@ -747,12 +747,12 @@
     fn admit(&mut self, now: Nanos, request: Request, sink: &mut Vec<Action>) {
         let ramp = self.settings.ramp as f64;
         self.arrivals.count(now, ramp);
-        if self.part.follow(now, || self.arrivals.since_start(now, ramp), self.memory) {
+        if self.part.update(now, || self.arrivals.since_start(now, ramp), self.memory) {
             (0..self.zones.len()).for_each(|zone| self.regroup(now, zone));
         }
         let most = 1.0 + RETRY_SHARE * self.arrivals.read(now, ramp) * ramp / 1e9;
         // Copies into a jam make it worse: the budget dries up as answers take longer than usual.
-        let calm = self.pressure_now(now).max(1.0).powi(-CALM_STEEP);
+        let calm = self.slowdown_now(now).max(1.0).powi(-CALM_STEEP);
         self.budget = (self.budget + RETRY_SHARE * calm).min(most);
         let pending = Pending { request, arrived: now, ..Pending::default() };
         let class = usize::from(request.class);
@@ -774,9 +774,9 @@
         self.pending.insert(request.id, pending);
         self.send(now, request.id, (i, queue), sink);
         let class = &self.settings.classes[class];
-        let at = now + (HEDGE_AT * class.aim as f64) as Nanos;
-        let copies = self.settings.second_copies && !class.stream && at < request.give_up_at;
-        if class.effect == Effect::Safe && copies {
+        let at = now + (HEDGE_AT * class.latency_target as f64) as Nanos;
+        let copies = self.settings.hedging && !class.stream && at < request.deadline;
+        if class.idempotency == Idempotency::Safe && copies {
             self.jobs.push(Reverse((at, Job::Hedge(request.id))));
         }
     }
@@ -806,18 +806,18 @@
     /// The expected answer time beyond which the request is not worth its work.
     fn limit(&self, now: Nanos, request: &Request) -> f64 {
         let class = &self.settings.classes[usize::from(request.class)];
-        let cost = |c: usize| if self.settings.worth_by_work { 1.0 } else { self.typical[c] };
-        let worth = |c: usize| self.settings.classes[c].worth / cost(c);
+        let cost = |c: usize| if self.settings.value_per_work { 1.0 } else { self.typical[c] };
+        let worth = |c: usize| self.settings.classes[c].value / cost(c);
         let best = (0..self.typical.len()).map(worth).fold(f64::MIN_POSITIVE, f64::max);
         let known = self.answers[usize::from(request.class)] >= KNOWN_AFTER;
         let value = if known { worth(usize::from(request.class)) / best } else { 1.0 };
         // Who takes more than the share has agreed to less: that counts however much room there is.
         let over =
             self.over_share(now, request.tenant as usize) || self.over_limit(now, usize::from(request.class));
-        let over = if over { self.settings.over_share_worth } else { 1.0 };
-        let left = request.give_up_at.saturating_sub(now) as f64;
+        let over = if over { self.settings.over_quota_value } else { 1.0 };
+        let left = request.deadline.saturating_sub(now) as f64;
         // A late answer that still earns something is worth a longer wait.
-        let most = (ADMIT_AIMS * (1.0 + class.late_worth) * class.aim as f64).min(left);
+        let most = (ADMIT_AIMS * (1.0 + class.late_value) * class.latency_target as f64).min(left);
         let shortage = (self.turned_away / SHORTAGE).min(1.0);
         most * (value.clamp(0.0, 1.0).powf(shortage) * over.clamp(0.0, 1.0)).powf(WORTH_POWER)
     }
@@ -850,45 +850,45 @@
     }
 
     fn outcome(&mut self, now: Nanos, id: RequestId, attempt: u8, end: End, sink: &mut Vec<Action>) {
-        let (finished, took, ending) = end;
+        let (finished, took, outcome) = end;
         let Some(p) = self.pending.get_mut(&id) else { return };
         let Some(a) = p.attempts.get_mut(usize::from(attempt)).filter(|a| a.open) else { return };
         a.open = false;
         let (a, request, class) = (*a, p.request, usize::from(p.request.class));
-        let window = self.settings.classes[class].window;
-        if matches!(ending, Ending::Ok | Ending::TimedOut) && a.expected > 0.0 {
+        let window = self.settings.classes[class].dedup_window;
+        if matches!(outcome, AttemptOutcome::Ok | AttemptOutcome::TimedOut) && a.expected > 0.0 {
             self.line.met(a.expected, took as f64 / self.typical[class]);
         }
-        if !ending.never_ran() && p.fence.is_none() {
+        if !outcome.never_ran() && p.fence.is_none() {
             p.fence = Some((a.node, now.saturating_sub(took).saturating_add(window)));
         }
         self.judge(now, a, request, end, sink);
         let Some(p) = self.pending.get(&id) else { return };
         if finished || p.answered {
             self.close(id, sink);
-        } else if p.open() == 0 || now >= p.request.give_up_at {
-            self.again(now, id, ending, sink);
+        } else if p.open() == 0 || now >= p.request.deadline {
+            self.again(now, id, outcome, sink);
         }
     }
 
     /// What an ending says of its server.
     fn judge(&mut self, now: Nanos, a: Attempt, request: Request, end: End, sink: &mut Vec<Action>) {
-        let (Attempt { node: i, credit, weight, .. }, (_, took, ending)) = (a, end);
+        let (Attempt { node: i, credit, weight, .. }, (_, took, outcome)) = (a, end);
         let class = usize::from(request.class);
-        let fleet = self.pressure_now(now);
-        let faults = self.faults_now(now, i);
+        let fleet = self.slowdown_now(now);
+        let faults = self.failure_rate_now(now, i);
         let node = &mut self.nodes[i];
-        node.endings[ending as usize] = node.endings[ending as usize].saturating_add(1);
+        node.outcomes[outcome as usize] = node.outcomes[outcome as usize].saturating_add(1);
         node.out = node.out.saturating_sub(1);
         node.load = if node.out == 0 { 0.0 } else { (node.load - weight).max(0.0) };
-        if matches!(ending, Ending::Ok | Ending::Error | Ending::Full | Ending::Reset) {
+        if matches!(outcome, AttemptOutcome::Ok | AttemptOutcome::Error | AttemptOutcome::Rejected | AttemptOutcome::Reset) {
             node.silent_since = now;
             node.silence.end();
-        } else if ending == Ending::Cancelled && node.out == 0 {
+        } else if outcome == AttemptOutcome::Cancelled && node.out == 0 {
             let most = SURGE * self.typical[class];
             node.silence.add(now, node.silent_since, most, self.memory);
         }
-        if matches!(ending, Ending::Ok | Ending::TimedOut) {
+        if matches!(outcome, AttemptOutcome::Ok | AttemptOutcome::TimedOut) {
             let answers = self.answers[class].saturating_add(1);
             self.answers[class] = answers;
             let typical = &mut self.typical[class];
@@ -902,61 +902,61 @@
             // The first answers are averaged: a node of many sees few, and would go by its guess for minutes.
             let slow = if ratio > 1.0 { TYPICAL_UP / TYPICAL_DOWN } else { 1.0 };
             *typical += late / (slow * f64::from(answers).min(TYPICAL_DOWN));
-            let gap = (-(now.saturating_sub(node.lag_at) as f64) / self.memory).exp();
-            node.lag = 1.0 + (node.lag - 1.0) * gap;
+            let gap = (-(now.saturating_sub(node.latency_at) as f64) / self.memory).exp();
+            node.relative_latency = 1.0 + (node.relative_latency - 1.0) * gap;
             // A server that answers others is there: one connection alone has fallen silent.
             let alive = now.saturating_sub(node.silent_since) < took;
             let felt = if alive { ratio.min(SURGE) } else { ratio };
-            node.lag += (felt / fleet - node.lag) * LAG_WEIGHT.max(1.0 - gap);
-            self.pressure = fleet + (ratio.min(SURGE) - fleet) * PRESSURE_WEIGHT;
-            self.pressure_at = now;
-            node.lag_at = now;
+            node.relative_latency += (felt / fleet - node.relative_latency) * LAG_WEIGHT.max(1.0 - gap);
+            self.slowdown = fleet + (ratio.min(SURGE) - fleet) * PRESSURE_WEIGHT;
+            self.slowdown_at = now;
+            node.latency_at = now;
         }
-        if matches!(ending, Ending::Ok | Ending::Error | Ending::Full | Ending::Reset) {
-            let fault = if ending == Ending::Ok { 0.0 } else { 1.0 };
-            (node.faults, node.fault_at) = (faults + (fault - faults) * FAULT_WEIGHT, now);
-            self.faults += (fault - self.faults) * FLEET_FAULT_WEIGHT;
+        if matches!(outcome, AttemptOutcome::Ok | AttemptOutcome::Error | AttemptOutcome::Rejected | AttemptOutcome::Reset) {
+            let fault = if outcome == AttemptOutcome::Ok { 0.0 } else { 1.0 };
+            (node.failure_rate, node.failure_rate_at) = (faults + (fault - faults) * FAULT_WEIGHT, now);
+            self.failure_rate += (fault - self.failure_rate) * FLEET_FAULT_WEIGHT;
         }
-        if ending == Ending::Ok {
+        if outcome == AttemptOutcome::Ok {
             node.served_at = Some(now);
-            node.served.count(now, self.settings.fall as f64);
+            node.served.count(now, self.settings.overload_window as f64);
             self.served.count(now, self.settings.ramp as f64);
         }
-        match ending {
-            Ending::Ok if node.blocked_until <= now && node.faults < SOUND + self.faults => node.strikes = 0,
-            Ending::Ok | Ending::Cancelled | Ending::NotSent => {}
+        match outcome {
+            AttemptOutcome::Ok if node.blocked_until <= now && node.failure_rate < SOUND + self.failure_rate => node.strikes = 0,
+            AttemptOutcome::Ok | AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
             // A server that fails fast would drain its queue and climb: take back its credit.
-            Ending::Error | Ending::Full | Ending::TimedOut | Ending::ConnectFailed | Ending::Reset => {
+            AttemptOutcome::Error | AttemptOutcome::Rejected | AttemptOutcome::TimedOut | AttemptOutcome::ConnectFailed | AttemptOutcome::Reset => {
                 self.credit(i, -credit);
                 // A time-out tells of load as well as of a fault, and the lag already counts it: ejecting
                 // for it would push an overloaded fleet's work onto ever fewer servers.
-                if ending != Ending::TimedOut {
-                    self.strike(now, i, ending, sink);
+                if outcome != AttemptOutcome::TimedOut {
+                    self.strike(now, i, outcome, sink);
                 }
             }
         }
     }
 
     /// Sends a request again whose attempts have all ended without an answer, or ends it.
-    fn again(&mut self, now: Nanos, id: RequestId, ending: Ending, sink: &mut Vec<Action>) {
+    fn again(&mut self, now: Nanos, id: RequestId, outcome: AttemptOutcome, sink: &mut Vec<Action>) {
         let Some(mut p) = self.pending.remove(&id) else { return };
         let class = usize::from(p.request.class);
-        let effect = self.settings.classes[class].effect;
+        let effect = self.settings.classes[class].idempotency;
         let may_have_run = p.fence.is_some();
-        let free = ending.never_ran();
+        let free = outcome.never_ran();
         let allowed = !p.streaming
             && p.attempts.len() < self.settings.max_attempts as usize
-            && (!may_have_run || effect != Effect::Unsafe)
+            && (!may_have_run || effect != Idempotency::Unsafe)
             && (free || self.budget >= 1.0)
-            && now + (self.typical[class] / 2.0) as Nanos <= p.request.give_up_at;
+            && now + (self.typical[class] / 2.0) as Nanos <= p.request.deadline;
         let next = if allowed { self.choose(now, &p) } else { None };
-        let all = self.settings.classes[class].group == Group::All;
-        let harmless = !may_have_run || effect == Effect::Safe || (effect == Effect::Keyed && all);
+        let all = self.settings.classes[class].dedup_group == DedupGroup::All;
+        let harmless = !may_have_run || effect == Idempotency::Safe || (effect == Idempotency::Keyed && all);
         if next.is_none() {
             p.answered = true;
-            if harmless && now < p.request.give_up_at {
-                let aim = self.settings.classes[class].aim as f64;
-                self.refuse(id, self.typical[class].max(LEAST_PAUSE * aim), sink);
+            if harmless && now < p.request.deadline {
+                let latency_target = self.settings.classes[class].latency_target as f64;
+                self.refuse(id, self.typical[class].max(LEAST_PAUSE * latency_target), sink);
             } else {
                 sink.push(Action::Fail { request: id });
             }
@@ -972,9 +972,9 @@
         let Some(p) = self.pending.remove(&id) else { return };
         let fits = !p.answered && p.open() == 1 && p.attempts.len() < self.settings.max_attempts as usize;
         let class = &self.settings.classes[usize::from(p.request.class)];
-        let left = (p.arrived + class.aim).saturating_sub(now) as f64;
+        let left = (p.arrived + class.latency_target).saturating_sub(now) as f64;
         let mean = self.typical[usize::from(p.request.class)];
-        let fits = fits && self.budget >= 1.0 && now < p.request.give_up_at;
+        let fits = fits && self.budget >= 1.0 && now < p.request.deadline;
         let next = if fits { self.choose(now, &p).filter(|&(_, q)| q * mean < left) } else { None };
         self.pending.insert(id, p);
         let Some(next) = next else { return };
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -37,7 +37,7 @@
     Draining,
     /// Removed from the list.
     #[default]
-    Gone,
+    Removed,
 }
 
 /// One entry of the server list.
@@ -49,7 +49,7 @@
     pub zone: u8,
     /// Machine kind, as an index.
     pub kind: u16,
-    /// Group of servers with shared memory of keys.
+    /// DedupGroup of servers with shared memory of keys.
     pub cell: u16,
     /// Ready, draining or gone.
     pub phase: Phase,
@@ -61,7 +61,7 @@
 
 impl Server {
     /// The part of its capacity that a server has reached, which starts at `from` and is whole after `ramp`.
-    pub fn warmth(&self, now: Nanos, from: f64, ramp: Nanos) -> f64 {
+    pub fn capacity_fraction(&self, now: Nanos, from: f64, ramp: Nanos) -> f64 {
         if self.started_at == 0 {
             return 1.0;
         }
@@ -77,7 +77,7 @@
 
 /// How far a request may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Repeats do no harm.
     Safe,
     /// Servers of one group drop repeats within a window.
@@ -88,7 +88,7 @@
 
 /// Which servers drop the repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupGroup {
     /// All servers.
     All,
     /// The servers of one zone.
@@ -101,26 +101,26 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// An answer within this earns the full worth.
-    pub aim: Nanos,
+    pub latency_target: Nanos,
     /// How long a client waits over all its tries.
-    pub give_up: Nanos,
-    /// Worth of one request (or of a unit of its work, see [`Settings::worth_by_work`]).
-    pub worth: f64,
+    pub client_timeout: Nanos,
+    /// Worth of one request (or of a unit of its work, see [`Settings::value_per_work`]).
+    pub value: f64,
     /// Share of the worth left for an answer after the aim, 0 to 1.
-    pub late_worth: f64,
+    pub late_value: f64,
     /// How far it may be repeated.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// For keyed classes: who drops repeats.
-    pub group: Group,
+    pub dedup_group: DedupGroup,
     /// For keyed classes: for how long, from the first attempt that may have run.
-    pub window: Nanos,
+    pub dedup_window: Nanos,
     /// The answer is a stream.
     pub stream: bool,
 }
 
 /// The values that a load report may carry.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// Requests in hand.
     pub concurrent: Option<f32>,
     /// Requests that wait.
@@ -143,9 +143,9 @@
     /// Each tenant's share in requests a second over all nodes; empty where there are none.
     pub tenant_quota: Vec<f64>,
     /// Part of its worth that a request over its tenant's share keeps, 0 to 1.
-    pub over_share_worth: f64,
+    pub over_quota_value: f64,
     /// Requests count by their work, not each alike.
-    pub worth_by_work: bool,
+    pub value_per_work: bool,
     /// The node's own zone.
     pub zone: u8,
     /// The node's number in its group, from 0.
@@ -155,13 +155,13 @@
     /// The list comes only to those who subscribe.
     pub must_subscribe: bool,
     /// Who has neither a subscription nor asked for so long counts as told of all that there was to tell.
-    pub ask_within: Nanos,
+    pub max_list_age: Nanos,
     /// Nothing new goes to a server this long after it was told that it drains or is gone.
     pub drain_grace: Nanos,
     /// Most attempts for one request; at least one.
     pub max_attempts: u32,
     /// Two attempts of a request may be out at once.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Attempts may be called off.
     pub cancel: bool,
     /// Servers may be probed.
@@ -173,65 +173,65 @@
     /// The longest such advice that a client heeds.
     pub max_retry_after: Nanos,
     /// A server starts at this share of its capacity or more; above 0, at most 1.
-    pub cold_from: f64,
+    pub initial_capacity: f64,
     /// A started server is warm after this.
     pub ramp: Nanos,
     /// More than this multiple of its present capacity, for `fall`, pushes a cold server over.
-    pub tip_multiple: f64,
-    /// See `tip_multiple`.
-    pub fall: Nanos,
+    pub overload_multiple: f64,
+    /// See `overload_multiple`.
+    pub overload_window: Nanos,
     /// Listed sizes can be compared between servers.
     pub sizes_known: bool,
     /// Servers that met a key lately do less work for it.
-    pub warm_keys: bool,
+    pub key_affinity: bool,
     /// Points lost for each request that crosses zones, as a share of 1.
-    pub cross_price: f64,
+    pub cross_zone_cost: f64,
 }
 
 impl Settings {
     /// Settings for one safe class on a plain site, to start from.
-    pub fn single_class(aim: Nanos, give_up: Nanos) -> Self {
+    pub fn single_class(latency_target: Nanos, client_timeout: Nanos) -> Self {
         let class = Class {
-            aim,
-            give_up,
-            worth: 1.0,
-            late_worth: 0.0,
-            effect: Effect::Safe,
-            group: Group::All,
-            window: 0,
+            latency_target,
+            client_timeout,
+            value: 1.0,
+            late_value: 0.0,
+            idempotency: Idempotency::Safe,
+            dedup_group: DedupGroup::All,
+            dedup_window: 0,
             stream: false,
         };
         Settings {
             classes: vec![class],
             tenant_quota: Vec::new(),
-            over_share_worth: 1.0,
-            worth_by_work: false,
+            over_quota_value: 1.0,
+            value_per_work: false,
             zone: 0,
             ordinal: 0,
             group_size: 1,
             must_subscribe: false,
-            ask_within: 10_000_000_000,
+            max_list_age: 10_000_000_000,
             drain_grace: 250_000_000,
             max_attempts: 3,
-            second_copies: false,
+            hedging: false,
             cancel: true,
             probes: false,
             peers: false,
             retry_after: true,
-            max_retry_after: give_up,
-            cold_from: 0.3,
-            ramp: 10 * give_up,
-            tip_multiple: 3.0,
-            fall: give_up,
+            max_retry_after: client_timeout,
+            initial_capacity: 0.3,
+            ramp: 10 * client_timeout,
+            overload_multiple: 3.0,
+            overload_window: client_timeout,
             sizes_known: true,
-            warm_keys: false,
-            cross_price: 0.0,
+            key_affinity: false,
+            cross_zone_cost: 0.0,
         }
     }
 
     /// The longest time that a client waits for an answer, over all classes.
-    pub fn longest_deadline(&self) -> Nanos {
-        self.classes.iter().map(|c| c.give_up).max().unwrap_or(1)
+    pub fn longest_client_timeout(&self) -> Nanos {
+        self.classes.iter().map(|c| c.client_timeout).max().unwrap_or(1)
     }
 
     /// Refuses settings that no node could act on, naming the one at fault.
@@ -240,13 +240,13 @@
             return Err(SettingsError::Empty("classes"));
         }
         for class in &self.classes {
-            for (name, value) in [("aim", class.aim), ("give_up", class.give_up)] {
+            for (name, value) in [("aim", class.latency_target), ("give_up", class.client_timeout)] {
                 if value == 0 {
                     return Err(SettingsError::Zero(name));
                 }
             }
-            share("late_worth", class.late_worth)?;
-            if !(class.worth.is_finite() && class.worth >= 0.0) {
+            share("late_worth", class.late_value)?;
+            if !(class.value.is_finite() && class.value >= 0.0) {
                 return Err(SettingsError::OutOfRange("worth"));
             }
         }
@@ -254,20 +254,20 @@
             ("group_size", u64::from(self.group_size)),
             ("max_attempts", u64::from(self.max_attempts)),
             ("ramp", self.ramp),
-            ("fall", self.fall),
-            ("ask_within", self.ask_within),
+            ("fall", self.overload_window),
+            ("ask_within", self.max_list_age),
         ] {
             if value == 0 {
                 return Err(SettingsError::Zero(name));
             }
         }
-        share("over_share_worth", self.over_share_worth)?;
-        share("cold_from", self.cold_from)?;
-        share("cross_price", self.cross_price)?;
-        if self.cold_from == 0.0 {
+        share("over_share_worth", self.over_quota_value)?;
+        share("cold_from", self.initial_capacity)?;
+        share("cross_price", self.cross_zone_cost)?;
+        if self.initial_capacity == 0.0 {
             return Err(SettingsError::Zero("cold_from"));
         }
-        if !(self.tip_multiple.is_finite() && self.tip_multiple > 0.0) {
+        if !(self.overload_multiple.is_finite() && self.overload_multiple > 0.0) {
             return Err(SettingsError::OutOfRange("tip_multiple"));
         }
         if self.tenant_quota.iter().any(|q| !(q.is_finite() && *q >= 0.0)) {
@@ -314,35 +314,35 @@
     /// Routing key, 0 for none.
     pub key: u64,
     /// When the client abandons this try.
-    pub give_up_at: Nanos,
+    pub deadline: Nanos,
     /// Rough work, as time on a standard core, where known.
     pub work_hint: Option<Nanos>,
     /// The client says that it tries again.
     pub is_retry: bool,
     /// It writes.
     pub is_write: bool,
-    /// Its place on the hash while a [`Split`] is on: below a pool's share it is that pool's.
-    pub place: u32,
+    /// Its place on the hash while a [`TrafficSplit`] is on: below a pool's share it is that pool's.
+    pub split_position: u32,
 }
 
 impl Request {
     /// Whether its place is within a share from 0 to 1: never at 0, always at 1.
-    pub fn within(&self, share: f64) -> bool {
-        f64::from(self.place) < share * 2f64.powi(32)
+    pub fn in_split_share(&self, share: f64) -> bool {
+        f64::from(self.split_position) < share * 2f64.powi(32)
     }
 
     /// A first try of class 0 without tenant or key.
-    pub fn new(id: RequestId, give_up_at: Nanos) -> Self {
+    pub fn new(id: RequestId, deadline: Nanos) -> Self {
         Request {
             id,
             class: 0,
             tenant: 0,
             key: 0,
-            give_up_at,
+            deadline,
             work_hint: None,
             is_retry: false,
             is_write: false,
-            place: 0,
+            split_position: 0,
         }
     }
 }
@@ -362,13 +362,13 @@
 
 /// How an attempt or probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum AttemptOutcome {
     /// Served.
     Ok,
     /// The server returned an error; it may have run.
     Error,
     /// Turned away unseen; it never ran.
-    Full,
+    Rejected,
     /// No answer in time; it may have run or still run.
     TimedOut,
     /// No connection came about; it never ran.
@@ -381,20 +381,20 @@
     NotSent,
 }
 
-impl Ending {
+impl AttemptOutcome {
     /// True where the attempt is proved never to have run.
     pub fn never_ran(self) -> bool {
-        matches!(self, Ending::Full | Ending::ConnectFailed | Ending::NotSent)
+        matches!(self, AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent)
     }
 }
 
 /// What a plan for the whole fleet says to one node. Each guide replaces the one before.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Guide {
+pub struct NodePlan {
     /// How far the plan is believed, from 0 (the node is on its own) to 1. An old plan is believed less.
     pub trust: f64,
     /// What it says of servers; the others in the list have no standing.
-    pub servers: Vec<Standing>,
+    pub servers: Vec<ServerPlan>,
     /// This node's part of each tenant's share, requests a second; where it ends, nothing is said.
     pub tenants: Vec<f64>,
     /// The requests a second of each class that may come in here; where it ends, there is no limit.
@@ -403,80 +403,80 @@
 
 /// What a plan says of one server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Standing {
+pub struct ServerPlan {
     /// The server.
     pub server: Endpoint,
     /// Its accomplishment summed over all nodes, in requests, faded.
-    pub accomplished: f64,
+    pub score: f64,
     /// Others have met failures there.
     pub suspected: bool,
     /// Requests a second that this node may send it while it is cold; infinite where nothing is said.
-    pub cold_rate: f64,
+    pub slow_start_rate: f64,
 }
 
 /// How requests are split between two pools of servers while traffic is shifted from one to the other. Each replaces the
 /// one before.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Split {
+pub struct TrafficSplit {
     /// Part of each class's requests, from 0 to 1, that is meant for the new pool; where it ends, nothing is.
     pub shares: Vec<f64>,
     /// Servers by their pool, true for the new one. Those in neither take any request.
     pub pools: BTreeMap<Endpoint, bool>,
 }
 
-/// Number of [`Ending`]s.
-pub const ENDINGS: usize = 8;
+/// Number of [`AttemptOutcome`]s.
+pub const ATTEMPT_OUTCOMES: usize = 8;
 
 /// What a node has met of one server, for those who plan for all.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Observed {
+pub struct ServerObservation {
     /// The server.
     pub server: Endpoint,
     /// Its accomplishment at this node alone, in requests, faded.
-    pub accomplished: f64,
+    pub score: f64,
     /// Requests out to it.
     pub in_flight: u32,
     /// Its answers against the fleet's: 1 is usual.
-    pub lag: f64,
+    pub relative_latency: f64,
     /// Its share of failures, 0 to 1, recent ones counting most.
-    pub faults: f64,
+    pub failure_rate: f64,
     /// It is out of use here, for failures.
     pub ejected: bool,
-    /// How many attempts ended in each way, by [`Ending`] in its order.
-    pub endings: [u32; ENDINGS],
+    /// How many attempts ended in each way, by [`AttemptOutcome`] in its order.
+    pub outcomes: [u32; ATTEMPT_OUTCOMES],
 }
 
 /// What one process of a node has learnt, for another one that takes over from it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Learnt {
+pub struct LearnedState {
     /// Requests a second.
     pub rate: f64,
     /// The usual answer time of each class, and the number of answers that it is known from.
     pub classes: Vec<(Nanos, u32)>,
     /// How much longer than usual the fleet takes: 1 is usual.
-    pub pressure: f64,
+    pub slowdown: f64,
     /// The fleet's share of failures, 0 to 1.
-    pub faults: f64,
+    pub failure_rate: f64,
     /// What is known of each server.
-    pub servers: Vec<Known>,
+    pub servers: Vec<LearnedServer>,
 }
 
 /// What a process has learnt of one server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Known {
+pub struct LearnedServer {
     /// The server.
     pub server: Endpoint,
     /// Its accomplishment, in requests, faded.
-    pub accomplished: f64,
+    pub score: f64,
     /// Its answers against the fleet's: 1 is usual.
-    pub lag: f64,
+    pub relative_latency: f64,
     /// Its share of failures, 0 to 1.
-    pub faults: f64,
+    pub failure_rate: f64,
 }
 
-impl From<Observed> for Known {
-    fn from(o: Observed) -> Known {
-        Known { server: o.server, accomplished: o.accomplished, lag: o.lag, faults: o.faults }
+impl From<ServerObservation> for LearnedServer {
+    fn from(o: ServerObservation) -> LearnedServer {
+        LearnedServer { server: o.server, score: o.score, relative_latency: o.relative_latency, failure_rate: o.failure_rate }
     }
 }
 
@@ -484,13 +484,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// What the process has learnt from which this one takes over.
-    Learnt(Learnt),
+    TakeOver(LearnedState),
     /// A plan for the whole fleet has come, or has aged.
-    Plan(Guide),
+    Plan(NodePlan),
     /// This node's part, from 0 to 1, of what is split among all nodes; else it is an even one by the settings.
-    Share(f64),
+    QuotaShare(f64),
     /// Requests are split between two pools from now on, or (`None`) no longer.
-    Split(Option<Split>),
+    TrafficSplit(Option<TrafficSplit>),
     /// The list service spoke.
     List {
         /// What the entries are.
@@ -499,14 +499,14 @@
         servers: Vec<Server>,
     },
     /// Operators have put a server back into use: it is to be tried soon.
-    Restored {
+    Reinstated {
         /// The server.
         server: Endpoint,
     },
     /// A client's request came in; it is owed exactly one final answer.
     Request(Request),
     /// An attempt ended; each send gets exactly one.
-    Outcome {
+    AttemptEnded {
         /// The request.
         request: RequestId,
         /// The server it was sent to.
@@ -518,9 +518,9 @@
         /// Time since it was sent.
         took: Nanos,
         /// How it ended.
-        ending: Ending,
+        outcome: AttemptOutcome,
         /// The server's load, where told.
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     /// The answer of a streamed request has begun.
     StreamStarted {
@@ -543,11 +543,11 @@
         /// The server.
         server: Endpoint,
         /// How it went.
-        ending: Ending,
+        outcome: AttemptOutcome,
         /// How long it took.
         took: Nanos,
         /// The server's load, where told.
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     /// Bytes from another node.
     Message {
@@ -600,7 +600,7 @@
         server: Endpoint,
     },
     /// Send bytes to another node, or to all when `to` is `None`.
-    Tell {
+    SendToPeer {
         /// The peer's number.
         to: Option<u32>,
         /// At most 256 bytes.
--- a/crates/policy/src/learnt.rs
+++ b/crates/policy/src/learnt.rs
@@ -7,20 +7,20 @@
 
 impl Balancer {
     /// What this process has learnt.
-    pub fn learnt(&self, now: Nanos) -> Learnt {
+    pub fn learned_state(&self, now: Nanos) -> LearnedState {
         let classes = self.typical.iter().zip(&self.answers);
-        let servers = self.observed(now).map(Known::from);
-        Learnt {
+        let servers = self.observations(now).map(LearnedServer::from);
+        LearnedState {
             rate: self.arrivals.since_start(now, self.settings.ramp as f64),
             classes: classes.map(|(&typical, &answers)| (typical as Nanos, answers)).collect(),
-            pressure: self.pressure_now(now),
-            faults: self.faults,
+            slowdown: self.slowdown_now(now),
+            failure_rate: self.failure_rate,
             servers: servers.collect(),
         }
     }
 
     /// Takes over what another process of the node has learnt, of the servers that are in the list here.
-    pub(super) fn take_over(&mut self, now: Nanos, learnt: Learnt) {
+    pub(super) fn take_over(&mut self, now: Nanos, learnt: LearnedState) {
         let sound = |figure: f64, most: f64| if figure.is_finite() { figure.clamp(0.0, most) } else { 0.0 };
         self.arrivals.set(now, self.settings.ramp as f64, sound(learnt.rate, 1e9));
         for (class, (typical, answers)) in learnt.classes.into_iter().enumerate().take(self.typical.len()) {
@@ -28,15 +28,15 @@
                 (self.typical[class], self.answers[class]) = (typical as f64, answers);
             }
         }
-        (self.pressure, self.pressure_at) = (sound(learnt.pressure, SURGE).max(LIGHTEST), now);
-        self.faults = sound(learnt.faults, 1.0);
+        (self.slowdown, self.slowdown_at) = (sound(learnt.slowdown, SURGE).max(LIGHTEST), now);
+        self.failure_rate = sound(learnt.failure_rate, 1.0);
         let grown = self.increment(now);
         for known in learnt.servers {
             let Some(&i) = self.by_endpoint.get(&known.server) else { continue };
             let node = &mut self.nodes[i];
-            (node.lag, node.lag_at) = (sound(known.lag, SURGE).max(LIGHTEST), now);
-            (node.faults, node.fault_at) = (sound(known.faults, 1.0), now);
-            self.credit(i, sound(known.accomplished, 1e9) * grown);
+            (node.relative_latency, node.latency_at) = (sound(known.relative_latency, SURGE).max(LIGHTEST), now);
+            (node.failure_rate, node.failure_rate_at) = (sound(known.failure_rate, 1.0), now);
+            self.credit(i, sound(known.score, 1e9) * grown);
         }
     }
 }
--- a/crates/policy/src/plan.rs
+++ b/crates/policy/src/plan.rs
@@ -9,20 +9,20 @@
 
 impl Balancer {
     /// What was met of each server that is not gone, without what a plan has said of it.
-    pub fn observed(&self, now: Nanos) -> impl Iterator<Item = Observed> + '_ {
+    pub fn observations(&self, now: Nanos) -> impl Iterator<Item = ServerObservation> + '_ {
         let grown = (now.saturating_sub(self.epoch) as f64 / self.fade()).exp();
-        let known = (0..self.nodes.len()).filter(|&i| self.nodes[i].server.phase != Phase::Gone);
+        let known = (0..self.nodes.len()).filter(|&i| self.nodes[i].server.phase != Phase::Removed);
         known.map(move |i| {
             let node = &self.nodes[i];
-            let fresh = (-(now.saturating_sub(node.lag_at) as f64) / self.memory).exp();
-            Observed {
+            let fresh = (-(now.saturating_sub(node.latency_at) as f64) / self.memory).exp();
+            ServerObservation {
                 server: node.server.endpoint,
-                accomplished: ((node.score - node.planned) / grown).max(0.0),
+                score: ((node.score - node.planned) / grown).max(0.0),
                 in_flight: node.out,
-                lag: 1.0 + (node.lag - 1.0) * fresh,
-                faults: self.faults_now(now, i),
+                relative_latency: 1.0 + (node.relative_latency - 1.0) * fresh,
+                failure_rate: self.failure_rate_now(now, i),
                 ejected: node.blocked_until > now,
-                endings: node.endings,
+                outcomes: node.outcomes,
             }
         })
     }
@@ -33,27 +33,27 @@
     }
 
     /// Requests a second that were let in lately, by class and by tenant.
-    pub fn admitted(&self, now: Nanos) -> [Vec<f64>; 2] {
+    pub fn admitted_rates(&self, now: Nanos) -> [Vec<f64>; 2] {
         [&self.classes, &self.tenants].map(|rates| rates.iter().map(|r| r.read(now, self.memory)).collect())
     }
 
     /// Takes over what a plan says. What it adds to a counter fades as own counts do, which then take over.
-    pub(super) fn follow_plan(&mut self, now: Nanos, guide: Guide) {
+    pub(super) fn follow_plan(&mut self, now: Nanos, guide: NodePlan) {
         let grown = self.increment(now) * guide.trust.clamp(0.0, 1.0);
         let known = guide.servers.iter().filter_map(|s| Some((*self.by_endpoint.get(&s.server)?, s)));
         let standings = known.collect::<BTreeMap<_, _>>();
         for i in 0..self.nodes.len() {
             let said = standings.get(&i);
-            let standing = said.map_or(0.0, |s| s.accomplished);
+            let standing = said.map_or(0.0, |s| s.score);
             let planned = if standing.is_finite() { standing.max(0.0) * grown } else { 0.0 };
             let node = &mut self.nodes[i];
             node.suspected = said.is_some_and(|s| s.suspected);
-            node.cold_rate = said.map_or(f64::INFINITY, |s| s.cold_rate);
+            node.slow_start_rate = said.map_or(f64::INFINITY, |s| s.slow_start_rate);
             let more = planned - std::mem::replace(&mut node.planned, planned);
             self.credit(i, more);
         }
         let regroup = (guide.trust > 0.0) != (self.guide.trust > 0.0);
-        self.guide = Guide { servers: Vec::new(), ..guide };
+        self.guide = NodePlan { servers: Vec::new(), ..guide };
         if regroup {
             (0..self.zones.len()).for_each(|zone| self.regroup(now, zone));
         }
--- a/crates/policy/src/pools.rs
+++ b/crates/policy/src/pools.rs
@@ -7,7 +7,7 @@
 const NEW: u8 = 2;
 
 impl Balancer {
-    pub(super) fn follow_split(&mut self, now: Nanos, split: Option<Split>) {
+    pub(super) fn follow_split(&mut self, now: Nanos, split: Option<TrafficSplit>) {
         for node in &mut self.nodes {
             let pool = split.as_ref().and_then(|s| s.pools.get(&node.server.endpoint));
             node.pool = pool.map_or(0, |&new| if new { NEW } else { OLD });
@@ -19,7 +19,7 @@
     /// The pool that a request is meant for; a repeat goes to the old one: failures do not hurry the shift.
     fn lane(&self, pending: &Pending) -> Option<u8> {
         let share = self.split.as_ref()?.shares.get(usize::from(pending.request.class));
-        let within = pending.request.within(*share.unwrap_or(&0.0));
+        let within = pending.request.in_split_share(*share.unwrap_or(&0.0));
         Some(if within && pending.attempts.is_empty() { NEW } else { OLD })
     }
 
@@ -28,7 +28,7 @@
         self.lane = self.lane(pending);
         let found = self.choose_near(now, pending);
         let class = usize::from(pending.request.class);
-        let late = |q: f64| q * self.typical[class] > self.settings.classes[class].aim as f64;
+        let late = |q: f64| q * self.typical[class] > self.settings.classes[class].latency_target as f64;
         let good = found.is_some_and(|(_, q)| self.lane != Some(NEW) || !late(q));
         if self.lane.take().is_none() || good {
             return found;
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -1,7 +1,7 @@
 //! Reads an instance's settings from `path=value` pairs: the adapter gets them as lines, the node flattens its
 //! JSON to the same paths. Unknown keys are skipped, missing or broken ones named.
 
-use crate::interface::{Class, Effect, Group, Nanos, Settings};
+use crate::interface::{Class, Idempotency, DedupGroup, Nanos, Settings};
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
@@ -84,18 +84,18 @@
 
 fn class(pairs: &Pairs, k: usize) -> Result<Class, String> {
     let key = |name: &str| format!("classes.{k}.{name}");
-    let effects = [("pure", Effect::Safe), ("token", Effect::Keyed), ("side_effect", Effect::Unsafe)];
-    let groups = [("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)];
+    let effects = [("pure", Idempotency::Safe), ("token", Idempotency::Keyed), ("side_effect", Idempotency::Unsafe)];
+    let groups = [("all", DedupGroup::All), ("zone", DedupGroup::Zone), ("cell", DedupGroup::Cell)];
     let effect = choice(pairs, &key("effect"), &effects)?;
-    let keyed = effect == Effect::Keyed;
+    let keyed = effect == Idempotency::Keyed;
     Ok(Class {
-        aim: duration(pairs, &key("aimNs"))?,
-        give_up: duration(pairs, &key("giveUpNs"))?,
-        worth: pairs.get(&key("worth"))?,
-        late_worth: pairs.or(&key("lateWorth"), 0.0)?,
-        effect,
-        group: if keyed { choice(pairs, &key("group"), &groups)? } else { Group::All },
-        window: if keyed { pairs.get(&key("windowNs"))? } else { 0 },
+        latency_target: duration(pairs, &key("aimNs"))?,
+        client_timeout: duration(pairs, &key("giveUpNs"))?,
+        value: pairs.get(&key("worth"))?,
+        late_value: pairs.or(&key("lateWorth"), 0.0)?,
+        idempotency: effect,
+        dedup_group: if keyed { choice(pairs, &key("group"), &groups)? } else { DedupGroup::All },
+        dedup_window: if keyed { pairs.get(&key("windowNs"))? } else { 0 },
         stream: pairs.or(&key("stream"), false)?,
     })
 }
@@ -103,7 +103,7 @@
 /// A value that a load report can carry, by its name on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[allow(missing_docs)] // The names say it all.
-pub enum ReportField {
+pub enum LoadReportField {
     Concurrent,
     Queued,
     Utilisation,
@@ -113,17 +113,17 @@
     Unknown,
 }
 
-impl ReportField {
+impl LoadReportField {
     /// Names that are not known are skipped.
     pub fn from_name(name: &str) -> Self {
         match name {
-            "concurrent" => ReportField::Concurrent,
-            "depth" => ReportField::Queued,
-            "load_share" => ReportField::Utilisation,
-            "mean_ms" => ReportField::ServiceMs,
-            "tps" => ReportField::Rate,
-            "err_ps" => ReportField::ErrorRate,
-            _ => ReportField::Unknown,
+            "concurrent" => LoadReportField::Concurrent,
+            "depth" => LoadReportField::Queued,
+            "load_share" => LoadReportField::Utilisation,
+            "mean_ms" => LoadReportField::ServiceMs,
+            "tps" => LoadReportField::Rate,
+            "err_ps" => LoadReportField::ErrorRate,
+            _ => LoadReportField::Unknown,
         }
     }
 }
@@ -133,7 +133,7 @@
 const DRAIN_GRACE: Nanos = 100_000_000;
 
 /// Settings and the order of the load report's values.
-pub fn parse(pairs: &Pairs) -> Result<(Settings, Vec<ReportField>), String> {
+pub fn parse(pairs: &Pairs) -> Result<(Settings, Vec<LoadReportField>), String> {
     let classes = (0..pairs.count("classes")?).map(|k| class(pairs, k)).collect::<Result<_, _>>()?;
     let tenant_quota = (0..pairs.count("tenants")?)
         .map(|k| pairs.get(&format!("tenants.{k}.quotaPerS")))
@@ -145,29 +145,29 @@
     let settings = Settings {
         classes,
         tenant_quota,
-        over_share_worth: pairs.or("overShareWorth", 1.0)?,
-        worth_by_work: pairs.or("countedBy", String::new())? == "work",
+        over_quota_value: pairs.or("overShareWorth", 1.0)?,
+        value_per_work: pairs.or("countedBy", String::new())? == "work",
         zone: pairs.position("zone", zones.min(256))? as u8,
         ordinal: pairs.get("ordinal")?,
         group_size: pairs.get("groupSize")?,
         must_subscribe: choice(pairs, "registryMode", &[("automatic", false), ("subscribe", true)])?,
-        ask_within: pairs.or("guarantees.askWithinNs", ASK_WITHIN)?,
+        max_list_age: pairs.or("guarantees.askWithinNs", ASK_WITHIN)?,
         drain_grace: pairs.or("guarantees.stopSendingWithinNs", DRAIN_GRACE)?,
         max_attempts: pairs.get("caps.maxAttempts")?,
-        second_copies: pairs.get("caps.secondCopies")?,
+        hedging: pairs.get("caps.secondCopies")?,
         cancel: pairs.get("caps.cancelling")?,
         probes: pairs.get("caps.mayProbe")?,
         peers: pairs.get("caps.peers")?,
         retry_after,
         max_retry_after: if retry_after { pairs.get("caps.maxRetryAfterNs")? } else { 0 },
-        cold_from: pairs.get("guarantees.coldFrom")?,
+        initial_capacity: pairs.get("guarantees.coldFrom")?,
         ramp: pairs.get("guarantees.rampTimeNs")?,
-        tip_multiple: pairs.get("guarantees.tipMultiple")?,
-        fall: pairs.get("guarantees.fallNs")?,
+        overload_multiple: pairs.get("guarantees.tipMultiple")?,
+        overload_window: pairs.get("guarantees.fallNs")?,
         sizes_known: pairs.or("weightSource", String::from("none"))? != "none",
-        warm_keys: pairs.or("familyInfo.warmKeys", false)?,
-        cross_price: pairs.or("prices.crossZone", 0.0)?,
+        key_affinity: pairs.or("familyInfo.warmKeys", false)?,
+        cross_zone_cost: pairs.or("prices.crossZone", 0.0)?,
     };
     settings.validate().map_err(|e| e.to_string())?;
-    Ok((settings, names.split(',').map(ReportField::from_name).collect()))
+    Ok((settings, names.split(',').map(LoadReportField::from_name).collect()))
 }
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -20,7 +20,7 @@
 impl Balancer {
     /// The part of its capacity that a server has reached for certain.
     pub(super) fn cold_share(&self, now: Nanos, i: usize) -> f64 {
-        self.nodes[i].server.warmth(now, self.settings.cold_from, self.settings.ramp)
+        self.nodes[i].server.capacity_fraction(now, self.settings.initial_capacity, self.settings.ramp)
     }
 
     /// When the next request may go to a server that is sent one now. After a pause it may get some in a row.
@@ -28,14 +28,14 @@
         if self.cold_share(now, i) >= 1.0 {
             return 0;
         }
-        let saved = (BURST * self.settings.fall as f64) as Nanos;
+        let saved = (BURST * self.settings.overload_window as f64) as Nanos;
         let from = self.nodes[i].cold_next.max(now.saturating_sub(saved));
         from.saturating_add(self.cold_interval(now, i) as Nanos)
     }
 
     /// The longest wait before the first send to a server that starts. With no request yet there is no rate.
     pub(super) fn first_wait(&self, now: Nanos, i: usize) -> f64 {
-        let (fall, ramp) = (self.settings.fall as f64, self.settings.ramp as f64);
+        let (fall, ramp) = (self.settings.overload_window as f64, self.settings.ramp as f64);
         let known = self.arrivals.since_start(now, ramp) > 0.0;
         if known {
             self.cold_interval(now, i).min(ramp)
@@ -46,14 +46,14 @@
 
     /// Time between two sends to a server in slow start.
     fn cold_interval(&self, now: Nanos, i: usize) -> f64 {
-        let multiple = MARGIN * self.settings.tip_multiple;
+        let multiple = MARGIN * self.settings.overload_multiple;
         let ramp = self.settings.ramp as f64;
         let share = self.cold_share(now, i) * self.even_part(i);
         let served = share * self.served.since_start(now, ramp);
-        let served_here = self.nodes[i].served.read(now, self.settings.fall as f64);
+        let served_here = self.nodes[i].served.read(now, self.settings.overload_window as f64);
         let arrivals = share * self.arrivals.since_start(now, ramp);
         let budget = (multiple * served.max(served_here)).max(ARRIVALS_PART * arrivals);
-        1e9 / budget.min(self.nodes[i].cold_rate).max(1e-6)
+        1e9 / budget.min(self.nodes[i].slow_start_rate).max(1e-6)
     }
 
     /// The part of this node's requests that a server of this size gets if all are equal. All nodes may cross
--- a/crates/policy/src/trial.rs
+++ b/crates/policy/src/trial.rs
@@ -23,13 +23,13 @@
         let mut trials = std::mem::take(&mut self.trials);
         trials.retain(|t| self.nodes[t.0].server.phase == Phase::Ready);
         let class = usize::from(pending.request.class);
-        let safe = self.settings.classes[class].effect == Effect::Safe;
-        let patience = (PICKY * self.settings.fall as f64) as Nanos;
+        let safe = self.settings.classes[class].idempotency == Idempotency::Safe;
+        let patience = (PICKY * self.settings.overload_window as f64) as Nanos;
         let at = trials.iter().position(|&(i, since)| {
             let node = &self.nodes[i];
             let took = self.typical[class] / self.cold_share(now, i);
             let fits =
-                took <= self.settings.classes[class].aim as f64 || now.saturating_sub(since) >= patience;
+                took <= self.settings.classes[class].latency_target as f64 || now.saturating_sub(since) >= patience;
             safe && fits && node.out == 0 && node.blocked_until <= now && node.cold_next <= now
         });
         let tried = at.map(|k| trials.remove(k).0);
--- a/crates/policy/tests/cancellations.rs
+++ b/crates/policy/tests/cancellations.rs
@@ -29,7 +29,7 @@
     request: RequestId,
     attempt: u8,
     server: Endpoint,
-    ending: Ending,
+    outcome: AttemptOutcome,
 }
 
 /// Random arrivals at one node in front of servers of which the first never answers.
@@ -48,7 +48,7 @@
 
 impl World {
     fn new(servers_count: u8, seed: u64) -> Self {
-        let bed = Bed::new(settings(Effect::Safe), servers(servers_count), seed);
+        let bed = Bed::new(settings(Idempotency::Safe), servers(servers_count), seed);
         let random = Pcg64Mcg::seed_from_u64(seed);
         let started = bed.now;
         World {
@@ -85,7 +85,7 @@
                         self.dead += u32::from(server == endpoint(0));
                         self.all += 1;
                     }
-                    let (took, ending) = self.service(server);
+                    let (took, outcome) = self.service(server);
                     let attempt = self.open.iter().filter(|a| a.request == request).count() as u8;
                     let sent_at = self.bed.now;
                     self.open.push(Attempt {
@@ -94,13 +94,13 @@
                         request,
                         attempt,
                         server,
-                        ending,
+                        outcome,
                     });
                 }
                 Action::Cancel { request, attempt } => {
                     for open in self.open.iter_mut().filter(|a| (a.request, a.attempt) == (request, attempt))
                     {
-                        (open.ends_at, open.ending) = (self.bed.now, Ending::Cancelled);
+                        (open.ends_at, open.outcome) = (self.bed.now, AttemptOutcome::Cancelled);
                     }
                 }
                 _ => {}
@@ -109,12 +109,12 @@
     }
 
     /// How long an attempt takes at a server and how it ends, where nobody calls it off.
-    fn service(&mut self, server: Endpoint) -> (Nanos, Ending) {
+    fn service(&mut self, server: Endpoint) -> (Nanos, AttemptOutcome) {
         if server == endpoint(0) && !self.recovered() {
-            return (CONNECT_TIMEOUT, Ending::ConnectFailed);
+            return (CONNECT_TIMEOUT, AttemptOutcome::ConnectFailed);
         }
         let step = u64::from(server.address[3]) % 3;
-        (self.exponential(((20 + 20 * step) * MS) as f64), Ending::Ok)
+        (self.exponential(((20 + 20 * step) * MS) as f64), AttemptOutcome::Ok)
     }
 
     fn recovered(&self) -> bool {
@@ -134,11 +134,11 @@
             self.take(actions);
         }
         if let Some(k) = self.open.iter().position(|a| a.ends_at <= self.bed.now) {
-            let Attempt { sent_at, request, attempt, server, ending, .. } = self.open.swap_remove(k);
+            let Attempt { sent_at, request, attempt, server, outcome, .. } = self.open.swap_remove(k);
             let took = self.bed.now - sent_at;
-            let actions = self.bed.outcome(request, server, attempt, took, ending);
+            let actions = self.bed.outcome(request, server, attempt, took, outcome);
             self.take(actions);
-            if ending == Ending::Ok {
+            if outcome == AttemptOutcome::Ok {
                 self.leaving.retain(|l| l.1 != request);
             }
         }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -14,10 +14,10 @@
     (0..n).map(|k| Server::warm(endpoint(k))).collect()
 }
 
-pub fn settings(effect: Effect) -> Settings {
+pub fn settings(idempotency: Idempotency) -> Settings {
     let mut settings = Settings::single_class(400 * MS, 800 * MS);
-    settings.classes[0].effect = effect;
-    settings.classes[0].window = 600 * MS;
+    settings.classes[0].idempotency = effect;
+    settings.classes[0].dedup_window = 600 * MS;
     settings.max_attempts = 4;
     settings
 }
@@ -31,9 +31,9 @@
 
 /// A worthy class, and one of an eighth of its worth, both with 400 ms to be in aim.
 pub fn two_classes() -> Settings {
-    let mut settings = settings(Effect::Safe);
+    let mut settings = settings(Idempotency::Safe);
     let class = settings.classes[0].clone();
-    settings.classes.push(Class { worth: class.worth / 8.0, ..class });
+    settings.classes.push(Class { value: class.value / 8.0, ..class });
     settings
 }
 
@@ -83,10 +83,10 @@
         server: Endpoint,
         attempt: u8,
         took: Nanos,
-        ending: Ending,
+        outcome: AttemptOutcome,
     ) -> Vec<Action> {
-        let finished = ending == Ending::Ok;
-        self.feed(Event::Outcome { request, server, attempt, finished, took, ending, report: None })
+        let finished = outcome == AttemptOutcome::Ok;
+        self.feed(Event::AttemptEnded { request, server, attempt, finished, took, outcome, report: None })
     }
 
     /// Brings the answers that are due by now, the earliest first.
@@ -94,7 +94,7 @@
         out.sort_unstable_by_key(|o| o.0);
         while out.first().is_some_and(|o| o.0 <= self.now) {
             let (at, sent_at, id, server) = out.remove(0);
-            self.outcome(id, server, 0, at - sent_at, Ending::Ok);
+            self.outcome(id, server, 0, at - sent_at, AttemptOutcome::Ok);
         }
     }
 
@@ -102,7 +102,7 @@
     pub fn served(&mut self, took: Nanos) -> Option<Endpoint> {
         let (id, actions) = self.request();
         let server = sent(&actions, id)?;
-        self.outcome(id, server, 0, took, Ending::Ok);
+        self.outcome(id, server, 0, took, AttemptOutcome::Ok);
         Some(server)
     }
 }
--- a/crates/policy/tests/cost.rs
+++ b/crates/policy/tests/cost.rs
@@ -15,15 +15,15 @@
 
 /// A bed with so many servers in nine zones, and so many nodes on them.
 fn bed(servers: u32, nodes: u32) -> Bed {
-    let settings = Settings { group_size: nodes, ordinal: nodes / 3, ..settings(Effect::Safe) };
+    let settings = Settings { group_size: nodes, ordinal: nodes / 3, ..settings(Idempotency::Safe) };
     Bed::new(settings, (0..servers).map(server).collect(), 7)
 }
 
 /// What this list costs.
-fn steps(bed: &mut Bed, kind: ListKind, servers: Vec<Server>) -> u64 {
-    let before = bed.balancer.steps();
+fn list_update_steps(bed: &mut Bed, kind: ListKind, servers: Vec<Server>) -> u64 {
+    let before = bed.balancer.list_update_steps();
     bed.list(kind, servers);
-    bed.balancer.steps() - before
+    bed.balancer.list_update_steps() - before
 }
 
 /// One more, one started anew, one that drains, goes and comes back.
@@ -31,7 +31,7 @@
     let now = bed.now;
     let cold = |k| Server { started_at: now, ..server(k) };
     let phase = |phase| Server { phase, ..server(11) };
-    [cold(servers), cold(5), phase(Phase::Draining), phase(Phase::Gone), cold(11)]
+    [cold(servers), cold(5), phase(Phase::Draining), phase(Phase::Removed), cold(11)]
         .map(|server| steps(bed, ListKind::Changes, vec![server]))
 }
 
@@ -57,12 +57,12 @@
     bed.list(ListKind::Full, Vec::new());
     bed.now += 2_000 * MS;
     let cost = steps(&mut bed, ListKind::Changes, (count..2 * count).map(server).collect());
-    assert_eq!(bed.balancer.servers_held(), count as usize);
+    assert_eq!(bed.balancer.tracked_servers(), count as usize);
     assert!(cost <= 3 * u64::from(count), "{cost}");
     // Those of before have lost their places; the ones of now stay.
     bed.now += 2_000 * MS;
     let cost = steps(&mut bed, ListKind::Changes, (0..100).map(server).collect());
-    assert_eq!(bed.balancer.servers_held(), count as usize + 100);
+    assert_eq!(bed.balancer.tracked_servers(), count as usize + 100);
     assert!(cost <= 100, "{cost}");
 }
 
@@ -89,10 +89,10 @@
 
 #[test]
 fn a_server_that_moves_to_another_zone_goes_on() {
-    let mut bed = Bed::new(settings(Effect::Safe), vec![Server::warm(endpoint(1))], 1);
+    let mut bed = Bed::new(settings(Idempotency::Safe), vec![Server::warm(endpoint(1))], 1);
     let moved = Server { zone: 3, ..Server::warm(endpoint(1)) };
     bed.list(ListKind::Changes, vec![moved]);
     assert_eq!(bed.served(MS), Some(endpoint(1)));
-    bed.list(ListKind::Changes, vec![Server { phase: Phase::Gone, ..moved }]);
+    bed.list(ListKind::Changes, vec![Server { phase: Phase::Removed, ..moved }]);
     assert_eq!(bed.served(MS), None);
 }
--- a/crates/policy/tests/few.rs
+++ b/crates/policy/tests/few.rs
@@ -9,7 +9,7 @@
 /// answers take 100 ms, then a jam makes them 340 ms, which is more than is worth waiting for. How many of either class
 /// are refused in the 10 s from the start of the jam on, and of how many.
 fn refused_in_a_jam() -> [(u32, u32); 2] {
-    let mut bed = Bed::new(Settings { second_copies: false, ..two_classes() }, servers(12), 7);
+    let mut bed = Bed::new(Settings { hedging: false, ..two_classes() }, servers(12), 7);
     let jam = bed.now + 6_000 * MS;
     let mut out: Vec<Out> = Vec::new();
     let mut seen = [(0, 0); 2];
@@ -41,7 +41,7 @@
 /// How many servers of 40 a node ranks after 12 s at a rate. It is one of 300 in a single zone, and every answer takes
 /// 100 ms.
 fn ranked_at(rate: u64) -> usize {
-    let many = Settings { group_size: 300, second_copies: false, ..settings(Effect::Safe) };
+    let many = Settings { group_size: 300, hedging: false, ..settings(Idempotency::Safe) };
     let mut bed = Bed::new(many, servers(40), 7);
     let mut out: Vec<Out> = Vec::new();
     for id in 1..=12 * rate as u32 {
--- a/crates/policy/tests/incidents.rs
+++ b/crates/policy/tests/incidents.rs
@@ -17,7 +17,7 @@
 /// A node that refuses nearly all in a jam has to find out that the jam is over (incidents i2aee08, i42901a).
 #[test]
 fn a_jam_is_forgotten() {
-    let mut bed = Bed::new(settings(Effect::Safe), servers(10), 3);
+    let mut bed = Bed::new(settings(Idempotency::Safe), servers(10), 3);
     for _ in 0..300 {
         bed.now += 10 * MS;
         bed.served(100 * MS);
@@ -34,10 +34,10 @@
 #[test]
 fn copies_stop_in_a_jam() {
     let copies = |jammed: bool| {
-        let mut s = settings(Effect::Safe);
-        s.second_copies = true;
+        let mut s = settings(Idempotency::Safe);
+        s.hedging = true;
         // Aims so long that nothing is refused: only the budget decides.
-        s.classes[0].aim = 799 * MS;
+        s.classes[0].latency_target = 799 * MS;
         let mut bed = Bed::new(s, servers(10), 3);
         for _ in 0..300 {
             bed.now += 10 * MS;
@@ -60,11 +60,11 @@
 /// A time-out alone ejects nobody: in an overload it would push the work onto ever fewer servers (round 1).
 #[test]
 fn a_time_out_does_not_eject() {
-    let mut bed = Bed::new(settings(Effect::Unsafe), servers(2), 3);
+    let mut bed = Bed::new(settings(Idempotency::Unsafe), servers(2), 3);
     let (id, actions) = bed.request();
     let server = sent(&actions, id).unwrap();
     bed.now += 800 * MS;
-    assert!(failed(&bed.outcome(id, server, 0, 800 * MS, Ending::TimedOut), id));
+    assert!(failed(&bed.outcome(id, server, 0, 800 * MS, AttemptOutcome::TimedOut), id));
     bed.now += 10_000 * MS;
     let met = (0..20).filter(|_| bed.served(50 * MS) == Some(server)).count();
     assert!(met > 0, "it is used as before");
@@ -73,10 +73,10 @@
         let (id, actions) = bed.request();
         match sent(&actions, id) {
             Some(other) if other == server => break (id, server),
-            other => drop(bed.outcome(id, other.unwrap(), 0, 50 * MS, Ending::Ok)),
+            other => drop(bed.outcome(id, other.unwrap(), 0, 50 * MS, AttemptOutcome::Ok)),
         }
     };
-    bed.outcome(id, server, 0, MS, Ending::ConnectFailed);
+    bed.outcome(id, server, 0, MS, AttemptOutcome::ConnectFailed);
     let met = (0..20).filter(|_| bed.served(50 * MS) == Some(server)).count();
     assert_eq!(met, 0, "a dead one is ejected");
 }
@@ -84,11 +84,11 @@
 /// An old report fades to the usual queue, so a server unheard of does not look idle (round 7).
 #[test]
 fn an_old_report_does_not_look_idle() {
-    let mut bed = Bed::new(settings(Effect::Safe), servers(2), 3);
-    let report = |queued| Some(Report { queued: Some(queued), ..Report::default() });
+    let mut bed = Bed::new(settings(Idempotency::Safe), servers(2), 3);
+    let report = |queued| Some(LoadReport { queued: Some(queued), ..LoadReport::default() });
     let tell = |bed: &mut Bed, k, queued| {
         let (server, report) = (endpoint(k), report(queued));
-        bed.feed(Event::Probed { server, ending: Ending::Ok, took: MS, report });
+        bed.feed(Event::Probed { server, outcome: AttemptOutcome::Ok, took: MS, report });
     };
     for _ in 0..300 {
         tell(&mut bed, 0, 4.0);
@@ -104,8 +104,8 @@
 /// Requests of one key keep to one server while all are quick, and leave it when it is slow.
 #[test]
 fn a_key_keeps_its_server() {
-    let mut s = settings(Effect::Safe);
-    s.warm_keys = true;
+    let mut s = settings(Idempotency::Safe);
+    s.key_affinity = true;
     let mut bed = Bed::new(s, servers(20), 3);
     let mut homes: BTreeMap<u64, BTreeSet<Endpoint>> = BTreeMap::new();
     let mut id = 0;
@@ -114,7 +114,7 @@
         bed.now += 20 * MS;
         let request = Request { key, ..Request::new(id, bed.now + 800 * MS) };
         let server = sent(&bed.feed(Event::Request(request)), id).expect("sent");
-        bed.outcome(id, server, 0, took(server), Ending::Ok);
+        bed.outcome(id, server, 0, took(server), AttemptOutcome::Ok);
         server
     };
     for round in 0..200u64 {
@@ -132,12 +132,12 @@
 /// answers that take long because they were heavy do not make the fleet look jammed (incident i1d8653).
 #[test]
 fn a_heavy_answer_is_no_jam() {
-    let mut bed = Bed::new(settings(Effect::Safe), servers(6), 3);
+    let mut bed = Bed::new(settings(Idempotency::Safe), servers(6), 3);
     let serve = |bed: &mut Bed, hint: Nanos| {
         bed.now += 10 * MS;
         let (id, actions) = bed.hinted(Some(hint));
         if let Some(server) = sent(&actions, id) {
-            bed.outcome(id, server, 0, 40 * MS + hint, Ending::Ok);
+            bed.outcome(id, server, 0, 40 * MS + hint, AttemptOutcome::Ok);
         }
         sent(&actions, id).is_some()
     };
@@ -157,7 +157,7 @@
 fn nodes_share_out_the_fleet() {
     let mut met = BTreeMap::new();
     for ordinal in 0..40 {
-        let mut s = settings(Effect::Safe);
+        let mut s = settings(Idempotency::Safe);
         (s.ordinal, s.group_size) = (ordinal, 40);
         let mut bed = Bed::new(s, servers(60), 3);
         let mut mine = BTreeSet::new();
@@ -178,8 +178,8 @@
 #[test]
 fn cold_servers_enlarge_a_part() {
     let warm = |cold: bool| {
-        let mut s = settings(Effect::Safe);
-        (s.group_size, s.ramp, s.cold_from) = (40, 10_000 * MS, 0.1);
+        let mut s = settings(Idempotency::Safe);
+        (s.group_size, s.ramp, s.initial_capacity) = (40, 10_000 * MS, 0.1);
         let mut list = servers(60);
         for server in list.iter_mut().step_by(2).filter(|_| cold) {
             server.started_at = 1_000_000 * MS;
@@ -201,9 +201,9 @@
 /// refusals; another within its share gets all (incident i02148f).
 #[test]
 fn a_tenant_gets_its_share() {
-    let mut s = settings(Effect::Safe);
+    let mut s = settings(Idempotency::Safe);
     s.tenant_quota = vec![20.0, 20.0];
-    s.over_share_worth = 0.1;
+    s.over_quota_value = 0.1;
     let mut bed = Bed::new(s, servers(6), 3);
     let mut let_in = [0u32; 2];
     for step in 0..1_000 {
@@ -213,7 +213,7 @@
             let request = Request { tenant, ..Request::new(id, bed.now + 800 * MS) };
             let actions = bed.feed(Event::Request(request));
             if let Some(server) = sent(&actions, id) {
-                bed.outcome(id, server, 0, 130 * MS, Ending::Ok);
+                bed.outcome(id, server, 0, 130 * MS, AttemptOutcome::Ok);
                 let_in[tenant as usize] += 1;
             }
         }
@@ -225,9 +225,9 @@
 /// An answer that still earns half its worth late is waited for longer (round 32).
 #[test]
 fn late_worth_is_waited_for() {
-    let let_in = |late_worth: f64| {
-        let mut s = settings(Effect::Safe);
-        s.classes[0].late_worth = late_worth;
+    let let_in = |late_value: f64| {
+        let mut s = settings(Idempotency::Safe);
+        s.classes[0].late_value = late_value;
         let mut bed = Bed::new(s, servers(6), 3);
         (0..100)
             .filter(|_| {
@@ -243,31 +243,31 @@
 /// One spoilt answer among many good ones, as any server may give, leaves its server in.
 #[test]
 fn a_single_fault_ejects_nobody() {
-    let mut bed = Bed::new(settings(Effect::Unsafe), servers(2), 3);
-    let both = |bed: &mut Bed, ending: Ending| {
+    let mut bed = Bed::new(settings(Idempotency::Unsafe), servers(2), 3);
+    let both = |bed: &mut Bed, outcome: AttemptOutcome| {
         bed.now += 10 * MS;
         let pair: Vec<_> = (0..2).map(|_| bed.request()).collect();
         let to: BTreeSet<_> = pair.iter().filter_map(|(id, actions)| sent(actions, *id)).collect();
         for (id, actions) in &pair {
             let server = sent(actions, *id).expect("two servers take two requests");
-            let ending = if server == endpoint(0) { ending } else { Ending::Ok };
-            bed.outcome(*id, server, 0, 60 * MS, ending);
+            let outcome = if server == endpoint(0) { outcome } else { AttemptOutcome::Ok };
+            bed.outcome(*id, server, 0, 60 * MS, outcome);
         }
         to.len()
     };
     for _ in 0..50 {
-        both(&mut bed, Ending::Ok);
+        both(&mut bed, AttemptOutcome::Ok);
     }
-    assert_eq!(both(&mut bed, Ending::Reset), 2);
+    assert_eq!(both(&mut bed, AttemptOutcome::Reset), 2);
     for k in 0..20 {
-        assert_eq!(both(&mut bed, Ending::Ok), 2, "pair {k} after the fault goes to both");
+        assert_eq!(both(&mut bed, AttemptOutcome::Ok), 2, "pair {k} after the fault goes to both");
     }
 }
 
 /// A server that fails much more often than the others is left alone, also when it serves in between.
 #[test]
 fn a_server_that_fails_now_and_then_is_left_alone() {
-    let mut bed = Bed::new(settings(Effect::Unsafe), servers(10), 3);
+    let mut bed = Bed::new(settings(Idempotency::Unsafe), servers(10), 3);
     let mut met = 0;
     for k in 0..1500u32 {
         bed.now += 10 * MS;
@@ -276,7 +276,7 @@
         let odd = server == endpoint(3);
         met += u32::from(odd && k >= 500);
         let spoilt = odd && k % 2 == 0;
-        bed.outcome(id, server, 0, 60 * MS, if spoilt { Ending::Reset } else { Ending::Ok });
+        bed.outcome(id, server, 0, 60 * MS, if spoilt { AttemptOutcome::Reset } else { AttemptOutcome::Ok });
     }
     assert!(met < 30, "{met} of 1000 went to the one that fails every second time");
 }
@@ -284,7 +284,7 @@
 /// Ever new servers: what is held for those that have left does not grow.
 #[test]
 fn departed_servers_are_forgotten() {
-    let mut bed = Bed::new(settings(Effect::Safe), vec![], 3);
+    let mut bed = Bed::new(settings(Idempotency::Safe), vec![], 3);
     for k in 0..3000u32 {
         bed.now += 500 * MS;
         let of = |k: u32| {
@@ -294,7 +294,7 @@
         bed.list(ListKind::Full, (k..k + 5).map(|k| Server::warm(of(k))).collect());
         let server = bed.served(20 * MS).expect("five servers take all");
         assert!((k..k + 5).any(|k| of(k) == server), "only listed ones are met");
-        assert!(bed.balancer.servers_held() <= 20, "{} held at {k}", bed.balancer.servers_held());
+        assert!(bed.balancer.tracked_servers() <= 20, "{} held at {k}", bed.balancer.tracked_servers());
     }
 }
 
@@ -302,19 +302,19 @@
 /// full score's day with silent connections had idle servers with lags of 20 to 106 usual answers.
 #[test]
 fn a_silent_connection_is_no_jam() {
-    let mut bed = Bed::new(settings(Effect::Unsafe), servers(6), 3);
+    let mut bed = Bed::new(settings(Idempotency::Unsafe), servers(6), 3);
     let (mut silent, mut refused) = (Vec::new(), 0);
     for k in 0..2000u32 {
         bed.now += 5 * MS;
         let due = silent.iter().position(|&(_, _, at)| bed.now - at >= 800 * MS);
         if let Some((id, server, at)) = due.map(|at| silent.remove(at)) {
             let took = bed.now - at;
-            bed.outcome(id, server, 0, took, Ending::TimedOut);
+            bed.outcome(id, server, 0, took, AttemptOutcome::TimedOut);
         }
         let (id, actions) = bed.request();
         match sent(&actions, id) {
             Some(server) if k >= 300 && k % 20 == 0 => silent.push((id, server, bed.now)),
-            Some(server) => drop(bed.outcome(id, server, 0, 15 * MS, Ending::Ok)),
+            Some(server) => drop(bed.outcome(id, server, 0, 15 * MS, AttemptOutcome::Ok)),
             None => refused += 1,
         }
     }
@@ -325,9 +325,9 @@
 /// (a rig's demo: the first acknowledgements after a quiet night of status requests were all turned away).
 #[test]
 fn a_class_that_comes_late_is_let_in() {
-    let mut s = settings(Effect::Safe);
+    let mut s = settings(Idempotency::Safe);
     let class = s.classes[0].clone();
-    s.classes.push(Class { effect: Effect::Unsafe, ..class });
+    s.classes.push(Class { idempotency: Idempotency::Unsafe, ..class });
     let mut bed = Bed::new(s, servers(6), 3);
     for _ in 0..2_000 {
         bed.now += 10 * MS;
@@ -339,7 +339,7 @@
         let request = Request { class: 1, ..Request::new(id, bed.now + 800 * MS) };
         let actions = bed.feed(Event::Request(request));
         let server = sent(&actions, id).unwrap_or_else(|| panic!("{k}: {actions:?}"));
-        bed.outcome(id, server, 0, MS, Ending::Ok);
+        bed.outcome(id, server, 0, MS, AttemptOutcome::Ok);
     }
 }
 
@@ -347,7 +347,7 @@
 /// all the same, and use them like others once they are warm.
 #[test]
 fn servers_that_were_cold_at_the_start_are_used() {
-    let s = settings(Effect::Safe);
+    let s = settings(Idempotency::Safe);
     let ramp = s.ramp;
     let list = |now| (0..4).map(|k| Server { started_at: now, ..Server::warm(endpoint(k)) }).collect();
     let mut bed = Bed::new(s, list(1_000_000 * MS), 3);
@@ -369,7 +369,7 @@
 #[test]
 fn advice_is_worth_heeding_where_answers_are_quick() {
     let mut bed = Bed::new(
-        Settings { retry_after: true, max_retry_after: 2_000 * MS, ..settings(Effect::Safe) },
+        Settings { retry_after: true, max_retry_after: 2_000 * MS, ..settings(Idempotency::Safe) },
         servers(1),
         3,
     );
@@ -378,7 +378,7 @@
     }
     let (id, actions) = bed.request();
     let server = sent(&actions, id).expect("an idle fleet takes it");
-    let actions = bed.outcome(id, server, 0, MS / 2, Ending::Full);
+    let actions = bed.outcome(id, server, 0, MS / 2, AttemptOutcome::Rejected);
     let advice = actions.iter().find_map(|a| match a {
         Action::Refuse { retry_after, .. } => Some(*retry_after),
         _ => None,
@@ -391,7 +391,7 @@
 fn a_failed_list_is_asked_for_in_time() {
     let mut settings = Settings::single_class(2_779_190_000, 9_263_967_000);
     settings.must_subscribe = true;
-    settings.ask_within = 6_000_000_000;
+    settings.max_list_age = 6_000_000_000;
     for seed in 0..200 {
         let mut balancer = Balancer::new(settings.clone(), seed).expect("sound settings");
         let mut now = 0;
@@ -417,7 +417,7 @@
 /// then refuses all that comes serves less than one that had never looked (zone+brink, 937 of 1,969 requests refused).
 #[test]
 fn connections_that_come_up_late_leave_somebody_to_try() {
-    let mut bed = Bed::new(settings(Effect::Unsafe), servers(6), 3);
+    let mut bed = Bed::new(settings(Idempotency::Unsafe), servers(6), 3);
     let mut turned_away = 0;
     for k in 0..2_000u64 {
         bed.now += 20 * MS;
@@ -425,8 +425,8 @@
         let mut attempt = 0;
         while let Some(server) = sent(&actions, id) {
             // Two of three fail, so that soon nobody is left.
-            let ending = if (k + u64::from(attempt)) % 3 == 0 { Ending::Ok } else { Ending::ConnectFailed };
-            actions = bed.outcome(id, server, attempt, 10 * MS, ending);
+            let outcome = if (k + u64::from(attempt)) % 3 == 0 { AttemptOutcome::Ok } else { AttemptOutcome::ConnectFailed };
+            actions = bed.outcome(id, server, attempt, 10 * MS, outcome);
             attempt += 1;
         }
         turned_away += u32::from(attempt == 0);
@@ -438,20 +438,20 @@
 #[test]
 fn those_that_are_out_are_tried_last_and_one_request_each() {
     let zoned = |k: u8| Server { zone: k / 4, ..Server::warm(endpoint(k)) };
-    let mut bed = Bed::new(settings(Effect::Safe), (0..8).map(zoned).collect(), 3);
+    let mut bed = Bed::new(settings(Idempotency::Safe), (0..8).map(zoned).collect(), 3);
     let fail = |bed: &mut Bed, only_home: bool| {
         for _ in 0..200 {
             bed.now += 5 * MS;
             let (id, actions) = bed.request();
             let Some(server) = sent(&actions, id) else { continue };
             let home = server.address[3] < 4;
-            let ending = if only_home && !home { Ending::Ok } else { Ending::ConnectFailed };
-            let mut actions = bed.outcome(id, server, 0, MS, ending);
+            let outcome = if only_home && !home { AttemptOutcome::Ok } else { AttemptOutcome::ConnectFailed };
+            let mut actions = bed.outcome(id, server, 0, MS, outcome);
             let mut attempt = 1;
             while let Some(server) = sent(&actions, id) {
                 let home = server.address[3] < 4;
-                let ending = if only_home && !home { Ending::Ok } else { Ending::ConnectFailed };
-                actions = bed.outcome(id, server, attempt, MS, ending);
+                let outcome = if only_home && !home { AttemptOutcome::Ok } else { AttemptOutcome::ConnectFailed };
+                actions = bed.outcome(id, server, attempt, MS, outcome);
                 attempt += 1;
             }
         }
@@ -461,7 +461,7 @@
         let (id, actions) = bed.request();
         let server = sent(&actions, id).expect("the other zone has somebody");
         assert!(server.address[3] >= 4, "{server:?} is out");
-        bed.outcome(id, server, 0, MS, Ending::Ok);
+        bed.outcome(id, server, 0, MS, AttemptOutcome::Ok);
     }
     fail(&mut bed, false);
     let mut out = BTreeSet::new();
@@ -483,7 +483,7 @@
 /// connects a second to the server that is not up for five minutes, none to the sound one.
 #[test]
 fn a_server_that_only_ever_has_requests_cancelled_does_not_stay_first() {
-    let mut bed = Bed::new(settings(Effect::Keyed), servers(1), 1);
+    let mut bed = Bed::new(settings(Idempotency::Keyed), servers(1), 1);
     for took in [2, 2, 40] {
         bed.served(took * MS);
         bed.now += 50 * MS;
@@ -495,11 +495,11 @@
         let server = sent(&actions, id).expect("both are there");
         if server == endpoint(0) {
             served += 1;
-            bed.outcome(id, server, 0, 2 * MS, Ending::Ok);
+            bed.outcome(id, server, 0, 2 * MS, AttemptOutcome::Ok);
         } else {
             bed.now += 5 * MS;
             bed.feed(Event::ClientGone { request: id });
-            bed.outcome(id, server, 0, 5 * MS, Ending::Cancelled);
+            bed.outcome(id, server, 0, 5 * MS, AttemptOutcome::Cancelled);
         }
         bed.now += 12 * MS;
     }
--- a/crates/policy/tests/learnt.rs
+++ b/crates/policy/tests/learnt.rs
@@ -14,8 +14,8 @@
 /// A node that has just started must not take itself for a quiet one: cold servers then get next to nothing.
 #[test]
 fn a_node_that_starts_uses_cold_servers() {
-    let mut settings = settings(Effect::Safe);
-    (settings.ramp, settings.fall, settings.cold_from) = (20_000 * MS, 1_000 * MS, 0.15);
+    let mut settings = settings(Idempotency::Safe);
+    (settings.ramp, settings.overload_window, settings.initial_capacity) = (20_000 * MS, 1_000 * MS, 0.15);
     let mut bed = Bed::new(settings, Vec::new(), 11);
     let list = mostly_cold(bed.now);
     bed.list(ListKind::Full, list);
@@ -26,7 +26,7 @@
         bed.now += 5 * MS;
         // Each takes 60 ms.
         while let Some(&(id, server, _)) = out.front().filter(|o: &&(_, _, Nanos)| bed.now >= o.2 + 60 * MS) {
-            bed.outcome(id, server, 0, 60 * MS, Ending::Ok);
+            bed.outcome(id, server, 0, 60 * MS, AttemptOutcome::Ok);
             out.pop_front();
         }
         let (id, actions) = bed.request();
@@ -52,23 +52,23 @@
 fn what_was_learnt_goes_over() {
     let (fast, slow) = (endpoint(1), endpoint(7));
     let list = || vec![Server::warm(fast), Server::warm(slow), Server::warm(endpoint(3))];
-    let mut elder = Bed::new(settings(Effect::Safe), list(), 5);
+    let mut elder = Bed::new(settings(Idempotency::Safe), list(), 5);
     for _ in 0..400 {
         elder.now += 10 * MS;
         let (id, actions) = elder.request();
         let server = sent(&actions, id).expect("nothing is refused");
-        elder.outcome(id, server, 0, if server == slow { 200 * MS } else { 20 * MS }, Ending::Ok);
+        elder.outcome(id, server, 0, if server == slow { 200 * MS } else { 20 * MS }, AttemptOutcome::Ok);
     }
-    let learnt = elder.balancer.learnt(elder.now);
-    let mut heir = Bed::new(settings(Effect::Safe), list(), 6);
+    let learnt = elder.balancer.learned_state(elder.now);
+    let mut heir = Bed::new(settings(Idempotency::Safe), list(), 6);
     heir.now = elder.now;
-    heir.feed(Event::Learnt(learnt.clone()));
+    heir.feed(Event::TakeOver(learnt.clone()));
     assert_eq!(heir.balancer.ranking(0).collect::<Vec<_>>(), elder.balancer.ranking(0).collect::<Vec<_>>());
-    let again = heir.balancer.learnt(heir.now);
+    let again = heir.balancer.learned_state(heir.now);
     assert_eq!(again.classes, learnt.classes);
     assert!((again.rate - learnt.rate).abs() < 0.01 * learnt.rate, "{} {}", again.rate, learnt.rate);
     let lag =
-        |l: &Learnt| l.servers.iter().map(|k| (k.server, (k.lag * 100.0) as u32)).collect::<BTreeMap<_, _>>();
+        |l: &LearnedState| l.servers.iter().map(|k| (k.server, (k.relative_latency * 100.0) as u32)).collect::<BTreeMap<_, _>>();
     assert_eq!(lag(&again), lag(&learnt));
     // The first choices already shun the slow one.
     let first: Vec<_> = (0..20).filter_map(|_| heir.served(20 * MS)).collect();
@@ -77,14 +77,14 @@
 
 #[test]
 fn nonsense_does_no_harm() {
-    let mut bed = Bed::new(settings(Effect::Safe), servers(5), 5);
-    let server = Known { server: endpoint(1), accomplished: f64::NAN, lag: f64::INFINITY, faults: -3.0 };
-    let stranger = Known { server: endpoint(200), ..server };
-    bed.feed(Event::Learnt(Learnt {
+    let mut bed = Bed::new(settings(Idempotency::Safe), servers(5), 5);
+    let server = LearnedServer { server: endpoint(1), score: f64::NAN, relative_latency: f64::INFINITY, failure_rate: -3.0 };
+    let stranger = LearnedServer { server: endpoint(200), ..server };
+    bed.feed(Event::TakeOver(LearnedState {
         rate: f64::NAN,
         classes: vec![(0, 9); 300],
-        pressure: f64::NEG_INFINITY,
-        faults: f64::NAN,
+        slowdown: f64::NEG_INFINITY,
+        failure_rate: f64::NAN,
         servers: vec![server, stranger],
     }));
     assert_eq!((0..20).filter(|_| bed.served(20 * MS).is_some()).count(), 20);
--- a/crates/policy/tests/mechanism.rs
+++ b/crates/policy/tests/mechanism.rs
@@ -8,7 +8,7 @@
 /// With all queues empty a tie goes to the more accomplished, so nobody outside the accomplished set can win.
 #[test]
 fn ties_go_to_the_accomplished() {
-    let mut bed = Bed::new(settings(Effect::Safe), servers(20), 3);
+    let mut bed = Bed::new(settings(Idempotency::Safe), servers(20), 3);
     let mut counts = BTreeMap::new();
     for k in 0..20 {
         counts.insert(endpoint(k), 0u32);
@@ -18,7 +18,7 @@
         let server = bed.served(400 * MS / 3).expect("an idle fleet takes all");
         if round > 50 {
             let better = counts.values().filter(|&&c| c > counts[&server]).count();
-            assert!(better < 10, "round {round}: {better} servers were more accomplished");
+            assert!(better < 10, "round {round}: {better} servers were more score");
         }
         *counts.get_mut(&server).unwrap() += 1;
     }
@@ -29,7 +29,7 @@
 /// With four servers all are drawn, and work that stays out goes round in shortest-queue order.
 #[test]
 fn the_shortest_queue_wins() {
-    let mut bed = Bed::new(settings(Effect::Safe), servers(4), 5);
+    let mut bed = Bed::new(settings(Idempotency::Safe), servers(4), 5);
     let mut out = BTreeMap::new();
     for _ in 0..8 {
         let (id, actions) = bed.request();
@@ -44,7 +44,7 @@
 /// A server that answers slowly loses its place to quicker ones, and old merit fades.
 #[test]
 fn a_server_turned_slow_sinks() {
-    let mut bed = Bed::new(settings(Effect::Safe), servers(4), 9);
+    let mut bed = Bed::new(settings(Idempotency::Safe), servers(4), 9);
     let first = bed.served(50 * MS).unwrap();
     let mut late = 0;
     for round in 0..600 {
@@ -52,7 +52,7 @@
         let (id, actions) = bed.request();
         let server = sent(&actions, id).expect("sent");
         let took = if server == first { 300 * MS } else { 50 * MS };
-        bed.outcome(id, server, 0, took, Ending::Ok);
+        bed.outcome(id, server, 0, took, AttemptOutcome::Ok);
         late += u32::from(round >= 300 && server == first);
     }
     assert!(late < 60, "the slow one still got {late} of the last 300");
@@ -61,7 +61,7 @@
 /// Quick errors must not climb: a server that fails fast has the emptiest queue of all.
 #[test]
 fn fast_errors_do_not_attract() {
-    let mut bed = Bed::new(settings(Effect::Unsafe), servers(8), 11);
+    let mut bed = Bed::new(settings(Idempotency::Unsafe), servers(8), 11);
     let bad = bed.served(50 * MS).unwrap();
     let mut hits = 0;
     for _ in 0..400 {
@@ -70,10 +70,10 @@
         let server = sent(&actions, id).expect("sent");
         if server == bad {
             hits += 1;
-            let actions = bed.outcome(id, server, 0, MS, Ending::Error);
+            let actions = bed.outcome(id, server, 0, MS, AttemptOutcome::Error);
             assert!(failed(&actions, id));
         } else {
-            bed.outcome(id, server, 0, 50 * MS, Ending::Ok);
+            bed.outcome(id, server, 0, 50 * MS, AttemptOutcome::Ok);
         }
     }
     assert!(hits <= 8, "{hits} of 400 went to the failing server");
@@ -82,7 +82,7 @@
 /// A server that takes work and stays silent must not look idle.
 #[test]
 fn silence_is_a_long_queue() {
-    let mut bed = Bed::new(settings(Effect::Unsafe), servers(4), 13);
+    let mut bed = Bed::new(settings(Idempotency::Unsafe), servers(4), 13);
     let (_, actions) = bed.request();
     let mute = sent(&actions, 1).unwrap();
     for _ in 0..20 {
@@ -101,11 +101,11 @@
     for s in &mut list[6..] {
         s.zone = 1;
     }
-    let mut bed = Bed::new(settings(Effect::Safe), list.clone(), 17);
+    let mut bed = Bed::new(settings(Idempotency::Safe), list.clone(), 17);
     for _ in 0..100 {
         assert!(bed.served(50 * MS).unwrap() < endpoint(6));
     }
-    let gone = list[..6].iter().map(|s| Server { phase: Phase::Gone, ..*s }).collect();
+    let gone = list[..6].iter().map(|s| Server { phase: Phase::Removed, ..*s }).collect();
     bed.list(ListKind::Changes, gone);
     assert!(bed.served(50 * MS).unwrap() >= endpoint(6));
 }
@@ -114,7 +114,7 @@
 #[test]
 fn the_same_events_give_the_same_actions() {
     let run = |seed| {
-        let mut bed = Bed::new(settings(Effect::Safe), servers(30), seed);
+        let mut bed = Bed::new(settings(Idempotency::Safe), servers(30), seed);
         let mut all = Vec::new();
         for k in 0..300u64 {
             bed.now += 3 * MS;
@@ -122,8 +122,8 @@
             let server = sent(&actions, id);
             all.extend(actions);
             if let Some(server) = server.filter(|_| k % 3 != 0) {
-                let ending = if k % 7 == 0 { Ending::Error } else { Ending::Ok };
-                all.extend(bed.outcome(id, server, 0, 40 * MS, ending));
+                let outcome = if k % 7 == 0 { AttemptOutcome::Error } else { AttemptOutcome::Ok };
+                all.extend(bed.outcome(id, server, 0, 40 * MS, outcome));
             }
         }
         all
--- a/crates/policy/tests/plan.rs
+++ b/crates/policy/tests/plan.rs
@@ -5,12 +5,12 @@
 use laurelroute_policy::interface::*;
 use std::collections::BTreeMap;
 
-fn standing(k: u8) -> Standing {
-    Standing { server: endpoint(k), accomplished: 0.0, suspected: false, cold_rate: f64::INFINITY }
+fn standing(k: u8) -> ServerPlan {
+    ServerPlan { server: endpoint(k), score: 0.0, suspected: false, slow_start_rate: f64::INFINITY }
 }
 
-fn guide(servers: Vec<Standing>) -> Guide {
-    Guide { trust: 1.0, servers, ..Guide::default() }
+fn guide(servers: Vec<ServerPlan>) -> NodePlan {
+    NodePlan { trust: 1.0, servers, ..NodePlan::default() }
 }
 
 fn counts(bed: &mut Bed, rounds: usize) -> BTreeMap<Endpoint, usize> {
@@ -26,18 +26,18 @@
 
 #[test]
 fn the_plans_ranking_counts_at_once_and_own_counts_take_over_later() {
-    let mut bed = Bed::new(settings(Effect::Safe), servers(20), 3);
-    let better = |k: u8| Standing { accomplished: if k >= 10 { 500.0 } else { 1.0 }, ..standing(k) };
+    let mut bed = Bed::new(settings(Idempotency::Safe), servers(20), 3);
+    let better = |k: u8| ServerPlan { score: if k >= 10 { 500.0 } else { 1.0 }, ..standing(k) };
     bed.feed(Event::Plan(guide((0..20).map(better).collect())));
     let ranking: Vec<u8> = bed.balancer.ranking(0).map(|e| e.address[3]).collect();
     assert!(ranking[..10].iter().all(|&k| k >= 10), "{ranking:?}");
     let counts = counts(&mut bed, 200);
     assert!(
         counts.keys().all(|e| e.address[3] >= 10),
-        "ties go to whom the plan calls accomplished: {counts:?}"
+        "ties go to whom the plan calls score: {counts:?}"
     );
     // What it adds is no own evidence.
-    let own: f64 = bed.balancer.observed(bed.now).map(|o| o.accomplished).sum();
+    let own: f64 = bed.balancer.observations(bed.now).map(|o| o.score).sum();
     assert!((150.0..=200.0).contains(&own), "{own}");
     // With no further word it fades as own counts do: three ramps later those decide.
     bed.now += 3 * 8_000 * MS;
@@ -45,9 +45,9 @@
         let (id, actions) = bed.request();
         bed.now += MS;
         let server = sent(&actions, id).unwrap();
-        let (took, ending) =
-            if server.address[3] >= 10 { (5 * MS, Ending::Error) } else { (5 * MS, Ending::Ok) };
-        bed.outcome(id, server, 0, took, ending);
+        let (took, outcome) =
+            if server.address[3] >= 10 { (5 * MS, AttemptOutcome::Error) } else { (5 * MS, AttemptOutcome::Ok) };
+        bed.outcome(id, server, 0, took, outcome);
     }
     let first = bed.balancer.ranking(0).next().unwrap().address[3];
     assert!(first < 10, "box {first} still leads");
@@ -56,11 +56,11 @@
 #[test]
 fn without_trust_it_is_the_node_that_it_was() {
     let run = |plan: bool| {
-        let mut bed = Bed::new(settings(Effect::Safe), servers(12), 5);
+        let mut bed = Bed::new(settings(Idempotency::Safe), servers(12), 5);
         if plan {
             let said =
-                (0..12).map(|k| Standing { accomplished: 9.0, suspected: true, ..standing(k) }).collect();
-            bed.feed(Event::Plan(Guide { trust: 0.0, ..guide(said) }));
+                (0..12).map(|k| ServerPlan { score: 9.0, suspected: true, ..standing(k) }).collect();
+            bed.feed(Event::Plan(NodePlan { trust: 0.0, ..guide(said) }));
         }
         counts(&mut bed, 100)
     };
@@ -70,9 +70,9 @@
 #[test]
 fn a_suspect_comes_last_unless_all_are_suspects() {
     let run = |suspected: &dyn Fn(u8) -> bool| {
-        let mut bed = Bed::new(settings(Effect::Safe), servers(6), 7);
+        let mut bed = Bed::new(settings(Idempotency::Safe), servers(6), 7);
         bed.feed(Event::Plan(guide(
-            (0..6).map(|k| Standing { suspected: suspected(k), ..standing(k) }).collect(),
+            (0..6).map(|k| ServerPlan { suspected: suspected(k), ..standing(k) }).collect(),
         )));
         counts(&mut bed, 60)
     };
@@ -82,9 +82,9 @@
 
 #[test]
 fn an_own_success_outweighs_the_plans_suspicion() {
-    let mut bed = Bed::new(settings(Effect::Safe), servers(2), 9);
+    let mut bed = Bed::new(settings(Idempotency::Safe), servers(2), 9);
     let first = bed.served(400 * MS / 3).unwrap();
-    let said = (0..2).map(|k| Standing { suspected: endpoint(k) == first, accomplished: 5.0, ..standing(k) });
+    let said = (0..2).map(|k| ServerPlan { suspected: endpoint(k) == first, score: 5.0, ..standing(k) });
     bed.feed(Event::Plan(guide(said.collect())));
     assert_eq!(bed.served(400 * MS / 3), Some(first), "it has just answered here");
     bed.now += 2_000 * MS;
@@ -93,12 +93,12 @@
 
 #[test]
 fn a_cold_server_gets_no_more_than_its_budget() {
-    let run = |cold_rate: f64| {
-        let mut bed = Bed::new(settings(Effect::Safe), servers(5), 11);
+    let run = |slow_start_rate: f64| {
+        let mut bed = Bed::new(settings(Idempotency::Safe), servers(5), 11);
         counts(&mut bed, 800);
         let restarted = Server { started_at: bed.now, ..Server::warm(endpoint(0)) };
         bed.list(ListKind::Changes, vec![restarted]);
-        bed.feed(Event::Plan(guide(vec![Standing { accomplished: 1e6, cold_rate, ..standing(0) }])));
+        bed.feed(Event::Plan(guide(vec![ServerPlan { score: 1e6, slow_start_rate, ..standing(0) }])));
         counts(&mut bed, 300).get(&endpoint(0)).copied().unwrap_or(0)
     };
     // 3 s of requests.
@@ -111,10 +111,10 @@
 #[test]
 fn a_class_beyond_its_part_of_the_limit_is_turned_away_first() {
     let run = |limit: f64| {
-        let mut s = settings(Effect::Safe);
-        s.over_share_worth = 0.0;
+        let mut s = settings(Idempotency::Safe);
+        s.over_quota_value = 0.0;
         let mut bed = Bed::new(s, servers(6), 13);
-        bed.feed(Event::Plan(Guide { classes: vec![limit], ..guide(Vec::new()) }));
+        bed.feed(Event::Plan(NodePlan { classes: vec![limit], ..guide(Vec::new()) }));
         counts(&mut bed, 500).values().sum::<usize>()
     };
     let (limited, free) = (run(20.0), run(f64::INFINITY));
@@ -126,11 +126,11 @@
 #[test]
 fn tenants_parts_take_the_place_of_even_ones() {
     let run = |part: Option<f64>| {
-        let mut s = settings(Effect::Safe);
-        (s.tenant_quota, s.group_size, s.over_share_worth) = (vec![100.0], 10, 0.0);
+        let mut s = settings(Idempotency::Safe);
+        (s.tenant_quota, s.group_size, s.over_quota_value) = (vec![100.0], 10, 0.0);
         let mut bed = Bed::new(s, servers(6), 15);
         if let Some(part) = part {
-            bed.feed(Event::Plan(Guide { tenants: vec![part], ..guide(Vec::new()) }));
+            bed.feed(Event::Plan(NodePlan { tenants: vec![part], ..guide(Vec::new()) }));
         }
         counts(&mut bed, 500).values().sum::<usize>()
     };
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -6,37 +6,37 @@
 use rand_core::{RngCore, SeedableRng};
 use std::collections::BTreeMap;
 
-const ENDINGS: [Ending; 8] = [
-    Ending::Ok,
-    Ending::Error,
-    Ending::Full,
-    Ending::TimedOut,
-    Ending::ConnectFailed,
-    Ending::Reset,
-    Ending::Cancelled,
-    Ending::NotSent,
+const ATTEMPT_OUTCOMES: [AttemptOutcome; 8] = [
+    AttemptOutcome::Ok,
+    AttemptOutcome::Error,
+    AttemptOutcome::Rejected,
+    AttemptOutcome::TimedOut,
+    AttemptOutcome::ConnectFailed,
+    AttemptOutcome::Reset,
+    AttemptOutcome::Cancelled,
+    AttemptOutcome::NotSent,
 ];
 
 /// Each class of effect against each way an attempt can end without an answer.
 #[test]
 fn effects_against_endings() {
-    for ending in ENDINGS.into_iter().filter(|e| *e != Ending::Ok) {
-        let mut bed = Bed::new(settings(Effect::Unsafe), servers(6), 1);
+    for outcome in ATTEMPT_OUTCOMES.into_iter().filter(|e| *e != AttemptOutcome::Ok) {
+        let mut bed = Bed::new(settings(Idempotency::Unsafe), servers(6), 1);
         let (id, actions) = bed.request();
         let first = sent(&actions, id).unwrap();
         bed.now += 10 * MS;
-        let actions = bed.outcome(id, first, 0, 10 * MS, ending);
-        if ending.never_ran() {
-            assert!(sent(&actions, id).is_some_and(|s| s != first), "{ending:?}: {actions:?}");
+        let actions = bed.outcome(id, first, 0, 10 * MS, outcome);
+        if outcome.never_ran() {
+            assert!(sent(&actions, id).is_some_and(|s| s != first), "{outcome:?}: {actions:?}");
         } else {
-            assert!(sent(&actions, id).is_none() && !refused(&actions, id), "{ending:?}: {actions:?}");
-            assert!(failed(&actions, id), "{ending:?}: {actions:?}");
+            assert!(sent(&actions, id).is_none() && !refused(&actions, id), "{outcome:?}: {actions:?}");
+            assert!(failed(&actions, id), "{outcome:?}: {actions:?}");
         }
-        let mut bed = Bed::new(settings(Effect::Safe), servers(6), 1);
+        let mut bed = Bed::new(settings(Idempotency::Safe), servers(6), 1);
         let (id, actions) = bed.request();
         let first = sent(&actions, id).unwrap();
-        let actions = bed.outcome(id, first, 0, 10 * MS, ending);
-        assert!(sent(&actions, id).is_some_and(|s| s != first), "safe, {ending:?}: {actions:?}");
+        let actions = bed.outcome(id, first, 0, 10 * MS, outcome);
+        assert!(sent(&actions, id).is_some_and(|s| s != first), "safe, {outcome:?}: {actions:?}");
     }
 }
 
@@ -44,10 +44,10 @@
 #[test]
 fn keyed_requests_stay_in_their_group_and_window() {
     for (group, late) in
-        [(Group::Zone, false), (Group::Cell, false), (Group::All, false), (Group::Zone, true)]
+        [(DedupGroup::Zone, false), (DedupGroup::Cell, false), (DedupGroup::All, false), (DedupGroup::Zone, true)]
     {
-        let mut s = settings(Effect::Keyed);
-        s.classes[0].group = group;
+        let mut s = settings(Idempotency::Keyed);
+        s.classes[0].dedup_group = group;
         let mut list = servers(8);
         for (k, server) in list.iter_mut().enumerate() {
             server.zone = (k / 4) as u8;
@@ -58,15 +58,15 @@
         let first = sent(&actions, id).unwrap();
         let took = if late { 650 * MS } else { 50 * MS };
         bed.now += took;
-        let actions = bed.outcome(id, first, 0, took, Ending::Reset);
+        let actions = bed.outcome(id, first, 0, took, AttemptOutcome::Reset);
         let of = |e: Endpoint| list.iter().find(|s| s.endpoint == e).unwrap();
         match sent(&actions, id) {
             Some(second) => {
                 assert!(!late && second != first);
-                assert!(group != Group::Zone || of(first).zone == of(second).zone);
-                assert!(group != Group::Cell || of(first).cell == of(second).cell);
+                assert!(group != DedupGroup::Zone || of(first).zone == of(second).zone);
+                assert!(group != DedupGroup::Cell || of(first).cell == of(second).cell);
             }
-            None => assert!(late && failed(&actions, id), "{group:?}: {actions:?}"),
+            None => assert!(late && failed(&actions, id), "{dedup_group:?}: {actions:?}"),
         }
     }
 }
@@ -76,9 +76,9 @@
 fn random_sequences_keep_the_rules() {
     for seed in 0..60u64 {
         let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(seed);
-        let effect = [Effect::Safe, Effect::Keyed, Effect::Unsafe][(seed % 3) as usize];
+        let effect = [Idempotency::Safe, Idempotency::Keyed, Idempotency::Unsafe][(seed % 3) as usize];
         let mut s = settings(effect);
-        s.second_copies = seed % 2 == 0;
+        s.hedging = seed % 2 == 0;
         let mut bed = Bed::new(s, servers(8), seed);
         let mut draining = [false; 8];
         // For each request: when it ends, its open attempts, whether one may have run, whether it is answered.
@@ -99,15 +99,15 @@
                 let life = lives.get_mut(&id).unwrap();
                 assert!(!life.open.is_empty(), "seed {seed}: request {id} is held with nothing out");
                 let (attempt, server, at) = life.open.swap_remove(0);
-                let ending = match due {
-                    Some(_) => Ending::TimedOut,
-                    None => ENDINGS[rng.next_u32() as usize % 8],
+                let outcome = match due {
+                    Some(_) => AttemptOutcome::TimedOut,
+                    None => ATTEMPT_OUTCOMES[rng.next_u32() as usize % 8],
                 };
-                life.may_have_run |= !ending.never_ran();
-                let finished = ending == Ending::Ok || life.answers > 0;
-                life.answers += u32::from(ending == Ending::Ok && life.answers == 0);
+                life.may_have_run |= !outcome.never_ran();
+                let finished = outcome == AttemptOutcome::Ok || life.answers > 0;
+                life.answers += u32::from(outcome == AttemptOutcome::Ok && life.answers == 0);
                 let (request, took) = (id, bed.now - at);
-                bed.feed(Event::Outcome { request, server, attempt, finished, took, ending, report: None })
+                bed.feed(Event::AttemptEnded { request, server, attempt, finished, took, outcome, report: None })
             } else if rng.next_u32() % 10 == 0 {
                 let k = rng.next_u32() as u8 % 8;
                 draining[usize::from(k)] ^= true;
@@ -132,8 +132,8 @@
                             !draining[usize::from(server.address[3])],
                             "seed {seed}: sent to a draining server"
                         );
-                        assert!(effect != Effect::Unsafe || (!life.may_have_run && life.open.is_empty()));
-                        assert!(life.open.is_empty() || (seed % 2 == 0 && effect == Effect::Safe));
+                        assert!(effect != Idempotency::Unsafe || (!life.may_have_run && life.open.is_empty()));
+                        assert!(life.open.is_empty() || (seed % 2 == 0 && effect == Idempotency::Safe));
                         life.open.push((life.attempts, server, bed.now));
                         life.attempts += 1;
                     }
@@ -141,7 +141,7 @@
                         let life = lives.get_mut(&request).unwrap();
                         life.answers += 1;
                         assert_eq!(life.answers, 1, "seed {seed}: answered twice");
-                        assert!(effect != Effect::Unsafe || (!life.may_have_run && life.open.is_empty()));
+                        assert!(effect != Idempotency::Unsafe || (!life.may_have_run && life.open.is_empty()));
                     }
                     Action::Fail { request } => {
                         let life = lives.get_mut(&request).unwrap();
@@ -159,9 +159,9 @@
 /// Nothing new reaches a server once the list says that it drains, is gone, or no longer names it.
 #[test]
 fn drains_are_kept() {
-    let mut bed = Bed::new(settings(Effect::Safe), servers(4), 1);
+    let mut bed = Bed::new(settings(Idempotency::Safe), servers(4), 1);
     bed.list(ListKind::Changes, vec![Server { phase: Phase::Draining, ..Server::warm(endpoint(0)) }]);
-    bed.list(ListKind::Changes, vec![Server { phase: Phase::Gone, ..Server::warm(endpoint(1)) }]);
+    bed.list(ListKind::Changes, vec![Server { phase: Phase::Removed, ..Server::warm(endpoint(1)) }]);
     for _ in 0..50 {
         assert!(bed.served(20 * MS).unwrap() >= endpoint(2));
     }
@@ -174,7 +174,7 @@
 /// With nobody to send to, a request still gets its one answer.
 #[test]
 fn an_empty_list_refuses() {
-    let mut bed = Bed::new(settings(Effect::Unsafe), vec![], 1);
+    let mut bed = Bed::new(settings(Idempotency::Unsafe), vec![], 1);
     let (id, actions) = bed.request();
     assert!(refused(&actions, id), "{actions:?}");
 }
@@ -182,23 +182,23 @@
 /// Odd but legal events change nothing.
 #[test]
 fn odd_events_are_harmless() {
-    let mut bed = Bed::new(settings(Effect::Safe), servers(3), 1);
-    assert!(bed.outcome(77, endpoint(0), 0, MS, Ending::Error).is_empty());
+    let mut bed = Bed::new(settings(Idempotency::Safe), servers(3), 1);
+    assert!(bed.outcome(77, endpoint(0), 0, MS, AttemptOutcome::Error).is_empty());
     assert!(bed.feed(Event::ClientGone { request: 77 }).is_empty());
     assert!(bed.feed(Event::Timer { token: 9 }).is_empty());
-    let gone = Server { phase: Phase::Gone, ..Server::warm(endpoint(99)) };
+    let gone = Server { phase: Phase::Removed, ..Server::warm(endpoint(99)) };
     assert!(bed.list(ListKind::Changes, vec![gone]).is_empty());
     let (id, actions) = bed.request();
     let server = sent(&actions, id).unwrap();
     bed.feed(Event::ClientGone { request: id });
-    let late = bed.outcome(id, server, 0, 90 * MS, Ending::Error);
+    let late = bed.outcome(id, server, 0, 90 * MS, AttemptOutcome::Error);
     assert!(sent(&late, id).is_none() && !failed(&late, id) && !refused(&late, id), "{late:?}");
 }
 
 /// A broken subscription is taken up again, later and not by all nodes at the same moment.
 #[test]
 fn a_lost_subscription_is_renewed() {
-    let mut s = settings(Effect::Safe);
+    let mut s = settings(Idempotency::Safe);
     s.must_subscribe = true;
     let wait = |seed| {
         let mut bed = Bed::new(s.clone(), vec![], seed);
@@ -219,13 +219,13 @@
 #[test]
 fn unsound_settings_are_named() {
     let refusal = |edit: fn(&mut Settings)| {
-        let mut s = settings(Effect::Safe);
+        let mut s = settings(Idempotency::Safe);
         edit(&mut s);
         laurelroute_policy::Balancer::new(s, 1).err()
     };
     assert_eq!(refusal(|s| s.classes.clear()), Some(SettingsError::Empty("classes")));
-    assert_eq!(refusal(|s| s.classes[0].give_up = 0), Some(SettingsError::Zero("give_up")));
-    assert_eq!(refusal(|s| s.cold_from = 1.5), Some(SettingsError::NotAShare("cold_from")));
-    assert_eq!(refusal(|s| s.tip_multiple = f64::NAN), Some(SettingsError::OutOfRange("tip_multiple")));
+    assert_eq!(refusal(|s| s.classes[0].client_timeout = 0), Some(SettingsError::Zero("give_up")));
+    assert_eq!(refusal(|s| s.initial_capacity = 1.5), Some(SettingsError::NotAShare("cold_from")));
+    assert_eq!(refusal(|s| s.overload_multiple = f64::NAN), Some(SettingsError::OutOfRange("tip_multiple")));
     assert_eq!(refusal(|_| {}), None);
 }
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -27,8 +27,8 @@
 }
 
 impl Station {
-    fn warmth(&self, now: Nanos) -> f64 {
-        Server { started_at: self.started_at, ..Server::warm(endpoint(0)) }.warmth(now, COLD_FROM, RAMP)
+    fn capacity_fraction(&self, now: Nanos) -> f64 {
+        Server { started_at: self.started_at, ..Server::warm(endpoint(0)) }.capacity_fraction(now, COLD_FROM, RAMP)
     }
 }
 
@@ -39,7 +39,7 @@
     request: RequestId,
     attempt: u8,
     server: Endpoint,
-    ending: Ending,
+    outcome: AttemptOutcome,
 }
 
 /// What a run is made of. Rates are of all nodes together, capacities of one warm server.
@@ -68,9 +68,9 @@
 
 impl World {
     fn new(plan: Plan, seed: u64) -> Self {
-        let mut settings = settings(Effect::Safe);
-        (settings.cold_from, settings.ramp, settings.fall) = (COLD_FROM, RAMP, FALL);
-        (settings.tip_multiple, settings.group_size) = (TIP_MULTIPLE, plan.nodes as u32);
+        let mut settings = settings(Idempotency::Safe);
+        (settings.initial_capacity, settings.ramp, settings.overload_window) = (COLD_FROM, RAMP, FALL);
+        (settings.overload_multiple, settings.group_size) = (TIP_MULTIPLE, plan.nodes as u32);
         let list = || (0..plan.servers).map(|k| Server::warm(endpoint(k))).collect();
         let bed = |k: usize| Bed::new(settings.clone(), list(), seed * 1_000 + k as u64);
         let beds = (0..plan.nodes).map(bed).collect();
@@ -105,16 +105,16 @@
         station.arrivals.push(now);
         let earlier = |o: &&Out| o.node == node && o.request == request;
         let attempt = self.out.iter().filter(earlier).count() as u8;
-        let present = self.plan.capacity * station.warmth(now);
+        let present = self.plan.capacity * station.capacity_fraction(now);
         if station.free_at.saturating_sub(now) as f64 / SECOND as f64 * present > self.plan.room {
-            let (ends_at, ending) = (now + TURNED_AWAY, Ending::Full);
-            return self.out.push(Out { ends_at, sent_at: now, node, request, attempt, server, ending });
+            let (ends_at, outcome) = (now + TURNED_AWAY, AttemptOutcome::Rejected);
+            return self.out.push(Out { ends_at, sent_at: now, node, request, attempt, server, outcome });
         }
         let work = (SECOND as f64 / present) as Nanos;
         station.free_at = station.free_at.max(now) + work;
         let took = station.free_at - now + LATENCY;
-        let (took, ending) = if took > 800 * MS { (800 * MS, Ending::TimedOut) } else { (took, Ending::Ok) };
-        self.out.push(Out { ends_at: now + took, sent_at: now, node, request, attempt, server, ending });
+        let (took, outcome) = if took > 800 * MS { (800 * MS, AttemptOutcome::TimedOut) } else { (took, AttemptOutcome::Ok) };
+        self.out.push(Out { ends_at: now + took, sent_at: now, node, request, attempt, server, outcome });
     }
 
     fn restart(&mut self, now: Nanos, restarted: &[u8]) {
@@ -137,9 +137,9 @@
             if self.out.first().is_none_or(|o| o.ends_at > until) {
                 return;
             }
-            let Out { ends_at, sent_at, node, request, attempt, server, ending } = self.out.remove(0);
+            let Out { ends_at, sent_at, node, request, attempt, server, outcome } = self.out.remove(0);
             self.beds[node].now = ends_at;
-            let actions = self.beds[node].outcome(request, server, attempt, ends_at - sent_at, ending);
+            let actions = self.beds[node].outcome(request, server, attempt, ends_at - sent_at, outcome);
             self.take(ends_at, node, actions);
         }
     }
@@ -174,10 +174,10 @@
     fn overloaded(&self) -> Option<String> {
         let cold = self.stations.iter().enumerate().filter(|(_, s)| s.started_at > 0);
         cold.flat_map(|(k, s)| s.arrivals.iter().enumerate().map(move |(j, &from)| (k, s, j, from)))
-            .filter(|(_, s, _, from)| s.warmth(*from) < 1.0)
+            .filter(|(_, s, _, from)| s.capacity_fraction(*from) < 1.0)
             .find_map(|(k, s, j, from)| {
                 let got = s.arrivals[j..].iter().take_while(|&&at| at < from + FALL).count() as f64;
-                let capacity = s.warmth(from) * self.plan.capacity;
+                let capacity = s.capacity_fraction(from) * self.plan.capacity;
                 let budget = TIP_MULTIPLE * capacity * FALL as f64 / SECOND as f64;
                 // The page grants two to three times this root, and some more, for chance.
                 let most = budget + budget.sqrt();
