--- a/crates/policy/tests/split.rs
+++ b/crates/policy/tests/split.rs
@@ -8,14 +8,14 @@
 
 /// Servers 0 to 3 are the old pool, 4 to 7 the new one, 8 is in neither.
 fn bed(share: f64) -> Bed {
-    let mut bed = Bed::new(Settings { second_copies: false, ..settings(Effect::Safe) }, servers(9), 3);
+    let mut bed = Bed::new(Settings { hedging: false, ..settings(Idempotency::Safe) }, servers(9), 3);
     split(&mut bed, share);
     bed
 }
 
 fn split(bed: &mut Bed, share: f64) {
     let pools: BTreeMap<_, _> = (0..8).map(|k| (endpoint(k), k >= 4)).collect();
-    bed.feed(Event::Split(Some(Split { shares: vec![share], pools })));
+    bed.feed(Event::Split(Some(TrafficSplit { shares: vec![share], pools })));
 }
 
 fn place(part: f64) -> u32 {
@@ -25,10 +25,10 @@
 /// Where a request of this place goes, answered at once.
 fn goes(bed: &mut Bed, id: RequestId, part: f64) -> u8 {
     bed.now += 10 * MS;
-    let request = Request { place: place(part), ..Request::new(id, bed.now + 800 * MS) };
+    let request = Request { split_position: place(part), ..Request::new(id, bed.now + 800 * MS) };
     let actions = bed.feed(Event::Request(request));
     let server = sent(&actions, id).expect("somebody is there");
-    bed.outcome(id, server, 0, 20 * MS, Ending::Ok);
+    bed.outcome(id, server, 0, 20 * MS, AttemptOutcome::Ok);
     server.address[3]
 }
 
@@ -56,25 +56,25 @@
         bed.now += 50 * MS;
         let actions = bed.feed(Event::Request(Request::new(id, bed.now + 800 * MS)));
         let first = sent(&actions, id).expect("the new pool is there");
-        let again = bed.outcome(id, first, 0, 5 * MS, Ending::Full);
+        let again = bed.outcome(id, first, 0, 5 * MS, AttemptOutcome::Rejected);
         if first.address[3] == 8 {
             continue;
         }
         let second = sent(&again, id).expect("a repeat that is free");
         assert!(second.address[3] < 4 || second.address[3] == 8, "again to {second:?}");
-        bed.outcome(id, second, 1, 20 * MS, Ending::Ok);
+        bed.outcome(id, second, 1, 20 * MS, AttemptOutcome::Ok);
     }
 }
 
 #[test]
 fn the_other_pool_serves_where_one_is_gone() {
     let mut bed = bed(1.0);
-    let gone = (4..9).map(|k| Server { phase: Phase::Gone, ..Server::warm(endpoint(k)) }).collect();
+    let gone = (4..9).map(|k| Server { phase: Phase::Removed, ..Server::warm(endpoint(k)) }).collect();
     bed.list(ListKind::Changes, gone);
     assert!(goes(&mut bed, 1, 0.5) < 4);
     let mut bed = self::bed(0.0);
     let gone =
-        (0..4).chain([8]).map(|k| Server { phase: Phase::Gone, ..Server::warm(endpoint(k)) }).collect();
+        (0..4).chain([8]).map(|k| Server { phase: Phase::Removed, ..Server::warm(endpoint(k)) }).collect();
     bed.list(ListKind::Changes, gone);
     assert!((4..8).contains(&goes(&mut bed, 1, 0.5)));
 }
--- a/crates/policy/tests/trial.rs
+++ b/crates/policy/tests/trial.rs
@@ -5,7 +5,7 @@
 use laurelroute_policy::interface::*;
 
 /// Ten warm servers at home and one elsewhere, which was taken out and comes back cold.
-fn put_back(effect: Effect) -> (Bed, Endpoint) {
+fn put_back(idempotency: Idempotency) -> (Bed, Endpoint) {
     let away = Server { zone: 1, ..Server::warm(endpoint(99)) };
     let mut list = servers(10);
     list.push(away);
@@ -17,7 +17,7 @@
     bed.list(ListKind::Changes, vec![Server { phase: Phase::Draining, ..away }]);
     bed.now += 1_000 * MS;
     bed.list(ListKind::Changes, vec![Server { started_at: bed.now, ..away }]);
-    bed.feed(Event::Restored { server: away.endpoint });
+    bed.feed(Event::Reinstated { server: away.endpoint });
     (bed, away.endpoint)
 }
 
@@ -32,20 +32,20 @@
 
 #[test]
 fn it_is_tried_once_and_then_chosen_like_any_other() {
-    let (mut bed, server) = put_back(Effect::Safe);
+    let (mut bed, server) = put_back(Idempotency::Safe);
     assert_eq!(tries(&mut bed, server, 300), 1);
 }
 
 /// What must not run twice is no trial.
 #[test]
 fn nothing_unsafe_is_tried_with() {
-    let (mut bed, server) = put_back(Effect::Unsafe);
+    let (mut bed, server) = put_back(Idempotency::Unsafe);
     assert_eq!(tries(&mut bed, server, 300), 0);
 }
 
 #[test]
 fn one_that_drains_again_is_not_tried() {
-    let (mut bed, server) = put_back(Effect::Safe);
+    let (mut bed, server) = put_back(Idempotency::Safe);
     let again = Server { zone: 1, phase: Phase::Draining, ..Server::warm(server) };
     bed.list(ListKind::Changes, vec![again]);
     assert_eq!(tries(&mut bed, server, 300), 0);
--- a/crates/rig/src/capacity/services.rs
+++ b/crates/rig/src/capacity/services.rs
@@ -337,7 +337,7 @@
             // One leaves, and another comes in its place: each is a change.
             let server = (k / 2 * 7_919) % servers;
             match k % 2 {
-                0 => planner.change(server, Phase::Gone),
+                0 => planner.change(server, Phase::Removed),
                 _ => planner.change(server + servers, Phase::Ready),
             }
             planner.publisher.poll(planner.now);
--- a/crates/rig/src/scale_model/awaited.rs
+++ b/crates/rig/src/scale_model/awaited.rs
@@ -27,7 +27,7 @@
         let phase = match server.phase {
             Phase::Ready => 0,
             Phase::Draining => 1,
-            Phase::Gone => return State::GONE,
+            Phase::Removed => return State::GONE,
         };
         State { phase, born_ms: server.started_at / 1_000_000, share: server.size }
     }
--- a/crates/rig/src/scale_out/reported.rs
+++ b/crates/rig/src/scale_out/reported.rs
@@ -2,7 +2,7 @@
 
 use laurelroute_plan::services::subscriber::Subscriber;
 use laurelroute_plan::wire::Report;
-use laurelroute_policy::interface::{Endpoint, Nanos, Observed};
+use laurelroute_policy::interface::{Endpoint, Nanos, ServerObservation};
 use laurelroute_rig::scale_model::fleet::service_name;
 
 /// Services looked at for one report, and servers of each.
@@ -18,7 +18,7 @@
 impl Rounds {
     /// The next report, within what the subscriber lets it say.
     pub fn report(&mut self, subscriber: &mut Subscriber, now: Nanos, named: &[usize]) -> Option<Report> {
-        let mut met: Vec<(String, Observed)> = Vec::new();
+        let mut met: Vec<(String, ServerObservation)> = Vec::new();
         for _ in 0..SERVICES.min(named.len()) {
             self.next = self.next.wrapping_add(1);
             let members = subscriber.members_of(&service_name(named[self.next % named.len()]));
@@ -32,14 +32,14 @@
     }
 }
 
-fn observed(round: usize) -> Observed {
-    Observed {
+fn observed(round: usize) -> ServerObservation {
+    ServerObservation {
         server: Endpoint { address: [0; 4], port: 0 },
-        accomplished: 40.0 + (round % 11) as f64,
+        score: 40.0 + (round % 11) as f64,
         in_flight: (round % 3) as u32,
-        lag: 1.0 + (round % 7) as f64 / 50.0,
-        faults: 0.0,
+        relative_latency: 1.0 + (round % 7) as f64 / 50.0,
+        failure_rate: 0.0,
         ejected: false,
-        endings: [0; laurelroute_policy::interface::ENDINGS],
+        outcomes: [0; laurelroute_policy::interface::ATTEMPT_OUTCOMES],
     }
 }
--- a/crates/shift/src/follow.rs
+++ b/crates/shift/src/follow.rs
@@ -1,12 +1,12 @@
 //! Between a shift and the decision module of one node: what the list says becomes pools, what attempts come to becomes
-//! evidence, and shares become the module's [`Split`].
+//! evidence, and shares become the module's [`TrafficSplit`].
 
 use crate::capacity::{staffed, Carried, Strength, Zone};
 use crate::course::{Change, Course, End, Met, Refused, Sight, Word};
 use crate::place;
 use crate::pool::{Facts, Found, Pool, Roster};
 use crate::Nanos;
-use laurelroute_policy::interface::{Ending, Endpoint, Phase, Request, Server, Settings, Split};
+use laurelroute_policy::interface::{AttemptOutcome, Endpoint, Phase, Request, Server, Settings, TrafficSplit};
 use std::collections::BTreeMap;
 
 /// How often a shift is looked at.
@@ -59,7 +59,7 @@
     /// Changes of state, in order.
     pub changes: Vec<Change>,
     /// What the module is to be told, where that differs from what it was told last.
-    pub split: Option<Option<Split>>,
+    pub split: Option<Option<TrafficSplit>>,
 }
 
 /// One node's side of a shift.
@@ -90,7 +90,7 @@
     carried: Carried,
     /// The old pool's size when the shift was started.
     whole: f64,
-    told: Option<Split>,
+    told: Option<TrafficSplit>,
 }
 
 impl Follower {
@@ -114,12 +114,12 @@
             home: usize::from(settings.zone),
             zones,
             sizes_known: settings.sizes_known,
-            cold: (settings.cold_from, settings.ramp),
-            aims: settings.classes.iter().map(|c| c.aim).collect(),
+            cold: (settings.initial_capacity, settings.ramp),
+            aims: settings.classes.iter().map(|c| c.latency_target).collect(),
             nodes: f64::from(settings.group_size),
             salt: course.settings.salt(),
             load: vec![Flow::default(); settings.classes.len()],
-            took: settings.classes.iter().map(|c| c.aim as f64 / 3.0).collect(),
+            took: settings.classes.iter().map(|c| c.latency_target as f64 / 3.0).collect(),
             served: [Flow::default(); 2],
             late: [Flow::default(); 2],
             tried: vec![[Flow::default(); 2]; zones],
@@ -137,7 +137,7 @@
         for told in told {
             let id = told.facts.id;
             seen.push(told.server.endpoint);
-            if told.server.phase == Phase::Gone {
+            if told.server.phase == Phase::Removed {
                 self.forget(id);
                 continue;
             }
@@ -188,7 +188,7 @@
 
     fn warmth(&self, now: Nanos, server: &Server) -> f64 {
         let (from, ramp) = self.cold;
-        server.warmth(now, from, ramp)
+        server.capacity_fraction(now, from, ramp)
     }
 
     fn size(&self, server: &Server) -> f64 {
@@ -209,7 +209,7 @@
     /// An attempt goes out, the first of its request being number 0: whether what is meant for the new pool goes there.
     pub fn sent(&mut self, request: &Request, server: Endpoint, number: usize) {
         let share = self.course.shares().get(usize::from(request.class)).copied().unwrap_or(0.0);
-        if number == 0 && request.within(share) {
+        if number == 0 && request.in_split_share(share) {
             let old = self.members.get(&server).is_some_and(|m| m.found.pool == Pool::Old);
             self.course.meant_for_new(old);
         }
@@ -221,15 +221,15 @@
         request: &Request,
         (server, number): (Endpoint, usize),
         (sent_at, took): (Nanos, Nanos),
-        ending: Ending,
+        ending: AttemptOutcome,
     ) {
         let Some(member) = self.members.get(&server).copied() else { return };
         let end = match ending {
-            Ending::Ok => End::Served,
-            Ending::Error | Ending::Reset | Ending::ConnectFailed => End::Failed,
-            Ending::TimedOut => End::TimedOut,
-            Ending::Full => End::Full,
-            Ending::Cancelled | Ending::NotSent => End::CalledOff,
+            AttemptOutcome::Ok => End::Served,
+            AttemptOutcome::Error | AttemptOutcome::Reset | AttemptOutcome::ConnectFailed => End::Failed,
+            AttemptOutcome::TimedOut => End::TimedOut,
+            AttemptOutcome::Rejected => End::Full,
+            AttemptOutcome::Cancelled | AttemptOutcome::NotSent => End::CalledOff,
         };
         let (class, zone) = (usize::from(request.class), usize::from(member.server.zone));
         let aim = self.aims.get(class).copied().unwrap_or(0);
@@ -346,8 +346,8 @@
     }
 
     /// What the module is to be told, if it has not been.
-    fn split(&mut self) -> Option<Option<Split>> {
-        let split = self.course.state().on().then(|| Split {
+    fn split(&mut self) -> Option<Option<TrafficSplit>> {
+        let split = self.course.state().on().then(|| TrafficSplit {
             shares: self.course.shares().to_vec(),
             pools: self
                 .members
@@ -363,7 +363,7 @@
     }
 
     /// The list has changed: what the module is to be told of pools before it sends anything.
-    pub fn relisted(&mut self) -> Option<Option<Split>> {
+    pub fn relisted(&mut self) -> Option<Option<TrafficSplit>> {
         // The module takes a server that it is told of for one of no pool.
         self.told.is_some().then(|| {
             self.told = None;
--- a/crates/shift/tests/judge.rs
+++ b/crates/shift/tests/judge.rs
@@ -15,7 +15,7 @@
 use std::collections::BTreeMap;
 
 fn within(place: u32, share: f64) -> bool {
-    Request { place, ..Request::default() }.within(share)
+    Request { split_position: place, ..Request::default() }.in_split_share(share)
 }
 
 fn judge(false_alarms: f64) -> Judge {
--- a/crates/simulation/src/rules.rs
+++ b/crates/simulation/src/rules.rs
@@ -1,7 +1,7 @@
 //! The promises, looked at from outside: nothing here asks the decision module or the follower what they think.
 
 use crate::{Nanos, MS};
-use laurelroute_policy::interface::{Effect, Ending};
+use laurelroute_policy::interface::{Idempotency, AttemptOutcome};
 use std::collections::BTreeMap;
 
 /// From the telling of a drain to the last request that may go out.
@@ -13,7 +13,7 @@
     /// When its client gives up.
     pub give_up_at: Nanos,
     /// How far it may be repeated.
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// Attempts out, and those that have ended without proof that they never ran.
     pub out: u32,
     may_have_run: bool,
@@ -23,7 +23,7 @@
 
 impl Life {
     /// A request that has just come.
-    pub fn new(give_up_at: Nanos, effect: Effect) -> Life {
+    pub fn new(give_up_at: Nanos, effect: Idempotency) -> Life {
         Life { give_up_at, effect, out: 0, may_have_run: false, answered: false }
     }
 
@@ -35,7 +35,7 @@
         if now > self.give_up_at {
             return Err("sent after its client gave up".into());
         }
-        if self.effect == Effect::Unsafe && (self.out > 0 || self.may_have_run) {
+        if self.effect == Idempotency::Unsafe && (self.out > 0 || self.may_have_run) {
             return Err("an unsafe request sent again that may have run".into());
         }
         self.out += 1;
@@ -43,7 +43,7 @@
     }
 
     /// An attempt has ended.
-    pub fn ended(&mut self, ending: Ending) {
+    pub fn ended(&mut self, ending: AttemptOutcome) {
         self.out = self.out.saturating_sub(1);
         self.may_have_run |= !ending.never_ran();
     }
@@ -56,7 +56,7 @@
         if now > self.give_up_at {
             return Err("a final answer after its client gave up".into());
         }
-        if refused && self.effect == Effect::Unsafe && (self.may_have_run || self.out > 0) {
+        if refused && self.effect == Idempotency::Unsafe && (self.may_have_run || self.out > 0) {
             return Err("an unsafe request refused that may have run".into());
         }
         Ok(())
--- a/crates/simulation/src/services/app.rs
+++ b/crates/simulation/src/services/app.rs
@@ -8,7 +8,7 @@
 use laurelroute_plan::services::list_version::ListVersion;
 use laurelroute_plan::services::subscriber::{Change, Standing};
 use laurelroute_plan::wire::{Changes, Piece, Subscribe, Update};
-use laurelroute_policy::interface::{Observed, Phase, Server, ENDINGS};
+use laurelroute_policy::interface::{ServerObservation, Phase, Server, ATTEMPT_OUTCOMES};
 use prost::Message as _;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -91,19 +91,19 @@
     }
 
     /// What was met of some of the servers.
-    pub(super) fn observed(&self, draw: &mut Draw) -> Vec<(String, Observed)> {
+    pub(super) fn observed(&self, draw: &mut Draw) -> Vec<(String, ServerObservation)> {
         let servers = self.held.values().flat_map(|s| s.values());
         let skip = draw.below(8);
         let one = |m: &Member, draw: &mut Draw| {
             let of = |part: f64, draw: &mut Draw| if draw.chance(0.2) { part } else { 0.0 };
-            Observed {
+            ServerObservation {
                 server: Server::default().endpoint,
-                accomplished: draw.between(1, 200) as f64,
+                score: draw.between(1, 200) as f64,
                 in_flight: draw.below(5) as u32,
-                lag: 1.0 + of(4.0, draw),
-                faults: of(0.8, draw),
+                relative_latency: 1.0 + of(4.0, draw),
+                failure_rate: of(0.8, draw),
                 ejected: draw.chance(0.1),
-                endings: [m.server.size as u32 % 7; ENDINGS],
+                outcomes: [m.server.size as u32 % 7; ATTEMPT_OUTCOMES],
             }
         };
         servers.skip(skip).step_by(8).take(60).map(|m| (m.name.clone(), one(m, draw))).collect()
@@ -186,7 +186,7 @@
                 let held = app.held.entry(service).or_default();
                 for member in members {
                     match member.server.phase {
-                        Phase::Gone => held.remove(&member.name),
+                        Phase::Removed => held.remove(&member.name),
                         _ => held.insert(member.name.clone(), member),
                     };
                 }
--- a/crates/simulation/src/services/check.rs
+++ b/crates/simulation/src/services/check.rs
@@ -362,7 +362,7 @@
                 return Some(format!("{who} was told of `{service}`, and does not hold it"));
             };
             let mut mine: Vec<&Member> =
-                members.into_iter().filter(|m| m.server.phase != Phase::Gone).collect();
+                members.into_iter().filter(|m| m.server.phase != Phase::Removed).collect();
             mine.sort_by(|a, b| a.name.cmp(&b.name));
             if !mine.iter().copied().eq(held.values()) {
                 return Some(format!("{who} was told of others in `{service}` than it holds"));
--- a/crates/simulation/src/services/source.rs
+++ b/crates/simulation/src/services/source.rs
@@ -189,11 +189,11 @@
             }
             9..=10 => {
                 let Some(listed) = self.any(Some(Phase::Draining)) else { return };
-                entries.push(self.in_phase(&listed, Phase::Gone));
+                entries.push(self.in_phase(&listed, Phase::Removed));
             }
             11 => {
                 let Some(listed) = self.any(None) else { return };
-                entries.push(self.in_phase(&listed, Phase::Gone));
+                entries.push(self.in_phase(&listed, Phase::Removed));
             }
             // Put back as it was.
             12 => {
@@ -221,7 +221,7 @@
             }
             // A rack.
             19 if self.draw.chance(0.4) => {
-                let phase = [Phase::Draining, Phase::Gone][self.draw.below(2)];
+                let phase = [Phase::Draining, Phase::Removed][self.draw.below(2)];
                 let (from, many) =
                     (self.draw.below(self.servers.len().max(1)), self.draw.between(5, 50) as usize);
                 let rack: Vec<Listed> = self.servers.values().skip(from).take(many).cloned().collect();
@@ -235,7 +235,7 @@
                 let of: Vec<Listed> = self.servers.values().filter(serves).cloned().collect();
                 match of.len() {
                     0 => (0..self.draw.between(1, 6)).for_each(|_| entries.push(self.fresh(k))),
-                    1..=20 => of.iter().for_each(|listed| entries.push(self.in_phase(listed, Phase::Gone))),
+                    1..=20 => of.iter().for_each(|listed| entries.push(self.in_phase(listed, Phase::Removed))),
                     _ => {}
                 }
             }
@@ -274,7 +274,7 @@
                 match (state, is) {
                     (Some(state), is) if is != Some(state) => entries.push(state.clone()),
                     (None, Some(is)) => {
-                        let gone = is.member.clone().in_phase(Phase::Gone);
+                        let gone = is.member.clone().in_phase(Phase::Removed);
                         entries.push(Listed { services: is.services.clone(), member: gone });
                     }
                     _ => {}
@@ -289,7 +289,7 @@
         let batch = self.log.len();
         for listed in &entries {
             let name = &listed.member.name;
-            let gone = listed.member.server.phase == Phase::Gone;
+            let gone = listed.member.server.phase == Phase::Removed;
             if gone {
                 if self.servers.remove(name).is_some() {
                     self.left.push(listed.clone());
@@ -352,7 +352,7 @@
         for listed in &batch.entries {
             let name = &listed.member.name;
             let old = match listed.member.server.phase {
-                Phase::Gone => self.state.remove(name),
+                Phase::Removed => self.state.remove(name),
                 _ => self.state.insert(name.clone(), listed.clone()),
             };
             before.entry(name.as_str()).or_insert(old);
--- a/crates/simulation/src/shift/world.rs
+++ b/crates/simulation/src/shift/world.rs
@@ -6,7 +6,7 @@
 use crate::draw::Draw;
 use crate::{Nanos, MS, S};
 use laurelroute_policy::interface::{
-    Action, Class, Effect, Ending, Endpoint, Event, ListKind, Phase, Request, RequestId, Server, Settings,
+    Action, Class, Idempotency, AttemptOutcome, Endpoint, Event, ListKind, Phase, Request, RequestId, Server, Settings,
 };
 use laurelroute_policy::Balancer;
 use laurelroute_shift::course::{Change, Course, State, Verb, Word};
@@ -143,21 +143,21 @@
     Endpoint { address: [10, 0, (k / 250) as u8, (k % 250) as u8 + 1], port: 80 }
 }
 
-fn ending(code: u8) -> Ending {
-    [Ending::Ok, Ending::Error, Ending::Full, Ending::TimedOut][usize::from(code)]
+fn ending(code: u8) -> AttemptOutcome {
+    [AttemptOutcome::Ok, AttemptOutcome::Error, AttemptOutcome::Rejected, AttemptOutcome::TimedOut][usize::from(code)]
 }
 
 fn module() -> Settings {
     let class =
-        |effect, worth| Class { effect, worth, ..Settings::single_class(AIM, GIVE_UP).classes[0].clone() };
+        |effect, worth| Class { idempotency: effect, value: worth, ..Settings::single_class(AIM, GIVE_UP).classes[0].clone() };
     Settings {
-        classes: vec![class(Effect::Safe, 5.0), class(Effect::Safe, 1.0), class(Effect::Unsafe, 5.0)],
+        classes: vec![class(Idempotency::Safe, 5.0), class(Idempotency::Safe, 1.0), class(Idempotency::Unsafe, 5.0)],
         tenant_quota: vec![1e9; SHIRES],
-        cold_from: COLD.from,
+        initial_capacity: COLD.from,
         ramp: COLD.ramp,
-        tip_multiple: COLD.tip,
-        fall: COLD.fall,
-        second_copies: true,
+        overload_multiple: COLD.tip,
+        overload_window: COLD.fall,
+        hedging: true,
         ..Settings::single_class(AIM, GIVE_UP)
     }
 }
@@ -286,7 +286,7 @@
 
     fn old_gone(&mut self) {
         let old = self.world.boxes.0;
-        self.servers[..old].iter_mut().for_each(|s| s.phase = Phase::Gone);
+        self.servers[..old].iter_mut().for_each(|s| s.phase = Phase::Removed);
         self.gone_at = Some(self.now);
         self.list(ListKind::Changes, 0..old);
     }
@@ -318,7 +318,7 @@
         let tenant = self.draw.below(SHIRES) as u32;
         let give_up_at = self.now + GIVE_UP;
         let mut request = Request { class: class as u8, tenant, key, ..Request::new(id, give_up_at) };
-        request.place = self.follower.place(&request);
+        request.split_position = self.follower.place(&request);
         self.follower.came(&request);
         self.open.insert(id, Open { request, came: self.now, attempts: 0, ran: 0 });
         self.out.requests += 1;
@@ -369,7 +369,7 @@
         let taken = self.boxes[k].take(now, work, &COLD);
         let (at, code) = match (taken, struck.map(|f| f.kind)) {
             (Taken::Full, _) => (now + MS, 2),
-            (Taken::Until(_), Some(Kind::Hangs)) => (request.give_up_at, 3),
+            (Taken::Until(_), Some(Kind::Hangs)) => (request.deadline, 3),
             (Taken::Until(end), Some(Kind::Fails | Kind::Spoilt)) => (end, 1),
             (Taken::Until(end), Some(Kind::Slow)) => (end + 4 * (end - now), 0),
             (Taken::Until(end), None) => (end, 0),
@@ -378,7 +378,7 @@
             open.ran += 1;
             self.out.twice += u32::from(open.ran > 1 && class == 2);
         }
-        let (at, code) = if at >= request.give_up_at { (request.give_up_at, 3) } else { (at, code) };
+        let (at, code) = if at >= request.deadline { (request.deadline, 3) } else { (at, code) };
         self.at(at, What::Ends { request: id, attempt: number, server: k, sent: now, ending: code });
     }
 
@@ -393,23 +393,23 @@
         }
     }
 
-    fn ended(&mut self, id: RequestId, attempt: u8, k: usize, sent: Nanos, ending: Ending) {
+    fn ended(&mut self, id: RequestId, attempt: u8, k: usize, sent: Nanos, ending: AttemptOutcome) {
         let Some(open) = self.open.get(&id) else {
             // Its answer was given: the module is owed the end all the same.
             let server = endpoint(k);
             let took = self.now - sent;
             let event =
-                Event::Outcome { request: id, server, attempt, finished: true, took, ending, report: None };
+                Event::AttemptEnded { request: id, server, attempt, finished: true, took, outcome: ending, report: None };
             return self.feed(event);
         };
         let (request, came, server, took) = (open.request, open.came, endpoint(k), self.now - sent);
         self.follower.ended(&request, (server, usize::from(attempt)), (sent, took), ending);
-        let finished = ending == Ending::Ok;
+        let finished = ending == AttemptOutcome::Ok;
         if finished {
             self.open.remove(&id);
             self.since[1] += u32::from(self.now - came <= AIM);
         }
-        self.feed(Event::Outcome { request: id, server, attempt, finished, took, ending, report: None });
+        self.feed(Event::AttemptEnded { request: id, server, attempt, finished, took, outcome: ending, report: None });
     }
 
     /// Its client waits no longer: every request has had its answer by now.
--- a/crates/simulation/src/world/levels.rs
+++ b/crates/simulation/src/world/levels.rs
@@ -185,9 +185,9 @@
         let now = skewed(self.now, mover.skew);
         let link = &mut self.links[p][f];
         let Some(reporter) = &mut link.session else { return };
-        let observed: Vec<(String, Observed)> =
-            mover.balancer.observed(now).map(|o| (box_name(box_of(o.server)), o)).collect();
-        let [classes, _] = mover.balancer.admitted(now);
+        let observed: Vec<(String, ServerObservation)> =
+            mover.balancer.observations(now).map(|o| (box_name(box_of(o.server)), o)).collect();
+        let [classes, _] = mover.balancer.admitted_rates(now);
         let state = Now {
             servers: observed.iter().map(|(name, o)| (name.as_str(), *o)).collect(),
             classes: CLASSES.iter().map(|c| c.0).zip(classes).collect(),
--- a/crates/simulation/src/world/measure.rs
+++ b/crates/simulation/src/world/measure.rs
@@ -23,7 +23,7 @@
         let (mut wrong, mut pairs, mut known) = (0u64, 0u64, 0);
         for mover in &self.movers {
             let ranking: Vec<u32> = mover.balancer.ranking(0).map(box_of).collect();
-            known = known.max(mover.balancer.servers_held());
+            known = known.max(mover.balancer.tracked_servers());
             for (place, &server) in ranking.iter().enumerate() {
                 let (better, all) = votes.entry(server).or_default();
                 *better += u32::from(place < ranking.len() / 2);
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -72,10 +72,10 @@
 }
 
 /// Classes of every world: work in seconds of a usual worker, aim, give-up time, effect.
-const CLASSES: [(&str, f64, Nanos, Nanos, Effect); 3] = [
-    ("status", 0.020, 300 * MS, 2_000 * MS, Effect::Safe),
-    ("gauges", 0.030, 500 * MS, 2_500 * MS, Effect::Keyed),
-    ("acknowledge", 0.040, 800 * MS, 3_000 * MS, Effect::Unsafe),
+const CLASSES: [(&str, f64, Nanos, Nanos, Idempotency); 3] = [
+    ("status", 0.020, 300 * MS, 2_000 * MS, Idempotency::Safe),
+    ("gauges", 0.030, 500 * MS, 2_500 * MS, Idempotency::Keyed),
+    ("acknowledge", 0.040, 800 * MS, 3_000 * MS, Idempotency::Unsafe),
 ];
 
 /// What became of the requests of one class.
@@ -121,7 +121,7 @@
     pub(crate) balancer: Balancer,
     pub(crate) follower: Follower,
     told: Told,
-    guide: Guide,
+    guide: NodePlan,
     closed: Closed,
     requests: HashMap<u32, Req>,
     next_id: u32,
@@ -161,7 +161,7 @@
 enum Ev {
     Client(usize),
     Arrive(usize, u32, u8),
-    Done(usize, u32, u8, u64, Ending),
+    Done(usize, u32, u8, u64, AttemptOutcome),
     Deadline(usize, u32),
     Timer(usize, u32),
     Part(usize, usize, u64, Box<Part>),
@@ -238,7 +238,7 @@
                 follower: Follower::new(skewed(BEGIN, skew), &name, "world", &names),
                 name,
                 told: Told::default(),
-                guide: Guide::default(),
+                guide: NodePlan::default(),
                 closed: Closed::default(),
                 requests: HashMap::new(),
                 next_id: 0,
@@ -346,7 +346,7 @@
                 let server = self.movers[f].requests.get(&id).map(|r| r.attempts[usize::from(attempt)].0);
                 let Some(server) = server else { return };
                 let same = self.incarnation[server as usize] == incarnation;
-                self.conclude(f, id, attempt, if same { ending } else { Ending::Reset });
+                self.conclude(f, id, attempt, if same { ending } else { AttemptOutcome::Reset });
             }
             Ev::Deadline(f, id) => self.deadline(f, id),
             Ev::Timer(f, token) => self.feed(f, Event::Timer { token }),
@@ -494,7 +494,7 @@
             Action::Refuse { request, .. } => self.answer(f, request, true),
             Action::Fail { request } => self.answer(f, request, false),
             Action::Cancel { request, attempt } => {
-                events.extend(self.end(f, request, attempt, Ending::Cancelled));
+                events.extend(self.end(f, request, attempt, AttemptOutcome::Cancelled));
                 self.forget(f, request);
             }
             Action::StartTimer { after, token } => self.push(now.saturating_add(after), Ev::Timer(f, token)),
@@ -534,11 +534,11 @@
         let pushed = b.health == Health::Sound && b.pushed(now, work, &cold);
         let answer = match b.health {
             Health::Silent => None,
-            Health::Refuses => Some(back(now, Ending::ConnectFailed)),
-            Health::Fails => Some(back(now + MS, Ending::Error)),
+            Health::Refuses => Some(back(now, AttemptOutcome::ConnectFailed)),
+            Health::Fails => Some(back(now + MS, AttemptOutcome::Error)),
             Health::Sound => Some(match b.take(now, work, &cold) {
-                Taken::Until(end) => back(end, Ending::Ok),
-                Taken::Full => back(now, Ending::Full),
+                Taken::Until(end) => back(end, AttemptOutcome::Ok),
+                Taken::Full => back(now, AttemptOutcome::Rejected),
             }),
         };
         if let Some((at, event)) = answer {
@@ -550,7 +550,7 @@
     }
 
     /// An attempt has ended; what the decision module is told of it.
-    fn end(&mut self, f: usize, id: u32, attempt: u8, ending: Ending) -> Option<Event> {
+    fn end(&mut self, f: usize, id: u32, attempt: u8, ending: AttemptOutcome) -> Option<Event> {
         let now = self.now;
         let req = self.movers[f].requests.get_mut(&id)?;
         let (server, sent_at, open) = req.attempts.get_mut(usize::from(attempt))?;
@@ -560,7 +560,7 @@
         let (server, took) = (*server, now - *sent_at);
         req.life.ended(ending);
         let mut first = None;
-        if ending == Ending::Ok && !req.life.answered {
+        if ending == AttemptOutcome::Ok && !req.life.answered {
             first = Some((req.class, req.arrived));
             if let Err(what) = req.life.answer(now, false) {
                 self.broken(format!("forwarder {f}, request {id}: {what}"));
@@ -571,18 +571,18 @@
             self.served(class, arrived, now);
         }
         let finished = self.movers[f].requests.get(&id).is_some_and(|r| r.life.answered);
-        Some(Event::Outcome {
+        Some(Event::AttemptEnded {
             request: id,
             server: endpoint(server),
             attempt,
             finished,
             took,
-            ending,
+            outcome: ending,
             report: None,
         })
     }
 
-    fn conclude(&mut self, f: usize, id: u32, attempt: u8, ending: Ending) {
+    fn conclude(&mut self, f: usize, id: u32, attempt: u8, ending: AttemptOutcome) {
         if let Some(event) = self.end(f, id, attempt, ending) {
             self.feed(f, event);
             self.forget(f, id);
@@ -592,7 +592,7 @@
     fn deadline(&mut self, f: usize, id: u32) {
         let Some(req) = self.movers[f].requests.get(&id) else { return };
         for attempt in 0..req.attempts.len() as u8 {
-            self.conclude(f, id, attempt, Ending::TimedOut);
+            self.conclude(f, id, attempt, AttemptOutcome::TimedOut);
         }
         if self.movers[f].requests.get(&id).is_some_and(|r| !r.life.answered) {
             self.broken(format!("forwarder {f}, request {id}: no final answer in time"));
@@ -616,24 +616,24 @@
 }
 
 fn balancer(setup: &Setup, ordinal: usize) -> Balancer {
-    let class = |&(_, _, aim, give_up, effect): &(&str, f64, Nanos, Nanos, Effect)| Class {
-        aim,
-        give_up,
-        worth: 1.0,
-        late_worth: 0.0,
-        effect,
-        group: Group::All,
-        window: 2_000 * MS,
+    let class = |&(_, _, aim, give_up, effect): &(&str, f64, Nanos, Nanos, Idempotency)| Class {
+        latency_target: aim,
+        client_timeout: give_up,
+        value: 1.0,
+        late_value: 0.0,
+        idempotency: effect,
+        dedup_group: DedupGroup::All,
+        dedup_window: 2_000 * MS,
         stream: false,
     };
     let settings = Settings {
         classes: CLASSES.iter().map(class).collect(),
         ordinal: ordinal as u32,
         group_size: setup.forwarders as u32,
-        cold_from: setup.cold.from,
+        initial_capacity: setup.cold.from,
         ramp: setup.cold.ramp,
-        tip_multiple: setup.cold.tip,
-        fall: setup.cold.fall,
+        overload_multiple: setup.cold.tip,
+        overload_window: setup.cold.fall,
         sizes_known: false,
         ..Settings::single_class(300 * MS, 2_000 * MS)
     };
--- a/crates/testkit/src/program.rs
+++ b/crates/testkit/src/program.rs
@@ -62,7 +62,7 @@
     /// Attempts may be called off.
     pub cancelling: bool,
     /// A slow safe request may be sent a second time.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Lines for `[thrift]` in the operator's file.
     pub thrift: String,
     /// Lists come only to those who ask for them.
@@ -95,7 +95,7 @@
             window_ms: 5_000,
             connect_timeout_ms: 1_000,
             cancelling: true,
-            second_copies: false,
+            hedging: false,
             thrift: String::new(),
             asked: false,
             ask_within_ms: 10_000,
@@ -359,7 +359,7 @@
             "classes": [class("read", "pure"), class("write", "side_effect"), class("keyed", "token")],
             "tenants": [], "zone": 0, "zones": ["a"], "skus": ["m"], "ordinal": wishes.ordinal.0, "groupSize": wishes.ordinal.1,
             "registryMode": if wishes.asked { "subscribe" } else { "automatic" },
-            "caps": {"maxAttempts": wishes.max_attempts, "secondCopies": wishes.second_copies, "cancelling": wishes.cancelling,
+            "caps": {"maxAttempts": wishes.max_attempts, "secondCopies": wishes.hedging, "cancelling": wishes.cancelling,
                 "mayProbe": false, "peers": wishes.peers, "retryAfter": true, "maxRetryAfterNs": 2_000_000_000u64,
                 "connIdleNs": wishes.conn_idle_ms * 1_000_000, "connectTimeoutNs": wishes.connect_timeout_ms * 1_000_000},
             "guarantees": {"coldFrom": wishes.cold.0, "rampTimeNs": wishes.cold.1 * 1_000_000,
--- a/crates/testkit/src/soak/mod.rs
+++ b/crates/testkit/src/soak/mod.rs
@@ -121,7 +121,7 @@
         window_ms: WINDOW_MS,
         connect_timeout_ms: 200,
         conn_idle_ms: 2_000,
-        second_copies: true,
+        hedging: true,
         managed: true,
         asked,
         ask_within_ms: 4_000,
--- a/crates/thrift/src/front.rs
+++ b/crates/thrift/src/front.rs
@@ -217,8 +217,8 @@
         let method = self.settings.table.method(&message.head.name).ok_or(Fault::Method)?;
         let facts = method.facts(&message)?;
         let class = &gateway.site.settings.classes[usize::from(method.class)];
-        let wait = facts.deadline_ms.map_or(class.give_up, |ms| ms.saturating_mul(1_000_000));
-        let give_up_at = gateway.clock.now() + wait.min(class.give_up);
+        let wait = facts.deadline_ms.map_or(class.client_timeout, |ms| ms.saturating_mul(1_000_000));
+        let give_up_at = gateway.clock.now() + wait.min(class.client_timeout);
         let mut lease = gateway.budget.lease();
         if !lease.grow(message.bytes().len().max(READ)) {
             return Err(Fault::NoRoom);
--- a/crates/thrift/src/upstream.rs
+++ b/crates/thrift/src/upstream.rs
@@ -14,7 +14,7 @@
 use laurelroute_core::line::Lines;
 use laurelroute_core::retry_io::Retried;
 use laurelroute_core::running;
-use laurelroute_policy::interface::Ending;
+use laurelroute_policy::interface::AttemptOutcome;
 use std::cell::Cell;
 use std::io;
 use std::net::SocketAddr;
@@ -173,19 +173,19 @@
 
 /// Plays one attempt to its end; an error is how it ended where it was not told of yet. Where the gateway has
 /// stopped waiting, the attempt may go on for a while, so that its connection can be kept.
-async fn exchange(call: &ThriftExchange, attempt: &Attempt) -> Result<(), Ending> {
+async fn exchange(call: &ThriftExchange, attempt: &Attempt) -> Result<(), AttemptOutcome> {
     let mut lines = Lines::new(attempt, THRIFT)?;
     loop {
         let mut line = lines.next(|dial| open(attempt, &call.boxes, dial)).await?;
         let link: &mut Link = &mut line.connection;
         // What was walked through when it came can be encoded; were it otherwise, it would never have run.
-        let out = call.encode(attempt.millis_left()).map_err(|_| Ending::NotSent)?;
+        let out = call.encode(attempt.millis_left()).map_err(|_| AttemptOutcome::NotSent)?;
         let progress = Rc::new(Progress::default());
         attempt.writes_through(progress.clone());
         match write(&mut link.stream, &out).await {
             Ok(()) => progress.complete.set(true),
             Err(_) if line.reused => continue,
-            Err(_) => return Err(Ending::ConnectFailed),
+            Err(_) => return Err(AttemptOutcome::ConnectFailed),
         }
         let keep = if call.oneway() { sent(call, attempt) } else { answer(call, attempt, link).await? };
         if keep {
@@ -204,17 +204,17 @@
 }
 
 /// Takes an answer and tells of it; whether the connection is at the answer's end.
-async fn answer(call: &ThriftExchange, attempt: &Attempt, link: &mut Link) -> Result<bool, Ending> {
-    let message = whole(link).await.ok_or(Ending::Reset)?;
+async fn answer(call: &ThriftExchange, attempt: &Attempt, link: &mut Link) -> Result<bool, AttemptOutcome> {
+    let message = whole(link).await.ok_or(AttemptOutcome::Reset)?;
     // Another call's answer, or a call: what else may come on this connection nobody knows.
     if !call.message.head.answered_by(&message.head) {
-        return Err(Ending::Reset);
+        return Err(AttemptOutcome::Reset);
     }
     match message.head.kind {
         Kind::Reply => {
             let mut lease = attempt.gateway().budget.lease();
             if !lease.grow(message.bytes().len().max(READ)) {
-                return Err(Ending::Reset);
+                return Err(AttemptOutcome::Reset);
             }
             if attempt.served() {
                 call.put(Some(message), lease);
@@ -222,9 +222,9 @@
         }
         Kind::Exception => {
             let turned_away = application::decode(&message).0 == call.boxes.turned_away;
-            attempt.ended(if turned_away { Ending::Full } else { Ending::Error });
+            attempt.ended(if turned_away { AttemptOutcome::Rejected } else { AttemptOutcome::Error });
         }
-        Kind::Call | Kind::Oneway => return Err(Ending::Reset),
+        Kind::Call | Kind::Oneway => return Err(AttemptOutcome::Reset),
     }
     Ok(!link.decoder.partial())
 }
