--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -4,7 +4,7 @@
 mod wire;
 
 use laurelroute_policy::interface::{Action, Event};
-use laurelroute_policy::settings::{self, Pairs, LoadReportField};
+use laurelroute_policy::settings::{self, LoadReportField, Pairs};
 use laurelroute_policy::Balancer;
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
@@ -51,11 +51,11 @@
             Record::Request(request) => Event::Request(request),
             Record::Message { from, bytes } => Event::Message { from, bytes: bytes.to_vec() },
             Record::ClientGone { request } => Event::ClientGone { request },
-            Record::Probed { server, outcome: ending, took, report } => {
+            Record::Probed { server, ending, took, report } => {
                 let report = self.instances.get(&id).and_then(|i| report.named(&i.fields));
                 Event::Probed { server, outcome: ending, took, report }
             }
-            Record::Outcome { request, server, attempt, finished, took, outcome: ending, report } => {
+            Record::Outcome { request, server, attempt, finished, took, ending, report } => {
                 let report = self.instances.get(&id).and_then(|i| report.named(&i.fields));
                 Event::AttemptEnded { request, server, attempt, finished, took, outcome: ending, report }
             }
--- a/crates/benchlink/src/wire.rs
+++ b/crates/benchlink/src/wire.rs
@@ -1,6 +1,8 @@
 //! Frames of the simulator's wire: batches of event records in, batches of action records out.
 
-use laurelroute_policy::interface::{Action, AttemptOutcome, Endpoint, ListKind, Phase, LoadReport, Request, Server};
+use laurelroute_policy::interface::{
+    Action, AttemptOutcome, Endpoint, ListKind, LoadReport, Phase, Request, Server,
+};
 use laurelroute_policy::settings::LoadReportField;
 use std::fmt;
 
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -3,7 +3,7 @@
 //! The decision module says what it wants; this is asked right before it is done. What must not be done is not done, and
 //! where the module should have known, it is counted as a violation of the node's own invariants ([`crate::events`]).
 
-use laurelroute_policy::interface::{Idempotency, AttemptOutcome, DedupGroup, Nanos};
+use laurelroute_policy::interface::{AttemptOutcome, DedupGroup, Idempotency, Nanos};
 
 /// Why an attempt may not begin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
--- a/crates/core/src/gateway.rs
+++ b/crates/core/src/gateway.rs
@@ -15,8 +15,8 @@
 use crate::running;
 use laurelroute_handover::bans::{BanError, Bans, Word};
 use laurelroute_policy::interface::{
-    Action, AttemptOutcome, Endpoint, Event, NodePlan, LearnedState, ListKind, Nanos, ServerObservation, Request, RequestId, Server,
-    Settings, SettingsError,
+    Action, AttemptOutcome, Endpoint, Event, LearnedState, ListKind, Nanos, NodePlan, Request, RequestId,
+    Server, ServerObservation, Settings, SettingsError,
 };
 use laurelroute_policy::Balancer;
 use laurelroute_shift::course::{Change, Refused, Word as ShiftWord};
@@ -353,7 +353,7 @@
         let give_up_at = call.give_up_at.min(self.ends_at());
         let mut request = Request { id, deadline: give_up_at, ..call.request };
         if let Some(shift) = &mut state.shift {
-            request.place = shift.place(&request);
+            request.split_position = shift.place(&request);
             shift.came(&request);
         }
         state.live.insert(
--- a/crates/core/src/gateway/permits.rs
+++ b/crates/core/src/gateway/permits.rs
@@ -22,7 +22,9 @@
 
     /// A keyed request that may have run is sent again only within its window, which counts from that attempt's sending.
     pub(super) fn send_by(&self, live: &Live) -> Nanos {
-        let Some(terms) = self.terms(live).filter(|t| t.effect == Idempotency::Keyed) else { return Nanos::MAX };
+        let Some(terms) = self.terms(live).filter(|t| t.effect == Idempotency::Keyed) else {
+            return Nanos::MAX;
+        };
         let ran = live.earlier().filter(|e| e.ending.is_some_and(|ending| !ending.never_ran()));
         ran.map(|e| e.sent_at.saturating_add(terms.window)).min().unwrap_or(Nanos::MAX)
     }
--- a/crates/core/tests/dispatch.rs
+++ b/crates/core/tests/dispatch.rs
@@ -2,7 +2,7 @@
 
 use laurelroute_core::dispatch::{may_refuse, may_repeat, Denied, Earlier, Place, Terms};
 use laurelroute_core::events::{self, Kind, Label};
-use laurelroute_policy::interface::{Idempotency, AttemptOutcome, DedupGroup};
+use laurelroute_policy::interface::{AttemptOutcome, DedupGroup, Idempotency};
 
 const HERE: Place = Place { zone: 1, cell: 2 };
 const THERE: Place = Place { zone: 1, cell: 3 };
@@ -25,7 +25,13 @@
     for ending in [AttemptOutcome::Rejected, AttemptOutcome::ConnectFailed, AttemptOutcome::NotSent] {
         assert_eq!(again(terms, Some(ending), HERE, 200), Ok(()));
     }
-    for ending in [AttemptOutcome::Ok, AttemptOutcome::Error, AttemptOutcome::TimedOut, AttemptOutcome::Reset, AttemptOutcome::Cancelled] {
+    for ending in [
+        AttemptOutcome::Ok,
+        AttemptOutcome::Error,
+        AttemptOutcome::TimedOut,
+        AttemptOutcome::Reset,
+        AttemptOutcome::Cancelled,
+    ] {
         assert_eq!(again(terms, Some(ending), HERE, 200), Err(Denied::MayHaveRun));
     }
     assert_eq!(again(terms, None, HERE, 200), Err(Denied::MayHaveRun));
@@ -35,11 +41,20 @@
 fn keyed_requests_go_again_within_their_window_and_group() {
     let reset = Some(AttemptOutcome::Reset);
     assert_eq!(again(terms(Idempotency::Keyed, DedupGroup::All), reset, THERE, 1_099), Ok(()));
-    assert_eq!(again(terms(Idempotency::Keyed, DedupGroup::All), reset, THERE, 1_100), Err(Denied::WindowOver));
+    assert_eq!(
+        again(terms(Idempotency::Keyed, DedupGroup::All), reset, THERE, 1_100),
+        Err(Denied::WindowOver)
+    );
     assert_eq!(again(terms(Idempotency::Keyed, DedupGroup::Zone), reset, THERE, 200), Ok(()));
-    assert_eq!(again(terms(Idempotency::Keyed, DedupGroup::Cell), reset, THERE, 200), Err(Denied::OtherGroup));
+    assert_eq!(
+        again(terms(Idempotency::Keyed, DedupGroup::Cell), reset, THERE, 200),
+        Err(Denied::OtherGroup)
+    );
     assert_eq!(again(terms(Idempotency::Keyed, DedupGroup::Cell), reset, HERE, 200), Ok(()));
-    assert_eq!(again(terms(Idempotency::Keyed, DedupGroup::Cell), Some(AttemptOutcome::Rejected), THERE, 5_000), Ok(()));
+    assert_eq!(
+        again(terms(Idempotency::Keyed, DedupGroup::Cell), Some(AttemptOutcome::Rejected), THERE, 5_000),
+        Ok(())
+    );
 }
 
 #[test]
@@ -56,7 +71,10 @@
     let refuse = |effect, group, ending| may_refuse(&terms(effect, group), [earlier(ending)].into_iter());
     assert_eq!(refuse(Idempotency::Safe, DedupGroup::All, Some(AttemptOutcome::Reset)), Ok(()));
     assert_eq!(refuse(Idempotency::Keyed, DedupGroup::All, Some(AttemptOutcome::Reset)), Ok(()));
-    assert_eq!(refuse(Idempotency::Keyed, DedupGroup::Zone, Some(AttemptOutcome::Reset)), Err(Denied::MayHaveRun));
+    assert_eq!(
+        refuse(Idempotency::Keyed, DedupGroup::Zone, Some(AttemptOutcome::Reset)),
+        Err(Denied::MayHaveRun)
+    );
     assert_eq!(refuse(Idempotency::Unsafe, DedupGroup::All, Some(AttemptOutcome::Rejected)), Ok(()));
     assert_eq!(refuse(Idempotency::Unsafe, DedupGroup::All, None), Err(Denied::MayHaveRun));
 }
--- a/crates/handover/src/message.rs
+++ b/crates/handover/src/message.rs
@@ -43,7 +43,9 @@
 impl Lesson {
     /// The parts in which it is told.
     pub fn parts(learnt: &LearnedState) -> Vec<Lesson> {
-        let row = |k: &LearnedServer| (k.server.address, k.server.port, k.score, k.relative_latency, k.failure_rate);
+        let row = |k: &LearnedServer| {
+            (k.server.address, k.server.port, k.score, k.relative_latency, k.failure_rate)
+        };
         let part = |servers: &[LearnedServer]| Lesson {
             rate: learnt.rate,
             classes: learnt.classes.clone(),
--- a/crates/http/src/front.rs
+++ b/crates/http/src/front.rs
@@ -412,7 +412,9 @@
     if head.method != method {
         return Err(Fault::Method);
     }
-    if settings.idempotency == Idempotency::Keyed && only(&head.headers, IDEMPOTENCY_KEY).is_none_or(<[u8]>::is_empty) {
+    if settings.idempotency == Idempotency::Keyed
+        && only(&head.headers, IDEMPOTENCY_KEY).is_none_or(<[u8]>::is_empty)
+    {
         return Err(Fault::Key);
     }
     let id = only(&head.headers, REQUEST_ID).filter(|id| id.iter().all(u8::is_ascii_graphic));
--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -234,7 +234,8 @@
     let not_processed = head.headers.get(NOT_PROCESSED).is_some_and(|v| v == "1");
     let turned_away = matches!(head.status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT);
     if head.status != StatusCode::OK {
-        let ending = if turned_away && not_processed { AttemptOutcome::Rejected } else { AttemptOutcome::Error };
+        let ending =
+            if turned_away && not_processed { AttemptOutcome::Rejected } else { AttemptOutcome::Error };
         attempt.ended(ending);
         let unwanted = take(link, body, &head.headers, Pieces::new(budget.lease()));
         let read = running::timeout(BODY_STALL, unwanted).await;
--- a/crates/node/src/fleet/lesson.rs
+++ b/crates/node/src/fleet/lesson.rs
@@ -80,7 +80,10 @@
         let back = heard(7.0, &told(4, &learnt));
         assert_eq!((back.rate, &back.classes, back.slowdown), (7.0, &learnt.classes, 1.5));
         assert_eq!((back.servers[0].server, back.servers[0].score), (server.server, 12_345.5));
-        assert!((back.servers[0].relative_latency - 1.25).abs() < 1e-3 && (back.servers[0].failure_rate - 0.5).abs() < 1e-4);
+        assert!(
+            (back.servers[0].relative_latency - 1.25).abs() < 1e-3
+                && (back.servers[0].failure_rate - 0.5).abs() < 1e-4
+        );
         let odd = back.servers[1];
         assert_eq!((odd.score, odd.relative_latency, odd.failure_rate), (0.0, 65.535, 0.0));
     }
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -23,7 +23,7 @@
 use laurelroute_plan::member::Member;
 use laurelroute_plan::reporter::{Now, Reporter};
 use laurelroute_plan::wire::{Body, Role};
-use laurelroute_policy::interface::{NodePlan, ListKind, Nanos, Phase};
+use laurelroute_policy::interface::{ListKind, Nanos, NodePlan, Phase};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cell::{Cell, RefCell};
--- a/crates/node/src/services/directory.rs
+++ b/crates/node/src/services/directory.rs
@@ -11,7 +11,7 @@
 use laurelroute_plan::lead;
 use laurelroute_plan::services::subscriber::{self, Change, Subscriber};
 use laurelroute_plan::wire::Report;
-use laurelroute_policy::interface::{NodePlan, ListKind, Nanos, ServerObservation};
+use laurelroute_policy::interface::{ListKind, Nanos, NodePlan, ServerObservation};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::future::Future;
--- a/crates/policy/src/forecast.rs
+++ b/crates/policy/src/forecast.rs
@@ -1,69 +1,76 @@
-//! What answers really took where a queue was expected, so that admission goes by what is observed.
+//! Measured latencies against the expected ones, so that admission is based on measurements.
 //!
-//! The queue estimate ranks servers: it adds up all that may make one slower than another, and one slow
-//! answer counts in it for its server, for the fleet and for what waits there. For ranking it only has to
-//! be in the right order. Whether a request is worth its work is another question: where peers are slow on
-//! the wire and not in their work, answers take far less than the sum says. So the expected answer time is
-//! read off a line through what was met lately (least squares, fading), which in a jam is the sum itself.
+//! The latency estimate ranks servers: it adds up everything that may make one slower than another, and a
+//! single slow response counts in it for its server, for the fleet and for the queued work. For ranking,
+//! only the order has to be right. Admission needs the actual latency: where responses are delayed on the
+//! network and not by queueing, they take far less than that sum. The expected latency is therefore read
+//! off a line fitted to recent responses (exponentially weighted least squares), which in an overload
+//! equals the sum itself.
 
 use super::*;
 
-/// Weight of a new answer in a slope and the line. Lighter ones follow a jam too late, heavier ones chance.
-const WEIGHT: f64 = 0.01;
-/// Spread of the queues that are taken to have been met before any answer.
-const FIRST_SPREAD: f64 = 1.0;
+/// Weight of a new response in the fit. With a lower one the fit follows an overload too late, with a
+/// higher one it follows noise.
+const SAMPLE_WEIGHT: f64 = 0.01;
+/// Variance of the estimates that is assumed before any response.
+const INITIAL_VARIANCE: f64 = 1.0;
 
-/// How much later answers come for each unit of what was known of them ahead (least squares, fading).
+/// Least-squares slope of latency over a value known in advance, exponentially weighted.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Slope {
-    /// Of what was known ahead.
+pub(super) struct SlopeEstimate {
+    /// Mean of the predictor, a value known in advance.
     pub(super) mean: f64,
-    spread: f64,
-    /// How both go together.
-    both: f64,
+    variance: f64,
+    /// Covariance of the predictor and the latency.
+    covariance: f64,
 }
 
-impl Slope {
-    /// An answer came so much later than usual.
-    pub(super) fn met(&mut self, known: f64, late: f64) {
-        let far = known - self.mean;
-        self.mean += far * WEIGHT;
-        self.spread += (far * far - self.spread) * WEIGHT;
-        self.both += (far * late - self.both) * WEIGHT;
+impl SlopeEstimate {
+    /// Adds a response that came `deviation` later than the mean, for this value of the predictor.
+    pub(super) fn observe(&mut self, predictor: f64, deviation: f64) {
+        let distance = predictor - self.mean;
+        self.mean += distance * SAMPLE_WEIGHT;
+        self.variance += (distance * distance - self.variance) * SAMPLE_WEIGHT;
+        self.covariance += (distance * deviation - self.covariance) * SAMPLE_WEIGHT;
     }
 
-    /// Nothing where nothing has differed yet.
-    pub(super) fn rise(&self) -> f64 {
-        (self.both / self.spread.max(f64::MIN_POSITIVE)).max(0.0)
+    /// The slope; 0 while the predictor has not varied.
+    pub(super) fn slope(&self) -> f64 {
+        (self.covariance / self.variance.max(f64::MIN_POSITIVE)).max(0.0)
     }
 }
 
-/// Expected and real answer times in mean responses.
+/// Expected and measured latencies in mean responses.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Line {
-    slope: Slope,
-    real: f64,
+pub(super) struct LatencyFit {
+    slope: SlopeEstimate,
+    mean_measured: f64,
 }
 
-impl Default for Line {
-    /// Before any answer what is expected is what comes.
+impl Default for LatencyFit {
+    /// Before any response, the expected latency is assumed to be right.
     fn default() -> Self {
-        Line { slope: Slope { mean: 1.0, spread: FIRST_SPREAD, both: FIRST_SPREAD }, real: 1.0 }
+        LatencyFit {
+            slope: SlopeEstimate { mean: 1.0, variance: INITIAL_VARIANCE, covariance: INITIAL_VARIANCE },
+            mean_measured: 1.0,
+        }
     }
 }
 
-impl Line {
-    /// An answer has come, or was waited for in vain. A single one counts for so many expected ones at most.
-    pub(super) fn met(&mut self, expected: f64, real: f64) {
-        let real = real.min(SURGE * expected.max(1.0));
-        let late = real - self.real;
-        self.real += late * WEIGHT;
-        self.slope.met(expected, late);
+impl LatencyFit {
+    /// Adds a response or a timeout. A single one counts for at most `MAX_LATENCY_RATIO` times the expected
+    /// latency.
+    pub(super) fn observe(&mut self, expected: f64, measured: f64) {
+        let measured = measured.min(MAX_LATENCY_RATIO * expected.max(1.0));
+        let deviation = measured - self.mean_measured;
+        self.mean_measured += deviation * SAMPLE_WEIGHT;
+        self.slope.observe(expected, deviation);
     }
 
-    /// The answer time that a queue tells of. Never more than the queue: what it adds up is all there is.
-    pub(super) fn read(&self, queue: f64) -> f64 {
-        let rise = self.slope.rise().min(1.0);
-        (self.real + rise * (queue - self.slope.mean)).max(0.0).min(queue)
+    /// The latency to expect for an estimate. Never more than the estimate, which includes all known
+    /// delays.
+    pub(super) fn read(&self, estimate: f64) -> f64 {
+        let slope = self.slope.slope().min(1.0);
+        (self.mean_measured + slope * (estimate - self.slope.mean)).max(0.0).min(estimate)
     }
 }
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -1,16 +1,16 @@
-//! The types between a proxy node and its [`Balancer`](crate::Balancer): settings, events and actions.
+//! The interface between a proxy node and its [`Balancer`](crate::Balancer): settings, events and actions.
 //!
-//! All times and durations are nanoseconds. The node owns connections, clocks and timers; the balancer owns
-//! nothing but its own picture of the fleet.
+//! All times and durations are in nanoseconds. The node owns connections, clocks and timers; the balancer
+//! only holds its model of the fleet.
 
 use std::collections::BTreeMap;
 
 /// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
-/// The node's own number for one request; never used twice.
+/// The node's number of a request; never reused.
 pub type RequestId = u32;
 
-/// Where a server listens. Order and value carry no meaning beyond identity.
+/// The address that a server listens on. Order and value carry no meaning beyond identity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Endpoint {
     /// IPv4 address, first byte first.
@@ -20,7 +20,7 @@
 }
 
 impl Endpoint {
-    /// How close a key is to this server: the closest of a group is the same at every node (rendezvous hashing).
+    /// Rendezvous hash of the key and this server: the highest of a group is the same at every node.
     pub fn affinity(&self, key: u64) -> u64 {
         let id = (u64::from(u32::from_be_bytes(self.address)) << 16) | u64::from(self.port);
         let mixed = (id ^ key).wrapping_mul(0x9E37_79B9_7F4A_7C15);
@@ -28,12 +28,12 @@
     }
 }
 
-/// Where a server stands in its life, as the list tells it.
+/// A server's lifecycle phase, as the server list reports it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Phase {
-    /// Takes work.
+    /// Accepts requests.
     Ready,
-    /// Finishes what it has; takes nothing new.
+    /// Finishes its requests; accepts no new ones.
     Draining,
     /// Removed from the list.
     #[default]
@@ -45,22 +45,23 @@
 pub struct Server {
     /// The server's identity.
     pub endpoint: Endpoint,
-    /// Zone it stands in, as an index into the node's zones.
+    /// The server's zone, as an index into the node's zones.
     pub zone: u8,
     /// Machine kind, as an index.
     pub kind: u16,
-    /// DedupGroup of servers with shared memory of keys.
+    /// The group of servers that share deduplication state, as an index.
     pub cell: u16,
-    /// Ready, draining or gone.
+    /// Lifecycle phase.
     pub phase: Phase,
-    /// Listed size for comparison with other servers; no unit, 0 when unknown.
+    /// Relative capacity from the list; no unit, 0 if unknown.
     pub size: f32,
-    /// When its process last started; 0 when long ago.
+    /// When its process last started; 0 if long ago.
     pub started_at: Nanos,
 }
 
 impl Server {
-    /// The part of its capacity that a server has reached, which starts at `from` and is whole after `ramp`.
+    /// The share of its full capacity that a server has reached in slow start: it starts at `from` and is 1
+    /// after `ramp`.
     pub fn capacity_fraction(&self, now: Nanos, from: f64, ramp: Nanos) -> f64 {
         if self.started_at == 0 {
             return 1.0;
@@ -75,18 +76,18 @@
     }
 }
 
-/// How far a request may be repeated.
+/// Whether a request may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Repeats do no harm.
+    /// Repeats are harmless.
     Safe,
-    /// Servers of one group drop repeats within a window.
+    /// Servers of one deduplication group drop repeats within a time window.
     Keyed,
-    /// Must not run twice.
+    /// Must not run more than once.
     Unsafe,
 }
 
-/// Which servers drop the repeats of a keyed request.
+/// The servers that share deduplication of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupGroup {
     /// All servers.
@@ -97,99 +98,101 @@
     Cell,
 }
 
-/// One class of requests.
+/// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// An answer within this earns the full worth.
+    /// Latency up to which a response has its full value.
     pub latency_target: Nanos,
-    /// How long a client waits over all its tries.
+    /// How long a client waits over all its attempts.
     pub client_timeout: Nanos,
-    /// Worth of one request (or of a unit of its work, see [`Settings::value_per_work`]).
+    /// Value of one request (or of a unit of its work, see [`Settings::value_per_work`]).
     pub value: f64,
-    /// Share of the worth left for an answer after the aim, 0 to 1.
+    /// Share of the value that a response after the latency target keeps, 0 to 1.
     pub late_value: f64,
-    /// How far it may be repeated.
+    /// Whether its requests may be repeated.
     pub idempotency: Idempotency,
-    /// For keyed classes: who drops repeats.
+    /// For keyed classes: the servers that drop repeats.
     pub dedup_group: DedupGroup,
-    /// For keyed classes: for how long, from the first attempt that may have run.
+    /// For keyed classes: how long repeats are dropped, from the first attempt that may have run.
     pub dedup_window: Nanos,
-    /// The answer is a stream.
+    /// The response is a stream.
     pub stream: bool,
 }
 
-/// The values that a load report may carry.
+/// A load report of a server; each field is optional.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests in hand.
+    /// Requests in progress.
     pub concurrent: Option<f32>,
-    /// Requests that wait.
+    /// Requests that wait in its queue.
     pub queued: Option<f32>,
-    /// Share of its processor in use, 0 to 1.
+    /// CPU utilisation, 0 to 1.
     pub utilisation: Option<f32>,
-    /// Recent service time without waiting, milliseconds.
+    /// Recent service time without queueing, in milliseconds.
     pub service_ms: Option<f32>,
-    /// Requests served a second.
+    /// Requests served per second.
     pub rate: Option<f32>,
-    /// Errors a second.
+    /// Errors per second.
     pub error_rate: Option<f32>,
 }
 
-/// What a node is told at its start.
+/// A node's settings, fixed at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The request classes; at least one.
     pub classes: Vec<Class>,
-    /// Each tenant's share in requests a second over all nodes; empty where there are none.
+    /// Each tenant's quota in requests per second over all nodes; empty if there are no tenants.
     pub tenant_quota: Vec<f64>,
-    /// Part of its worth that a request over its tenant's share keeps, 0 to 1.
+    /// Share of its value that a request beyond its tenant's quota keeps, 0 to 1.
     pub over_quota_value: f64,
-    /// Requests count by their work, not each alike.
+    /// The value of a class is per unit of work and not per request.
     pub value_per_work: bool,
-    /// The node's own zone.
+    /// The node's zone.
     pub zone: u8,
     /// The node's number in its group, from 0.
     pub ordinal: u32,
     /// Number of nodes in the group; at least one.
     pub group_size: u32,
-    /// The list comes only to those who subscribe.
+    /// The server list is only sent to subscribers.
     pub must_subscribe: bool,
-    /// Who has neither a subscription nor asked for so long counts as told of all that there was to tell.
+    /// A node that has neither a subscription nor fetched the list for this long is assumed to know all
+    /// changes, and is held to them.
     pub max_list_age: Nanos,
-    /// Nothing new goes to a server this long after it was told that it drains or is gone.
+    /// Time after which no new request may go to a server that was reported as draining or removed.
     pub drain_grace: Nanos,
-    /// Most attempts for one request; at least one.
+    /// Maximum number of attempts per request; at least one.
     pub max_attempts: u32,
-    /// Two attempts of a request may be out at once.
+    /// Two attempts of a request may be in flight at once.
     pub hedging: bool,
-    /// Attempts may be called off.
+    /// Attempts may be cancelled.
     pub cancel: bool,
     /// Servers may be probed.
     pub probes: bool,
     /// Nodes may send each other messages.
     pub peers: bool,
-    /// Clients are told when to come back.
+    /// Refusals carry a retry-after time.
     pub retry_after: bool,
-    /// The longest such advice that a client heeds.
+    /// The longest retry-after time that clients respect.
     pub max_retry_after: Nanos,
-    /// A server starts at this share of its capacity or more; above 0, at most 1.
+    /// A starting server has at least this share of its capacity; above 0, at most 1.
     pub initial_capacity: f64,
-    /// A started server is warm after this.
+    /// Duration of slow start.
     pub ramp: Nanos,
-    /// More than this multiple of its present capacity, for `fall`, pushes a cold server over.
+    /// A server in slow start is overloaded by more than this multiple of its present capacity over
+    /// `overload_window`.
     pub overload_multiple: f64,
-    /// See `overload_multiple`.
+    /// The time over which `overload_multiple` applies.
     pub overload_window: Nanos,
-    /// Listed sizes can be compared between servers.
+    /// Listed sizes are comparable between servers.
     pub sizes_known: bool,
-    /// Servers that met a key lately do less work for it.
+    /// Servers that recently served a key do less work for it.
     pub key_affinity: bool,
-    /// Points lost for each request that crosses zones, as a share of 1.
+    /// Cost of sending a request to another zone, as a share of 1.
     pub cross_zone_cost: f64,
 }
 
 impl Settings {
-    /// Settings for one safe class on a plain site, to start from.
+    /// Settings with one safe class for a plain site, as a starting point.
     pub fn single_class(latency_target: Nanos, client_timeout: Nanos) -> Self {
         let class = Class {
             latency_target,
@@ -229,12 +232,12 @@
         }
     }
 
-    /// The longest time that a client waits for an answer, over all classes.
+    /// The longest client timeout over all classes.
     pub fn longest_client_timeout(&self) -> Nanos {
         self.classes.iter().map(|c| c.client_timeout).max().unwrap_or(1)
     }
 
-    /// Refuses settings that no node could act on, naming the one at fault.
+    /// Rejects settings that no node could act on, and names the offending one.
     pub fn validate(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::Empty("classes"));
@@ -285,10 +288,10 @@
     }
 }
 
-/// Why settings were refused.
+/// Why settings were rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// A list has no items.
+    /// A list must not be empty.
     #[error("setting `{0}` must not be empty")]
     Empty(&'static str),
     /// A value must be above zero.
@@ -297,7 +300,7 @@
     /// A value must lie between 0 and 1.
     #[error("setting `{0}` must lie between 0 and 1")]
     NotAShare(&'static str),
-    /// A value makes no sense.
+    /// A value is out of its range.
     #[error("setting `{0}` is out of range")]
     OutOfRange(&'static str),
 }
@@ -305,33 +308,34 @@
 /// A client's request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Request {
-    /// The node's number for it.
+    /// The node's number of the request.
     pub id: RequestId,
-    /// Its class, as an index into [`Settings::classes`].
+    /// The class, as an index into [`Settings::classes`].
     pub class: u8,
-    /// Its tenant, as an index into [`Settings::tenant_quota`].
+    /// The tenant, as an index into [`Settings::tenant_quota`].
     pub tenant: u32,
     /// Routing key, 0 for none.
     pub key: u64,
-    /// When the client abandons this try.
+    /// When the client gives up this attempt.
     pub deadline: Nanos,
-    /// Rough work, as time on a standard core, where known.
+    /// Estimated work, as time on a standard core, if known.
     pub work_hint: Option<Nanos>,
-    /// The client says that it tries again.
+    /// The client marked it as a retry.
     pub is_retry: bool,
-    /// It writes.
+    /// It is a write.
     pub is_write: bool,
-    /// Its place on the hash while a [`TrafficSplit`] is on: below a pool's share it is that pool's.
+    /// Its position on the hash while a [`TrafficSplit`] is active: positions below a pool's share belong
+    /// to that pool.
     pub split_position: u32,
 }
 
 impl Request {
-    /// Whether its place is within a share from 0 to 1: never at 0, always at 1.
+    /// Whether its position is within a share from 0 to 1: never at 0, always at 1.
     pub fn in_split_share(&self, share: f64) -> bool {
         f64::from(self.split_position) < share * 2f64.powi(32)
     }
 
-    /// A first try of class 0 without tenant or key.
+    /// A first attempt of class 0 without tenant or key.
     pub fn new(id: RequestId, deadline: Nanos) -> Self {
         Request {
             id,
@@ -347,16 +351,16 @@
     }
 }
 
-/// What a list event holds.
+/// What the entries of a list event are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Only the entries that changed.
     Changes,
-    /// All servers; whoever is absent is gone.
+    /// All servers; those absent are removed.
     Full,
-    /// All servers as last seen by this node's earlier life, possibly out of date.
+    /// All servers as last seen by an earlier process of this node, possibly out of date.
     Cached,
-    /// A call to the list service failed or the subscription broke; the old list stands.
+    /// A call to the list service failed or the subscription broke; the old list remains in effect.
     Failed,
 }
 
@@ -365,147 +369,156 @@
 pub enum AttemptOutcome {
     /// Served.
     Ok,
-    /// The server returned an error; it may have run.
+    /// The server returned an error; the request may have run.
     Error,
-    /// Turned away unseen; it never ran.
+    /// Rejected unprocessed; it never ran.
     Rejected,
-    /// No answer in time; it may have run or still run.
+    /// No response in time; it may have run or may still run.
     TimedOut,
-    /// No connection came about; it never ran.
+    /// No connection was established; it never ran.
     ConnectFailed,
     /// The connection broke; it may have run.
     Reset,
-    /// Called off by the node; it may have run.
+    /// Cancelled by the node; it may have run.
     Cancelled,
     /// Never sent.
     NotSent,
 }
 
 impl AttemptOutcome {
-    /// True where the attempt is proved never to have run.
+    /// True if the attempt certainly never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent)
     }
 }
 
-/// What a plan for the whole fleet says to one node. Each guide replaces the one before.
+/// The part of a fleet-wide plan that concerns one node. Each replaces the previous one.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NodePlan {
-    /// How far the plan is believed, from 0 (the node is on its own) to 1. An old plan is believed less.
+    /// Weight of the plan, from 0 (the node decides on its own) to 1. It decreases with the plan's age.
     pub trust: f64,
-    /// What it says of servers; the others in the list have no standing.
+    /// What the plan holds of servers; others in the list have a planned score of 0.
     pub servers: Vec<ServerPlan>,
-    /// This node's part of each tenant's share, requests a second; where it ends, nothing is said.
+    /// This node's part of each tenant's quota, in requests per second; tenants beyond its end have none
+    /// planned.
     pub tenants: Vec<f64>,
-    /// The requests a second of each class that may come in here; where it ends, there is no limit.
+    /// The rate of each class that this node may admit, in requests per second; classes beyond its end are
+    /// unlimited.
     pub classes: Vec<f64>,
 }
 
-/// What a plan says of one server.
+/// What a plan holds of one server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerPlan {
     /// The server.
     pub server: Endpoint,
-    /// Its accomplishment summed over all nodes, in requests, faded.
+    /// Its score summed over all nodes: a decaying count of requests.
     pub score: f64,
-    /// Others have met failures there.
+    /// Other nodes have seen failures there.
     pub suspected: bool,
-    /// Requests a second that this node may send it while it is cold; infinite where nothing is said.
+    /// Requests per second that this node may send it in slow start; infinite if the plan sets no limit.
     pub slow_start_rate: f64,
 }
 
-/// How requests are split between two pools of servers while traffic is shifted from one to the other. Each replaces the
-/// one before.
+/// How requests are split between two pools of servers during a traffic shift. Each replaces the previous
+/// one.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TrafficSplit {
-    /// Part of each class's requests, from 0 to 1, that is meant for the new pool; where it ends, nothing is.
+    /// Share of each class's requests, from 0 to 1, that is meant for the new pool; 0 for classes beyond
+    /// its end.
     pub shares: Vec<f64>,
-    /// Servers by their pool, true for the new one. Those in neither take any request.
+    /// The pool of each server, true for the new one. Servers in neither pool take any request.
     pub pools: BTreeMap<Endpoint, bool>,
 }
 
 /// Number of [`AttemptOutcome`]s.
 pub const ATTEMPT_OUTCOMES: usize = 8;
 
-/// What a node has met of one server, for those who plan for all.
+/// What a node has observed of one server, for planners.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerObservation {
     /// The server.
     pub server: Endpoint,
-    /// Its accomplishment at this node alone, in requests, faded.
+    /// Its score at this node alone: a decaying count of requests.
     pub score: f64,
-    /// Requests out to it.
+    /// Requests in flight to it.
     pub in_flight: u32,
-    /// Its answers against the fleet's: 1 is usual.
+    /// Its latency relative to the fleet's: 1 is average.
     pub relative_latency: f64,
-    /// Its share of failures, 0 to 1, recent ones counting most.
+    /// Its failure rate, 0 to 1, in which recent outcomes count most.
     pub failure_rate: f64,
-    /// It is out of use here, for failures.
+    /// It is ejected at this node because of failures.
     pub ejected: bool,
-    /// How many attempts ended in each way, by [`AttemptOutcome`] in its order.
+    /// Number of attempts per [`AttemptOutcome`], in its order.
     pub outcomes: [u32; ATTEMPT_OUTCOMES],
 }
 
-/// What one process of a node has learnt, for another one that takes over from it.
+/// State that one process of a node has learned, for another one that takes over from it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LearnedState {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// The usual answer time of each class, and the number of answers that it is known from.
+    /// Mean latency of each class, and the number of responses it is based on.
     pub classes: Vec<(Nanos, u32)>,
-    /// How much longer than usual the fleet takes: 1 is usual.
+    /// Response times of the fleet relative to their mean: 1 is average.
     pub slowdown: f64,
-    /// The fleet's share of failures, 0 to 1.
+    /// The fleet's failure rate, 0 to 1.
     pub failure_rate: f64,
-    /// What is known of each server.
+    /// The state of each server.
     pub servers: Vec<LearnedServer>,
 }
 
-/// What a process has learnt of one server.
+/// State that a process has learned of one server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LearnedServer {
     /// The server.
     pub server: Endpoint,
-    /// Its accomplishment, in requests, faded.
+    /// Its score: a decaying count of requests.
     pub score: f64,
-    /// Its answers against the fleet's: 1 is usual.
+    /// Its latency relative to the fleet's: 1 is average.
     pub relative_latency: f64,
-    /// Its share of failures, 0 to 1.
+    /// Its failure rate, 0 to 1.
     pub failure_rate: f64,
 }
 
 impl From<ServerObservation> for LearnedServer {
     fn from(o: ServerObservation) -> LearnedServer {
-        LearnedServer { server: o.server, score: o.score, relative_latency: o.relative_latency, failure_rate: o.failure_rate }
+        LearnedServer {
+            server: o.server,
+            score: o.score,
+            relative_latency: o.relative_latency,
+            failure_rate: o.failure_rate,
+        }
     }
 }
 
-/// What a node tells its balancer.
+/// An event that a node passes to its balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// What the process has learnt from which this one takes over.
+    /// The state learned by the process that this one takes over from.
     TakeOver(LearnedState),
-    /// A plan for the whole fleet has come, or has aged.
+    /// A fleet-wide plan was received, or its weight has changed with its age.
     Plan(NodePlan),
-    /// This node's part, from 0 to 1, of what is split among all nodes; else it is an even one by the settings.
+    /// This node's share, from 0 to 1, of quotas that are split among all nodes; initially an even share by
+    /// the settings.
     QuotaShare(f64),
     /// Requests are split between two pools from now on, or (`None`) no longer.
-    TrafficSplit(Option<TrafficSplit>),
-    /// The list service spoke.
+    Split(Option<TrafficSplit>),
+    /// The list service sent an update or failed.
     List {
         /// What the entries are.
         kind: ListKind,
         /// The entries.
         servers: Vec<Server>,
     },
-    /// Operators have put a server back into use: it is to be tried soon.
+    /// Operators have put a server back into use; it gets a trial request soon.
     Reinstated {
         /// The server.
         server: Endpoint,
     },
-    /// A client's request came in; it is owed exactly one final answer.
+    /// A client's request arrived; it gets exactly one final response.
     Request(Request),
-    /// An attempt ended; each send gets exactly one.
+    /// An attempt ended; there is exactly one such event per [`Action::Send`].
     AttemptEnded {
         /// The request.
         request: RequestId,
@@ -513,16 +526,16 @@
         server: Endpoint,
         /// Attempt number, from 0 in the order of sending.
         attempt: u8,
-        /// Nothing more is owed for the request.
+        /// The request needs no further response.
         finished: bool,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         took: Nanos,
         /// How it ended.
         outcome: AttemptOutcome,
-        /// The server's load, where told.
+        /// The server's load report, if any.
         report: Option<LoadReport>,
     },
-    /// The answer of a streamed request has begun.
+    /// The response of a streamed request has begun.
     StreamStarted {
         /// The request.
         request: RequestId,
@@ -530,40 +543,40 @@
         attempt: u8,
         /// The server it was sent to.
         server: Endpoint,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         took: Nanos,
     },
-    /// The client is gone; nothing more is owed.
+    /// The client disconnected and needs no response.
     ClientGone {
         /// The request.
         request: RequestId,
     },
-    /// A probe came back.
+    /// A probe ended.
     Probed {
         /// The server.
         server: Endpoint,
-        /// How it went.
+        /// How it ended.
         outcome: AttemptOutcome,
         /// How long it took.
         took: Nanos,
-        /// The server's load, where told.
+        /// The server's load report, if any.
         report: Option<LoadReport>,
     },
-    /// Bytes from another node.
+    /// A message from another node.
     Message {
         /// The sender's number.
         from: u32,
         /// The bytes.
         bytes: Vec<u8>,
     },
-    /// A timer asked for has run out.
+    /// A requested timer has expired.
     Timer {
-        /// The token given with it.
+        /// The token it was started with.
         token: u32,
     },
 }
 
-/// What a balancer asks its node to do.
+/// What a balancer requests its node to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send the request to the server as its next attempt.
@@ -572,52 +585,52 @@
         request: RequestId,
         /// The server.
         server: Endpoint,
-        /// The attempt's time-out; 0 means until the client gives up.
+        /// The attempt's timeout; 0 means until the client's deadline.
         timeout: Nanos,
     },
-    /// Final answer: turned away, a repeat is harmless.
+    /// Final response: refused; a retry is harmless.
     Refuse {
         /// The request.
         request: RequestId,
-        /// Advice when to come back; 0 for none.
+        /// Suggested time until a retry; 0 for none.
         retry_after: Nanos,
     },
-    /// Final answer: failed, with no word on its effect.
+    /// Final response: failed; the request may or may not have run.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Call off an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         request: RequestId,
         /// Attempt number.
         attempt: u8,
     },
-    /// Check a server.
+    /// Probe a server.
     Probe {
         /// The server.
         server: Endpoint,
     },
-    /// Send bytes to another node, or to all when `to` is `None`.
+    /// Send a message to another node, or to all if `to` is `None`.
     SendToPeer {
-        /// The peer's number.
+        /// The number of the receiving node.
         to: Option<u32>,
         /// At most 256 bytes.
         bytes: Vec<u8>,
     },
-    /// Open a standing subscription to list changes.
+    /// Subscribe to server list changes.
     Subscribe,
-    /// Ask for the whole list once.
+    /// Fetch the full server list once.
     FetchList,
-    /// Wake the balancer with this token after this time.
+    /// Send a timer event with this token after this time.
     StartTimer {
         /// Time from now.
         after: Nanos,
-        /// Comes back with the event.
+        /// Returned in the event.
         token: u32,
     },
-    /// A line for the operator's log.
+    /// Log a line for operators.
     Log {
         /// The text.
         text: String,
--- a/crates/policy/src/pools.rs
+++ b/crates/policy/src/pools.rs
@@ -1,38 +1,42 @@
-//! Two pools of servers while a shift is on: which one a request is meant for.
+//! Two pools of servers during a traffic shift: which of them a request is meant for.
 
 use super::*;
 
-/// A server's pool; 0 where it is in none.
+/// A server's pool; 0 if it is in neither.
 const OLD: u8 = 1;
 const NEW: u8 = 2;
 
 impl Balancer {
-    pub(super) fn follow_split(&mut self, now: Nanos, split: Option<TrafficSplit>) {
-        for node in &mut self.nodes {
-            let pool = split.as_ref().and_then(|s| s.pools.get(&node.server.endpoint));
-            node.pool = pool.map_or(0, |&new| if new { NEW } else { OLD });
+    pub(super) fn apply_split(&mut self, now: Nanos, split: Option<TrafficSplit>) {
+        for state in &mut self.servers {
+            let pool = split.as_ref().and_then(|s| s.pools.get(&state.server.endpoint));
+            state.pool = pool.map_or(0, |&is_new| if is_new { NEW } else { OLD });
         }
         self.split = split;
-        (0..self.zones.len()).for_each(|zone| self.regroup(now, zone));
+        (0..self.zones.len()).for_each(|zone| self.rank_zone(now, zone));
     }
 
-    /// The pool that a request is meant for; a repeat goes to the old one: failures do not hurry the shift.
-    fn lane(&self, pending: &Pending) -> Option<u8> {
+    /// The pool that a request is meant for. A retry goes to the old pool, so that failures do not speed up
+    /// the shift.
+    fn pool_for(&self, pending: &Pending) -> Option<u8> {
         let share = self.split.as_ref()?.shares.get(usize::from(pending.request.class));
-        let within = pending.request.in_split_share(*share.unwrap_or(&0.0));
-        Some(if within && pending.attempts.is_empty() { NEW } else { OLD })
+        let in_new_pool = pending.request.in_split_share(*share.unwrap_or(&0.0));
+        Some(if in_new_pool && pending.attempts.is_empty() { NEW } else { OLD })
     }
 
-    /// The choice within that pool; the other one serves where it has nobody, or the new one would be late.
+    /// Chooses a server of that pool. The other pool serves the request if that pool has no eligible
+    /// server, or if the new pool's response would be late.
     pub(super) fn choose(&mut self, now: Nanos, pending: &Pending) -> Option<(usize, f64)> {
-        self.lane = self.lane(pending);
-        let found = self.choose_near(now, pending);
+        self.target_pool = self.pool_for(pending);
+        let choice = self.choose_across_zones(now, pending);
         let class = usize::from(pending.request.class);
-        let late = |q: f64| q * self.typical[class] > self.settings.classes[class].latency_target as f64;
-        let good = found.is_some_and(|(_, q)| self.lane != Some(NEW) || !late(q));
-        if self.lane.take().is_none() || good {
-            return found;
+        let late = |latency: f64| {
+            latency * self.mean_latency[class] > self.settings.classes[class].latency_target as f64
+        };
+        let accepted = choice.is_some_and(|(_, latency)| self.target_pool != Some(NEW) || !late(latency));
+        if self.target_pool.take().is_none() || accepted {
+            return choice;
         }
-        self.choose_near(now, pending).or(found)
+        self.choose_across_zones(now, pending).or(choice)
     }
 }
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -1,16 +1,16 @@
-//! Reads an instance's settings from `path=value` pairs: the adapter gets them as lines, the node flattens its
-//! JSON to the same paths. Unknown keys are skipped, missing or broken ones named.
+//! Reads settings from `path=value` pairs: the benchmark adapter receives them as lines, the node flattens
+//! its JSON to the same paths. Unknown keys are ignored; missing or malformed ones are named in the error.
 
-use crate::interface::{Class, Idempotency, DedupGroup, Nanos, Settings};
+use crate::interface::{Class, DedupGroup, Idempotency, Nanos, Settings};
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
-/// Settings by their path.
+/// Setting values by path.
 #[derive(Clone, Debug, Default)]
 pub struct Pairs(BTreeMap<String, String>);
 
 impl Pairs {
-    /// Reads `path=value` lines.
+    /// Parses `path=value` lines.
     pub fn from_lines(bytes: &[u8]) -> Result<Self, String> {
         let text = std::str::from_utf8(bytes).map_err(|e| format!("not UTF-8: {e}"))?;
         let mut pairs = Pairs::default();
@@ -22,7 +22,7 @@
         Ok(pairs)
     }
 
-    /// Adds a value, in place of one that was there.
+    /// Sets a value, replacing an earlier one.
     pub fn set(&mut self, key: &str, value: &str) {
         self.0.insert(key.to_owned(), value.to_owned());
     }
@@ -31,7 +31,7 @@
         self.0.get(key).map(String::as_str).ok_or_else(|| format!("`{key}` is missing"))
     }
 
-    /// The value at a path.
+    /// Parses the value at a path.
     pub fn get<T: FromStr>(&self, key: &str) -> Result<T, String> {
         let text = self.text(key)?;
         text.parse().map_err(|_| format!("`{key}` has the unreadable value `{text}`"))
@@ -72,19 +72,22 @@
         .ok_or_else(|| format!("`{key}` has the unknown value `{text}`; it may be {}", named()))
 }
 
-/// The longest time that any setting may name: a day. Sums of a few of them stay far from the end of the clock.
-const LONGEST: Nanos = 86_400_000_000_000;
+/// The longest duration that a setting may have: a day. Sums of a few of them cannot overflow the clock.
+const MAX_DURATION: Nanos = 86_400_000_000_000;
 
-/// A time in nanoseconds that something has to wait for: not none, and not beyond all reason.
+/// Reads a duration in nanoseconds, from 1 to a day.
 pub fn duration(pairs: &Pairs, key: &str) -> Result<Nanos, String> {
     let text = pairs.text(key)?;
-    let value = text.parse().ok().filter(|v| (1..=LONGEST).contains(v));
-    value.ok_or_else(|| format!("`{key}` is `{text}`; it has to be from 1 to {LONGEST} nanoseconds (a day)"))
+    let value = text.parse().ok().filter(|v| (1..=MAX_DURATION).contains(v));
+    value.ok_or_else(|| {
+        format!("`{key}` is `{text}`; it has to be from 1 to {MAX_DURATION} nanoseconds (a day)")
+    })
 }
 
 fn class(pairs: &Pairs, k: usize) -> Result<Class, String> {
     let key = |name: &str| format!("classes.{k}.{name}");
-    let effects = [("pure", Idempotency::Safe), ("token", Idempotency::Keyed), ("side_effect", Idempotency::Unsafe)];
+    let effects =
+        [("pure", Idempotency::Safe), ("token", Idempotency::Keyed), ("side_effect", Idempotency::Unsafe)];
     let groups = [("all", DedupGroup::All), ("zone", DedupGroup::Zone), ("cell", DedupGroup::Cell)];
     let effect = choice(pairs, &key("effect"), &effects)?;
     let keyed = effect == Idempotency::Keyed;
@@ -100,7 +103,7 @@
     })
 }
 
-/// A value that a load report can carry, by its name on the wire.
+/// A field of a load report, by its name on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[allow(missing_docs)] // The names say it all.
 pub enum LoadReportField {
@@ -114,7 +117,7 @@
 }
 
 impl LoadReportField {
-    /// Names that are not known are skipped.
+    /// Maps a wire name to its field; unknown names give [`LoadReportField::Unknown`], which is ignored.
     pub fn from_name(name: &str) -> Self {
         match name {
             "concurrent" => LoadReportField::Concurrent,
@@ -128,11 +131,11 @@
     }
 }
 
-/// Where the settings say nothing of it: the shortest that any page names.
-const ASK_WITHIN: Nanos = 6_000_000_000;
-const DRAIN_GRACE: Nanos = 100_000_000;
+/// Defaults for absent settings: the shortest that the specification allows.
+const DEFAULT_MAX_LIST_AGE: Nanos = 6_000_000_000;
+const DEFAULT_DRAIN_GRACE: Nanos = 100_000_000;
 
-/// Settings and the order of the load report's values.
+/// Reads the settings and the order of the load report's fields.
 pub fn parse(pairs: &Pairs) -> Result<(Settings, Vec<LoadReportField>), String> {
     let classes = (0..pairs.count("classes")?).map(|k| class(pairs, k)).collect::<Result<_, _>>()?;
     let tenant_quota = (0..pairs.count("tenants")?)
@@ -151,8 +154,8 @@
         ordinal: pairs.get("ordinal")?,
         group_size: pairs.get("groupSize")?,
         must_subscribe: choice(pairs, "registryMode", &[("automatic", false), ("subscribe", true)])?,
-        max_list_age: pairs.or("guarantees.askWithinNs", ASK_WITHIN)?,
-        drain_grace: pairs.or("guarantees.stopSendingWithinNs", DRAIN_GRACE)?,
+        max_list_age: pairs.or("guarantees.askWithinNs", DEFAULT_MAX_LIST_AGE)?,
+        drain_grace: pairs.or("guarantees.stopSendingWithinNs", DEFAULT_DRAIN_GRACE)?,
         max_attempts: pairs.get("caps.maxAttempts")?,
         hedging: pairs.get("caps.secondCopies")?,
         cancel: pairs.get("caps.cancelling")?,
--- a/crates/policy/src/silence.rs
+++ b/crates/policy/src/silence.rs
@@ -1,58 +1,60 @@
-//! Silence of servers whose requests are cancelled before an answer comes.
+//! Time without a response at servers whose requests are cancelled before one arrives.
 //!
-//! A cancelled attempt is a censored observation: the answer takes at least as long as was waited for it. A
-//! server that never answers would otherwise look idle whenever its last request is cancelled, and attract
-//! the next one. What is kept is the time in which something was out at the server, since its last answer:
-//! attempts that wait side by side count once, and a pause in between doesn't count. It is used to compare
-//! servers only. Admission goes by answers, so that impatient clients do not have patient ones refused.
+//! A cancelled attempt is a censored observation: the response takes at least as long as it was waited for.
+//! Without it, a server that never responds would look idle whenever its last request is cancelled, and
+//! attract the next one. The module tracks the time during which requests were in flight since the server's
+//! last response: concurrent attempts count once, and idle pauses do not count. It is used only to compare
+//! servers. Admission uses measured responses, so that clients with short timeouts do not cause requests of
+//! patient ones to be refused.
 
 use super::*;
 
-/// Silence fades over at least and at most this many memories of a lag. In between it grows with the spells:
-/// a server that hung once is tried again soon, one that has never answered seldom.
-const MEMORIES: (f64, f64) = (0.5, 3.0);
+/// Silence decays over at least and at most this many latency memories. In between, the time grows with the
+/// spells: a server that hung once is tried again soon, one that has never responded rarely.
+const DECAY_MEMORIES: (f64, f64) = (0.5, 3.0);
 
-/// Unanswered busy time of a server since its last answer, as of the moment its last attempt was cancelled.
+/// Busy time of a server without a response since its last one, as of the cancellation of its last attempt.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Silence {
     busy: f64,
-    /// Busy times since the last answer, each as a part of the most that one may count for. They don't fade.
+    /// Busy times since the last response, each as a share of the most that one spell may count for. They
+    /// do not decay.
     spells: f64,
     idle_since: Nanos,
 }
 
 impl Silence {
-    /// The server has answered, with whatever it was.
+    /// The server has responded, successfully or not.
     pub(super) fn end(&mut self) {
         *self = Silence::default();
     }
 
-    /// The last attempt out has been cancelled, after something had been out without an answer since
-    /// `busy_since`. This spell counts for no more than `most`: one connection alone may have fallen silent.
-    pub(super) fn add(&mut self, now: Nanos, busy_since: Nanos, most: f64, memory: f64) {
-        let before = self.read(busy_since, memory);
-        let busy = (now.saturating_sub(busy_since) as f64).min(most);
-        *self = Silence { busy: before + busy, spells: self.spells + busy / most, idle_since: now };
+    /// The last attempt in flight has been cancelled, and no response has come since `busy_since`. This
+    /// spell counts for at most `max_spell`: a single connection may have hung.
+    pub(super) fn add(&mut self, now: Nanos, busy_since: Nanos, max_spell: f64, memory: f64) {
+        let previous = self.read(busy_since, memory);
+        let busy = (now.saturating_sub(busy_since) as f64).min(max_spell);
+        *self = Silence { busy: previous + busy, spells: self.spells + busy / max_spell, idle_since: now };
     }
 
-    /// What is left of it: it fades while the server is idle, so that the server is tried again.
+    /// The remaining silence: it decays while the server is idle, so that the server is tried again.
     pub(super) fn read(&self, now: Nanos, memory: f64) -> f64 {
-        let (least, most) = MEMORIES;
-        let fading = memory * (least * self.spells).clamp(least, most);
-        self.busy * (-(now.saturating_sub(self.idle_since) as f64) / fading).exp()
+        let (least, most) = DECAY_MEMORIES;
+        let decay_time = memory * (least * self.spells).clamp(least, most);
+        self.busy * (-(now.saturating_sub(self.idle_since) as f64) / decay_time).exp()
     }
 }
 
 impl Balancer {
-    /// How much longer than `expected` an answer here has to be expected for the silence, in mean responses.
-    pub(super) fn silence_cost(&self, now: Nanos, i: usize, mean: f64, expected: f64) -> f64 {
-        let node = &self.nodes[i];
-        let busy_since = if node.out > 0 { node.silent_since } else { now };
-        let before = node.silence.read(busy_since, self.memory);
-        if before == 0.0 {
+    /// How much longer than `expected` a response takes according to the silence, in mean responses.
+    pub(super) fn silence_penalty(&self, now: Nanos, i: usize, mean: f64, expected: f64) -> f64 {
+        let state = &self.servers[i];
+        let busy_since = if state.in_flight > 0 { state.silent_since } else { now };
+        let previous = state.silence.read(busy_since, self.latency_memory);
+        if previous == 0.0 {
             return 0.0;
         }
-        let silent = before + now.saturating_sub(busy_since) as f64;
-        (silent / mean - expected).max(0.0)
+        let silence = previous + now.saturating_sub(busy_since) as f64;
+        (silence / mean - expected).max(0.0)
     }
 }
--- a/crates/policy/src/trial.rs
+++ b/crates/policy/src/trial.rs
@@ -1,39 +1,39 @@
-//! Servers that operators have put back: each is tried with one request, whatever its rank and zone.
+//! Trial requests to servers that operators have put back into use: one each, regardless of rank and zone.
 //!
-//! It comes back cold and without accomplishment, and in another zone is met by chance only: who has put it
-//! back wants to see that it serves.
+//! Such a server returns cold and with a score of 0, and in another zone would get requests only by chance,
+//! while the operator wants to see that it serves.
 
 use super::*;
 
-/// A server waits this part of `fall` for a request that is not too long for it while it is cold.
-const PICKY: f64 = 0.5;
+/// A server waits this share of the overload window for a request that it can serve in time while cold.
+const MAX_TRIAL_WAIT: f64 = 0.5;
 
 impl Balancer {
-    /// A server is back in use.
-    pub(super) fn restored(&mut self, now: Nanos, server: Endpoint) {
+    /// Schedules a trial of a server that is back in use.
+    pub(super) fn schedule_trial(&mut self, now: Nanos, server: Endpoint) {
         if let Some(&i) = self.by_endpoint.get(&server) {
-            self.trials.retain(|t| t.0 != i);
-            self.trials.push((i, now));
+            self.pending_trials.retain(|t| t.0 != i);
+            self.pending_trials.push((i, now));
         }
     }
 
-    /// The server that this request is to try, with the answer time expected there. Only what may be repeated
-    /// is used for that, and only where a cold server has room for it by now.
-    pub(super) fn trial(&mut self, now: Nanos, pending: &Pending) -> Option<(usize, f64)> {
-        let mut trials = std::mem::take(&mut self.trials);
-        trials.retain(|t| self.nodes[t.0].server.phase == Phase::Ready);
+    /// The server that this request is to try, with the latency expected there. Only requests that may be
+    /// repeated are used, and only once slow start allows the server a request.
+    pub(super) fn take_trial(&mut self, now: Nanos, pending: &Pending) -> Option<(usize, f64)> {
+        let mut trials = std::mem::take(&mut self.pending_trials);
+        trials.retain(|t| self.servers[t.0].server.phase == Phase::Ready);
         let class = usize::from(pending.request.class);
         let safe = self.settings.classes[class].idempotency == Idempotency::Safe;
-        let patience = (PICKY * self.settings.overload_window as f64) as Nanos;
-        let at = trials.iter().position(|&(i, since)| {
-            let node = &self.nodes[i];
-            let took = self.typical[class] / self.cold_share(now, i);
-            let fits =
-                took <= self.settings.classes[class].latency_target as f64 || now.saturating_sub(since) >= patience;
-            safe && fits && node.out == 0 && node.blocked_until <= now && node.cold_next <= now
+        let max_wait = (MAX_TRIAL_WAIT * self.settings.overload_window as f64) as Nanos;
+        let position = trials.iter().position(|&(i, since)| {
+            let state = &self.servers[i];
+            let latency = self.mean_latency[class] / self.capacity_fraction(now, i);
+            let fits = latency <= self.settings.classes[class].latency_target as f64
+                || now.saturating_sub(since) >= max_wait;
+            safe && fits && state.in_flight == 0 && state.ejected_until <= now && state.next_send_at <= now
         });
-        let tried = at.map(|k| trials.remove(k).0);
-        self.trials = trials;
-        tried.map(|i| (i, 0.0))
+        let chosen = position.map(|k| trials.remove(k).0);
+        self.pending_trials = trials;
+        chosen.map(|i| (i, 0.0))
     }
 }
--- a/crates/policy/tests/cancellations.rs
+++ b/crates/policy/tests/cancellations.rs
@@ -1,28 +1,28 @@
-//! Requests whose clients leave before an answer comes, at a server that never answers beside sound ones.
+//! Requests whose clients disconnect before a response arrives, at a server that never responds beside healthy ones.
 
 mod common;
 
-use common::{endpoint, sent, servers, settings, Bed, MS};
+use common::{endpoint, sent, servers, settings, TestBed, MS};
 use laurelroute_policy::interface::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// How long a run lasts, and when counting begins.
+/// Duration of a run, and the time after which attempts are counted.
 const RUN: Nanos = 120_000 * MS;
 const WARM_UP: Nanos = 20_000 * MS;
-/// A connect to the server that never answers ends after this time.
+/// Connects to the unresponsive server fail after this time.
 const CONNECT_TIMEOUT: Nanos = 500 * MS;
 
-/// Clients that leave: which part of all, and after which least and greatest time.
+/// Clients that disconnect: their share of all, and the range of times after which they do.
 #[derive(Clone, Copy)]
-struct Leavers {
+struct ImpatientClients {
     part: f64,
     after: (Nanos, Nanos),
 }
 
-const NONE: Leavers = Leavers { part: 0.0, after: (0, 1) };
+const NONE: ImpatientClients = ImpatientClients { part: 0.0, after: (0, 1) };
 
-/// One request at a server: when and how it ends there.
+/// An attempt at a server: when and how it ends.
 struct Attempt {
     ends_at: Nanos,
     sent_at: Nanos,
@@ -32,23 +32,23 @@
     outcome: AttemptOutcome,
 }
 
-/// Random arrivals at one node in front of servers of which the first never answers.
+/// Random arrivals at one node in front of servers, the first of which never responds.
 struct World {
-    bed: Bed,
+    bed: TestBed,
     random: Pcg64Mcg,
     open: Vec<Attempt>,
     leaving: Vec<(Nanos, RequestId)>,
     started: Nanos,
     count_from: Nanos,
     recovers_at: Option<Nanos>,
-    /// Attempts at the first server and at all servers while they are counted.
+    /// Attempts at the first server and at all servers after the warm-up.
     dead: u32,
     all: u32,
 }
 
 impl World {
     fn new(servers_count: u8, seed: u64) -> Self {
-        let bed = Bed::new(settings(Idempotency::Safe), servers(servers_count), seed);
+        let bed = TestBed::new(settings(Idempotency::Safe), servers(servers_count), seed);
         let random = Pcg64Mcg::seed_from_u64(seed);
         let started = bed.now;
         World {
@@ -72,7 +72,7 @@
         least + (self.unit() * (most - least) as f64) as Nanos
     }
 
-    /// Exponential, of the given mean.
+    /// Draws from an exponential distribution with the given mean.
     fn exponential(&mut self, mean: f64) -> Nanos {
         (-self.unit().max(1e-9).ln() * mean) as Nanos
     }
@@ -108,7 +108,7 @@
         }
     }
 
-    /// How long an attempt takes at a server and how it ends, where nobody calls it off.
+    /// How long an attempt takes at a server and how it ends unless it is cancelled.
     fn service(&mut self, server: Endpoint) -> (Nanos, AttemptOutcome) {
         if server == endpoint(0) && !self.recovered() {
             return (CONNECT_TIMEOUT, AttemptOutcome::ConnectFailed);
@@ -123,12 +123,12 @@
 
     fn next_event(&self) -> Nanos {
         let ends = self.open.iter().map(|a| a.ends_at);
-        ends.chain(self.leaving.iter().map(|l| l.0)).min().unwrap_or(Nanos::MAX)
+        ends.chain(self.leaving.iter().map(|s| s.0)).min().unwrap_or(Nanos::MAX)
     }
 
-    /// What is due by now: clients leave and attempts end.
+    /// Processes due events: clients disconnect and attempts end.
     fn settle(&mut self) {
-        if let Some(k) = self.leaving.iter().position(|l| l.0 <= self.bed.now) {
+        if let Some(k) = self.leaving.iter().position(|s| s.0 <= self.bed.now) {
             let (_, request) = self.leaving.swap_remove(k);
             let actions = self.bed.feed(Event::ClientGone { request });
             self.take(actions);
@@ -139,13 +139,13 @@
             let actions = self.bed.outcome(request, server, attempt, took, outcome);
             self.take(actions);
             if outcome == AttemptOutcome::Ok {
-                self.leaving.retain(|l| l.1 != request);
+                self.leaving.retain(|s| s.1 != request);
             }
         }
     }
 
-    /// Attempts at the first server and at all.
-    fn play(mut self, arrivals: f64, leavers: Leavers) -> (u32, u32) {
+    /// Runs the model; returns the attempts at the first server and at all servers.
+    fn play(mut self, arrivals: f64, impatient: ImpatientClients) -> (u32, u32) {
         let mut arrival = self.started;
         while self.bed.now < self.started + RUN {
             let next = self.next_event();
@@ -157,8 +157,8 @@
             self.bed.now = arrival;
             arrival += self.exponential(1e9 / arrivals);
             let (request, actions) = self.bed.request();
-            if sent(&actions, request).is_some() && self.unit() < leavers.part {
-                let at = self.bed.now + self.between(leavers.after);
+            if sent(&actions, request).is_some() && self.unit() < impatient.part {
+                let at = self.bed.now + self.between(impatient.after);
                 self.leaving.push((at, request));
             }
             self.take(actions);
@@ -168,46 +168,48 @@
 }
 
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=5;
-const HASTY: Leavers = Leavers { part: 1.0, after: (5 * MS, 20 * MS) };
-const LATE: Leavers = Leavers { part: 1.0, after: (60 * MS, 400 * MS) };
-const MOST_LATE: Leavers = Leavers { part: 0.9, ..LATE };
+const EARLY: ImpatientClients = ImpatientClients { part: 1.0, after: (5 * MS, 20 * MS) };
+const LATE: ImpatientClients = ImpatientClients { part: 1.0, after: (60 * MS, 400 * MS) };
+const MOSTLY_LATE: ImpatientClients = ImpatientClients { part: 0.9, ..LATE };
 
-/// Guards against: a server that never answers got four in five of all requests, as each cancelled one made it look idle.
+/// A server that never responds got four in five of all requests, because each cancelled one made it look idle.
 #[test]
-fn a_dead_server_gets_under_a_tenth_where_all_clients_leave_within_20_ms() {
+fn a_dead_server_gets_under_a_tenth_when_all_clients_disconnect_within_20_ms() {
     for (count, arrivals) in [(2, 20.0), (2, 60.0), (6, 60.0)] {
         for seed in SEEDS {
-            let (dead, all) = World::new(count, seed).play(arrivals, HASTY);
+            let (dead, all) = World::new(count, seed).play(arrivals, EARLY);
             assert!(dead * 10 < all, "{count} servers, {arrivals}/s, seed {seed}: {dead} of {all}");
         }
     }
 }
 
-/// Guards against: with clients that leave before the connect fails, a dead server got 8 to 50 times its requests without them.
+/// With clients that disconnect before the connect fails, a dead server got 8 to 50 times the requests that it got
+/// without them.
 #[test]
-fn leavers_bring_a_dead_server_at_most_three_times_its_requests() {
-    for (count, arrivals, leavers) in
-        [(2, 20.0, LATE), (2, 60.0, LATE), (6, 60.0, LATE), (6, 20.0, MOST_LATE)]
+fn disconnecting_clients_at_most_triple_a_dead_servers_requests() {
+    for (count, arrivals, impatient) in
+        [(2, 20.0, LATE), (2, 60.0, LATE), (6, 60.0, LATE), (6, 20.0, MOSTLY_LATE)]
     {
         for seed in SEEDS {
             let (patient, _) = World::new(count, seed).play(arrivals, NONE);
-            let (dead, all) = World::new(count, seed).play(arrivals, leavers);
+            let (dead, all) = World::new(count, seed).play(arrivals, impatient);
             let case = format!("{count} servers, {arrivals}/s, seed {seed}");
-            assert!(dead <= 3 * patient, "{case}: {dead} of {all}, {patient} with no leavers");
+            assert!(dead <= 3 * patient, "{case}: {dead} of {all}, {patient} without impatient clients");
         }
     }
 }
 
-/// Guards against a mend that goes too far: a server that answers again has to get its part again, with the same leavers.
+/// The protection must not be permanent: a server that recovers gets its share of requests again, with the same
+/// impatient clients.
 #[test]
-fn a_server_that_answers_again_gets_its_part_again() {
-    for leavers in [HASTY, LATE, MOST_LATE] {
+fn a_recovered_server_gets_its_share_again() {
+    for impatient in [EARLY, LATE, MOSTLY_LATE] {
         for seed in SEEDS {
             let mut world = World::new(2, seed);
             world.recovers_at = Some(world.started + RUN / 2);
             world.count_from = world.started + RUN * 3 / 4;
-            let (first, all) = world.play(20.0, leavers);
-            assert!(first * 4 > all, "{:?}, seed {seed}: {first} of {all}", leavers.after);
+            let (recovered, all) = world.play(20.0, impatient);
+            assert!(recovered * 4 > all, "{:?}, seed {seed}: {recovered} of {all}", impatient.after);
         }
     }
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers for driving a balancer by hand.
+//! Helpers that drive a balancer event by event.
 #![allow(dead_code)]
 
 use laurelroute_policy::interface::*;
@@ -16,20 +16,20 @@
 
 pub fn settings(idempotency: Idempotency) -> Settings {
     let mut settings = Settings::single_class(400 * MS, 800 * MS);
-    settings.classes[0].idempotency = effect;
+    settings.classes[0].idempotency = idempotency;
     settings.classes[0].dedup_window = 600 * MS;
     settings.max_attempts = 4;
     settings
 }
 
-/// The most requests of mean work that a server in slow start may be sent by all nodes in one window of `fall`, where
-/// the settings allow `budget`: the page grants some more for chance.
+/// The most requests of mean work that all nodes together may send a server in slow start within one overload window,
+/// for a `budget` computed from the settings; the specification allows some more for random variation.
 pub fn slow_start_limit(budget: f64) -> f64 {
     let chance = if budget < 30.0 { 3.0 * budget.sqrt() + 3.0 } else { 2.0 * budget.sqrt() + 2.0 };
     budget + chance
 }
 
-/// A worthy class, and one of an eighth of its worth, both with 400 ms to be in aim.
+/// A high-value class and one of an eighth of its value, both with a latency target of 400 ms.
 pub fn two_classes() -> Settings {
     let mut settings = settings(Idempotency::Safe);
     let class = settings.classes[0].clone();
@@ -37,19 +37,19 @@
     settings
 }
 
-/// An attempt under way: when its answer comes, when it was sent, the request and its server.
-pub type Out = (Nanos, Nanos, RequestId, Endpoint);
+/// An attempt in flight: when its response is due, when it was sent, the request and its server.
+pub type InFlight = (Nanos, Nanos, RequestId, Endpoint);
 
-pub struct Bed {
+pub struct TestBed {
     pub balancer: Balancer,
     pub now: Nanos,
     next: RequestId,
 }
 
-impl Bed {
+impl TestBed {
     pub fn new(settings: Settings, list: Vec<Server>, seed: u64) -> Self {
         let balancer = Balancer::new(settings, seed).expect("sound settings");
-        let mut bed = Bed { balancer, now: 1_000_000 * MS, next: 0 };
+        let mut bed = TestBed { balancer, now: 1_000_000 * MS, next: 0 };
         bed.list(ListKind::Full, list);
         bed
     }
@@ -64,12 +64,12 @@
         self.feed(Event::List { kind, servers })
     }
 
-    /// A new request of class 0 with 800 ms to go.
+    /// Sends a new request of class 0 with a deadline in 800 ms.
     pub fn request(&mut self) -> (RequestId, Vec<Action>) {
         self.hinted(None)
     }
 
-    /// The same with a hint of its work.
+    /// Sends a new request of class 0 with a deadline in 800 ms and a work hint.
     pub fn hinted(&mut self, work_hint: Option<Nanos>) -> (RequestId, Vec<Action>) {
         self.next += 1;
         let id = self.next;
@@ -89,16 +89,16 @@
         self.feed(Event::AttemptEnded { request, server, attempt, finished, took, outcome, report: None })
     }
 
-    /// Brings the answers that are due by now, the earliest first.
-    pub fn answer_due(&mut self, out: &mut Vec<Out>) {
-        out.sort_unstable_by_key(|o| o.0);
-        while out.first().is_some_and(|o| o.0 <= self.now) {
-            let (at, sent_at, id, server) = out.remove(0);
+    /// Delivers the responses that are due by now, the earliest first.
+    pub fn answer_due(&mut self, in_flight: &mut Vec<InFlight>) {
+        in_flight.sort_unstable_by_key(|o| o.0);
+        while in_flight.first().is_some_and(|o| o.0 <= self.now) {
+            let (at, sent_at, id, server) = in_flight.remove(0);
             self.outcome(id, server, 0, at - sent_at, AttemptOutcome::Ok);
         }
     }
 
-    /// Sends one request and answers it at once after `took`; tells where it went.
+    /// Sends one request, delivers its response after `took`, and returns the server it went to.
     pub fn served(&mut self, took: Nanos) -> Option<Endpoint> {
         let (id, actions) = self.request();
         let server = sent(&actions, id)?;
@@ -107,7 +107,7 @@
     }
 }
 
-/// Where the request went, if it was sent.
+/// The server that the request was sent to, if any.
 pub fn sent(actions: &[Action], id: RequestId) -> Option<Endpoint> {
     actions.iter().find_map(|a| match a {
         Action::Send { request, server, .. } if *request == id => Some(*server),
--- a/crates/policy/tests/forecast.rs
+++ b/crates/policy/tests/forecast.rs
@@ -1,26 +1,26 @@
-//! Admission by what answers really took where a queue was expected.
+//! Admission by measured latencies.
 
 mod common;
 
 use common::*;
 use laurelroute_policy::interface::*;
 
-/// Four servers with requests always out; an answer takes 30 ms by itself, and `wait` more for each one ahead of it at its
-/// server. How many of the lesser class are refused, of 800.
-fn refused_of_lesser(wait: Nanos) -> usize {
-    let mut bed = Bed::new(two_classes(), servers(4), 5);
-    let mut out: Vec<Out> = Vec::new();
+/// Four servers with requests always in flight; a response takes 30 ms, plus `wait` for each request ahead of it at
+/// its server. Returns how many of 800 requests of the lower-value class are refused.
+fn refused_of_low_value(wait: Nanos) -> usize {
+    let mut bed = TestBed::new(two_classes(), servers(4), 5);
+    let mut in_flight: Vec<InFlight> = Vec::new();
     let mut refused = 0;
     for id in 1..=4_000 {
         bed.now += 2 * MS;
-        bed.answer_due(&mut out);
+        bed.answer_due(&mut in_flight);
         let class = u8::from(id % 4 == 0);
         let request = Request { class, ..Request::new(id, bed.now + 800 * MS) };
         let actions = bed.feed(Event::Request(request));
         match sent(&actions, id) {
             Some(server) => {
-                let ahead = out.iter().filter(|o| o.3 == server).count() as u64;
-                out.push((bed.now + 30 * MS + wait * ahead, bed.now, id, server));
+                let ahead = in_flight.iter().filter(|o| o.3 == server).count() as u64;
+                in_flight.push((bed.now + 30 * MS + wait * ahead, bed.now, id, server));
             }
             None => refused += usize::from(class == 1 && id > 800),
         }
@@ -28,25 +28,26 @@
     refused
 }
 
-/// Four are out at each server and none waits for another: the queue says a multiple of what answers take. The lesser
-/// class has all the time it needs (operators' days: gauges refused by a fifth while answers took 35 ms).
+/// Four requests are in flight at each server and none waits for another: the estimate is a multiple of the actual
+/// latency. The lower-value class has all the time it needs (seen in operation: a fifth of the gauges requests were
+/// refused while responses took 35 ms).
 #[test]
-fn a_queue_that_holds_nobody_up_refuses_nobody() {
-    let refused = refused_of_lesser(0);
+fn a_queue_without_delay_causes_no_refusals() {
+    let refused = refused_of_low_value(0);
     assert_eq!(refused, 0, "of 800");
 }
 
-/// Where each one ahead is waited for, the lesser class makes room for the worthy one, as before.
+/// Where each request ahead is waited for, the lower-value class makes room for the other one.
 #[test]
-fn in_a_jam_the_queue_counts_as_it_is() {
-    let refused = refused_of_lesser(30 * MS);
-    assert!(refused > 400, "{refused} of 800 refused in a jam");
+fn in_an_overload_the_queue_counts_in_full() {
+    let refused = refused_of_low_value(30 * MS);
+    assert!(refused > 400, "{refused} of 800 refused in an overload");
 }
 
-/// With room for nearly all, the lesser class is not kept out for what it is worth alone: where answers come near the time
-/// that it would be worth waiting for, and nobody is late, next to none is refused.
+/// With capacity for nearly all requests, the lower-value class is not refused for its value alone: where latencies
+/// come close to its admission limit and nothing is late, next to none is refused.
 #[test]
-fn where_there_is_no_shortage_no_class_is_kept_out() {
-    let refused = refused_of_lesser(7 * MS);
+fn no_class_is_refused_without_a_shortage() {
+    let refused = refused_of_low_value(7 * MS);
     assert!(refused < 80, "{refused} of 800 refused");
 }
--- a/crates/policy/tests/incidents.rs
+++ b/crates/policy/tests/incidents.rs
@@ -1,4 +1,4 @@
-//! What failed in an incident or a round must not fail again.
+//! Regression tests for failures seen in simulated incidents.
 
 mod common;
 use common::*;
@@ -6,42 +6,42 @@
 use laurelroute_policy::Balancer;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Lets all of a fleet answer just before the client's end for two seconds.
-fn jam(bed: &mut Bed) {
+/// Overloads the fleet: for two seconds all responses arrive just before the client's deadline.
+fn overload(bed: &mut TestBed) {
     for _ in 0..200 {
         bed.now += 10 * MS;
         bed.served(780 * MS);
     }
 }
 
-/// A node that refuses nearly all in a jam has to find out that the jam is over (incidents i2aee08, i42901a).
+/// A node that refuses nearly all requests in an overload has to detect its end (incidents i2aee08, i42901a).
 #[test]
-fn a_jam_is_forgotten() {
-    let mut bed = Bed::new(settings(Idempotency::Safe), servers(10), 3);
+fn an_overload_is_forgotten() {
+    let mut bed = TestBed::new(settings(Idempotency::Safe), servers(10), 3);
     for _ in 0..300 {
         bed.now += 10 * MS;
         bed.served(100 * MS);
     }
-    jam(&mut bed);
+    overload(&mut bed);
     let (id, actions) = bed.request();
-    assert!(refused(&actions, id), "in the jam an answer in time is unlikely: {actions:?}");
+    assert!(refused(&actions, id), "in the overload a response in time is unlikely: {actions:?}");
     bed.now += 2_000 * MS;
     let (id, actions) = bed.request();
-    assert!(sent(&actions, id).is_some(), "the jam is long over: {actions:?}");
+    assert!(sent(&actions, id).is_some(), "the overload is long over: {actions:?}");
 }
 
-/// Second copies help against a silent server on calm days and feed a jam (round 9).
+/// Hedging helps against an unresponsive server at normal load and worsens an overload (round 9).
 #[test]
-fn copies_stop_in_a_jam() {
-    let copies = |jammed: bool| {
+fn hedging_stops_in_an_overload() {
+    let copies = |overloaded: bool| {
         let mut s = settings(Idempotency::Safe);
         s.hedging = true;
-        // Aims so long that nothing is refused: only the budget decides.
+        // Latency targets so long that nothing is refused: only the budget decides.
         s.classes[0].latency_target = 799 * MS;
-        let mut bed = Bed::new(s, servers(10), 3);
+        let mut bed = TestBed::new(s, servers(10), 3);
         for _ in 0..300 {
             bed.now += 10 * MS;
-            bed.served(if jammed { 700 * MS } else { 100 * MS });
+            bed.served(if overloaded { 700 * MS } else { 100 * MS });
         }
         let mut copies = 0;
         for _ in 0..20 {
@@ -53,22 +53,25 @@
         }
         copies
     };
-    let (calm, jammed) = (copies(false), copies(true));
-    assert!(calm >= 2 && jammed * 2 < calm, "{calm} copies in calm, {jammed} in a jam");
+    let (normal, overloaded) = (copies(false), copies(true));
+    assert!(
+        normal >= 2 && overloaded * 2 < normal,
+        "{normal} hedges at normal load, {overloaded} in an overload"
+    );
 }
 
-/// A time-out alone ejects nobody: in an overload it would push the work onto ever fewer servers (round 1).
+/// A timeout alone ejects no server: in an overload that would push the work onto ever fewer servers (round 1).
 #[test]
-fn a_time_out_does_not_eject() {
-    let mut bed = Bed::new(settings(Idempotency::Unsafe), servers(2), 3);
+fn a_timeout_does_not_eject() {
+    let mut bed = TestBed::new(settings(Idempotency::Unsafe), servers(2), 3);
     let (id, actions) = bed.request();
     let server = sent(&actions, id).unwrap();
     bed.now += 800 * MS;
     assert!(failed(&bed.outcome(id, server, 0, 800 * MS, AttemptOutcome::TimedOut), id));
     bed.now += 10_000 * MS;
-    let met = (0..20).filter(|_| bed.served(50 * MS) == Some(server)).count();
-    assert!(met > 0, "it is used as before");
-    // With another one beside it, so that a dead one need not be tried for want of any.
+    let seen = (0..20).filter(|_| bed.served(50 * MS) == Some(server)).count();
+    assert!(seen > 0, "it is used as before");
+    // A second server is available, so that the dead one need not be tried as a last resort.
     let (id, server) = loop {
         let (id, actions) = bed.request();
         match sent(&actions, id) {
@@ -77,39 +80,39 @@
         }
     };
     bed.outcome(id, server, 0, MS, AttemptOutcome::ConnectFailed);
-    let met = (0..20).filter(|_| bed.served(50 * MS) == Some(server)).count();
-    assert_eq!(met, 0, "a dead one is ejected");
+    let seen = (0..20).filter(|_| bed.served(50 * MS) == Some(server)).count();
+    assert_eq!(seen, 0, "a dead one is ejected");
 }
 
-/// An old report fades to the usual queue, so a server unheard of does not look idle (round 7).
+/// An old load report decays to the average queue, so that a server without reports does not look idle (round 7).
 #[test]
 fn an_old_report_does_not_look_idle() {
-    let mut bed = Bed::new(settings(Idempotency::Safe), servers(2), 3);
+    let mut bed = TestBed::new(settings(Idempotency::Safe), servers(2), 3);
     let report = |queued| Some(LoadReport { queued: Some(queued), ..LoadReport::default() });
-    let tell = |bed: &mut Bed, k, queued| {
+    let report_queue = |bed: &mut TestBed, k, queued| {
         let (server, report) = (endpoint(k), report(queued));
         bed.feed(Event::Probed { server, outcome: AttemptOutcome::Ok, took: MS, report });
     };
     for _ in 0..300 {
-        tell(&mut bed, 0, 4.0);
-        tell(&mut bed, 1, 4.0);
+        report_queue(&mut bed, 0, 4.0);
+        report_queue(&mut bed, 1, 4.0);
     }
-    // Server 0's report grows old while server 1 is known to be shorter than usual.
+    // Server 0's report gets old while server 1 reports a queue shorter than average.
     bed.now += 5_000 * MS;
-    tell(&mut bed, 1, 2.0);
+    report_queue(&mut bed, 1, 2.0);
     let (id, actions) = bed.request();
     assert_eq!(sent(&actions, id), Some(endpoint(1)));
 }
 
-/// Requests of one key keep to one server while all are quick, and leave it when it is slow.
+/// Requests of one key stay on one server while all are fast, and leave it when it is slow.
 #[test]
 fn a_key_keeps_its_server() {
     let mut s = settings(Idempotency::Safe);
     s.key_affinity = true;
-    let mut bed = Bed::new(s, servers(20), 3);
+    let mut bed = TestBed::new(s, servers(20), 3);
     let mut homes: BTreeMap<u64, BTreeSet<Endpoint>> = BTreeMap::new();
     let mut id = 0;
-    let mut ask = |bed: &mut Bed, key, took: &dyn Fn(Endpoint) -> Nanos| {
+    let mut ask = |bed: &mut TestBed, key, took: &dyn Fn(Endpoint) -> Nanos| {
         id += 1;
         bed.now += 20 * MS;
         let request = Request { key, ..Request::new(id, bed.now + 800 * MS) };
@@ -128,12 +131,12 @@
     assert!(stays.count() < 20);
 }
 
-/// Hints tell heavy requests from slow servers: one that cannot be answered in time is refused at once, and
-/// answers that take long because they were heavy do not make the fleet look jammed (incident i1d8653).
+/// Work hints tell heavy requests from slow servers: one that cannot be answered in time is refused at once, and
+/// responses that take long because of their work do not make the fleet look overloaded (incident i1d8653).
 #[test]
-fn a_heavy_answer_is_no_jam() {
-    let mut bed = Bed::new(settings(Idempotency::Safe), servers(6), 3);
-    let serve = |bed: &mut Bed, hint: Nanos| {
+fn heavy_requests_are_no_overload() {
+    let mut bed = TestBed::new(settings(Idempotency::Safe), servers(6), 3);
+    let serve = |bed: &mut TestBed, hint: Nanos| {
         bed.now += 10 * MS;
         let (id, actions) = bed.hinted(Some(hint));
         if let Some(server) = sent(&actions, id) {
@@ -142,41 +145,44 @@
         sent(&actions, id).is_some()
     };
     for k in 0..600 {
-        assert!(serve(&mut bed, if k % 20 == 0 { 200 * MS } else { 20 * MS }), "request {k} fits its aim");
+        assert!(
+            serve(&mut bed, if k % 20 == 0 { 200 * MS } else { 20 * MS }),
+            "request {k} fits its latency target"
+        );
     }
     assert!(!serve(&mut bed, 2_000 * MS), "no server answers this in time");
     for k in 0..30 {
-        assert!(serve(&mut bed, 200 * MS), "heavy request {k} in a row fits its aim");
+        assert!(serve(&mut bed, 200 * MS), "heavy request {k} in a row fits its latency target");
     }
     assert!(serve(&mut bed, 20 * MS));
 }
 
-/// With many nodes each ranks its own part of a zone, the parts cover the zone about evenly, and a fleet that
-/// grows leaves no node with a few warm servers only (incidents i9aa72d, i1d8653; quotes rough-1).
+/// With many nodes each ranks its own subset of a zone, the subsets cover the zone about evenly, and a growing fleet
+/// leaves no node with only a few warm servers (incidents i9aa72d, i1d8653; quotes rough-1).
 #[test]
-fn nodes_share_out_the_fleet() {
-    let mut met = BTreeMap::new();
+fn node_subsets_cover_the_fleet() {
+    let mut seen = BTreeMap::new();
     for ordinal in 0..40 {
         let mut s = settings(Idempotency::Safe);
         (s.ordinal, s.group_size) = (ordinal, 40);
-        let mut bed = Bed::new(s, servers(60), 3);
+        let mut bed = TestBed::new(s, servers(60), 3);
         let mut mine = BTreeSet::new();
         for _ in 0..200 {
-            // Answers of uneven length keep the queues from tying, so that all in the part are met.
+            // Responses of varying latency keep the estimates from tying, so that all servers in the subset are used.
             let took = (40 + 37 * (mine.len() as Nanos + bed.now / MS) % 200) * MS;
             bed.now += 7 * MS;
             mine.insert(bed.served(took).expect("an idle fleet takes all"));
         }
-        assert!((8..=16).contains(&mine.len()), "node {ordinal} meets {} servers", mine.len());
-        mine.into_iter().for_each(|server| *met.entry(server).or_insert(0u32) += 1);
+        assert!((8..=16).contains(&mine.len()), "node {ordinal} uses {} servers", mine.len());
+        mine.into_iter().for_each(|server| *seen.entry(server).or_insert(0u32) += 1);
     }
-    assert_eq!(met.len(), 60, "every server is met");
-    assert!(met.values().all(|n| (4..=14).contains(n)), "{met:?}");
+    assert_eq!(seen.len(), 60, "every server is used");
+    assert!(seen.values().all(|n| (4..=14).contains(n)), "{seen:?}");
 }
 
-/// A part is counted by what its servers can take now: half a fleet of cold ones makes it larger.
+/// A subset is sized by the present capacity of its servers: with half of the fleet cold it is larger.
 #[test]
-fn cold_servers_enlarge_a_part() {
+fn cold_servers_enlarge_a_subset() {
     let warm = |cold: bool| {
         let mut s = settings(Idempotency::Safe);
         (s.group_size, s.ramp, s.initial_capacity) = (40, 10_000 * MS, 0.1);
@@ -185,27 +191,27 @@
             server.started_at = 1_000_000 * MS;
         }
         let even = |e: &Endpoint| e.address[3].is_multiple_of(2);
-        let mut bed = Bed::new(s, list, 3);
-        let mut met = BTreeSet::new();
+        let mut bed = TestBed::new(s, list, 3);
+        let mut seen = BTreeSet::new();
         for _ in 0..200 {
             bed.now += 7 * MS;
             let took = (40 + 37 * (bed.now / MS) % 200) * MS;
-            met.extend(bed.served(took).filter(|e| !even(e)));
+            seen.extend(bed.served(took).filter(|e| !even(e)));
         }
-        met.len()
+        seen.len()
     };
     assert!(warm(true) > warm(false), "{} warm servers beside cold ones, {} else", warm(true), warm(false));
 }
 
-/// A tenant that asks for five times its share gets its share, not all and not less for asking again after
-/// refusals; another within its share gets all (incident i02148f).
+/// A tenant that asks for five times its quota gets its quota, not everything, and not less for retrying after
+/// refusals; another one within its quota gets all (incident i02148f).
 #[test]
-fn a_tenant_gets_its_share() {
+fn a_tenant_gets_its_quota() {
     let mut s = settings(Idempotency::Safe);
     s.tenant_quota = vec![20.0, 20.0];
     s.over_quota_value = 0.1;
-    let mut bed = Bed::new(s, servers(6), 3);
-    let mut let_in = [0u32; 2];
+    let mut bed = TestBed::new(s, servers(6), 3);
+    let mut admitted = [0u32; 2];
     for step in 0..1_000 {
         bed.now += 10 * MS;
         for tenant in (0..2).filter(|&t| t == 0 || step % 10 == 0) {
@@ -214,21 +220,21 @@
             let actions = bed.feed(Event::Request(request));
             if let Some(server) = sent(&actions, id) {
                 bed.outcome(id, server, 0, 130 * MS, AttemptOutcome::Ok);
-                let_in[tenant as usize] += 1;
+                admitted[tenant as usize] += 1;
             }
         }
     }
-    assert!((200..=400).contains(&let_in[0]), "{} let in of 200 in its share", let_in[0]);
-    assert_eq!(let_in[1], 100, "all is within the share");
+    assert!((200..=400).contains(&admitted[0]), "{} admitted of 200 in its quota", admitted[0]);
+    assert_eq!(admitted[1], 100, "all is within the quota");
 }
 
-/// An answer that still earns half its worth late is waited for longer (round 32).
+/// A class whose late responses keep half of their value has a longer admission limit (round 32).
 #[test]
-fn late_worth_is_waited_for() {
-    let let_in = |late_value: f64| {
+fn late_value_extends_the_admission_limit() {
+    let admitted = |late_value: f64| {
         let mut s = settings(Idempotency::Safe);
         s.classes[0].late_value = late_value;
-        let mut bed = Bed::new(s, servers(6), 3);
+        let mut bed = TestBed::new(s, servers(6), 3);
         (0..100)
             .filter(|_| {
                 bed.now += 10 * MS;
@@ -236,15 +242,18 @@
             })
             .count()
     };
-    let (nothing, half) = (let_in(0.0), let_in(0.5));
-    assert!(half > nothing + 10, "{nothing} let in where late is lost, {half} where it earns half");
+    let (nothing, half) = (admitted(0.0), admitted(0.5));
+    assert!(
+        half > nothing + 10,
+        "{nothing} admitted where late responses have no value, {half} where they keep half"
+    );
 }
 
-/// One spoilt answer among many good ones, as any server may give, leaves its server in.
+/// One failure among many good responses, as any server may have, does not eject its server.
 #[test]
-fn a_single_fault_ejects_nobody() {
-    let mut bed = Bed::new(settings(Idempotency::Unsafe), servers(2), 3);
-    let both = |bed: &mut Bed, outcome: AttemptOutcome| {
+fn a_single_failure_does_not_eject() {
+    let mut bed = TestBed::new(settings(Idempotency::Unsafe), servers(2), 3);
+    let both = |bed: &mut TestBed, outcome: AttemptOutcome| {
         bed.now += 10 * MS;
         let pair: Vec<_> = (0..2).map(|_| bed.request()).collect();
         let to: BTreeSet<_> = pair.iter().filter_map(|(id, actions)| sent(actions, *id)).collect();
@@ -267,42 +276,42 @@
 /// A server that fails much more often than the others is left alone, also when it serves in between.
 #[test]
 fn a_server_that_fails_now_and_then_is_left_alone() {
-    let mut bed = Bed::new(settings(Idempotency::Unsafe), servers(10), 3);
-    let mut met = 0;
+    let mut bed = TestBed::new(settings(Idempotency::Unsafe), servers(10), 3);
+    let mut seen = 0;
     for k in 0..1500u32 {
         bed.now += 10 * MS;
         let (id, actions) = bed.request();
         let Some(server) = sent(&actions, id) else { continue };
         let odd = server == endpoint(3);
-        met += u32::from(odd && k >= 500);
+        seen += u32::from(odd && k >= 500);
         let spoilt = odd && k % 2 == 0;
         bed.outcome(id, server, 0, 60 * MS, if spoilt { AttemptOutcome::Reset } else { AttemptOutcome::Ok });
     }
-    assert!(met < 30, "{met} of 1000 went to the one that fails every second time");
+    assert!(seen < 30, "{seen} of 1000 went to the one that fails every second time");
 }
 
-/// Ever new servers: what is held for those that have left does not grow.
+/// With a constant turnover of servers, the state held for removed ones does not grow.
 #[test]
-fn departed_servers_are_forgotten() {
-    let mut bed = Bed::new(settings(Idempotency::Safe), vec![], 3);
+fn removed_servers_are_forgotten() {
+    let mut bed = TestBed::new(settings(Idempotency::Safe), vec![], 3);
     for k in 0..3000u32 {
         bed.now += 500 * MS;
-        let of = |k: u32| {
+        let endpoint_of = |k: u32| {
             let [a, b, c, d] = k.to_be_bytes();
             Endpoint { address: [a, b, c, d], port: 80 }
         };
-        bed.list(ListKind::Full, (k..k + 5).map(|k| Server::warm(of(k))).collect());
+        bed.list(ListKind::Full, (k..k + 5).map(|k| Server::warm(endpoint_of(k))).collect());
         let server = bed.served(20 * MS).expect("five servers take all");
-        assert!((k..k + 5).any(|k| of(k) == server), "only listed ones are met");
+        assert!((k..k + 5).any(|k| endpoint_of(k) == server), "only listed servers are used");
         assert!(bed.balancer.tracked_servers() <= 20, "{} held at {k}", bed.balancer.tracked_servers());
     }
 }
 
-/// Connections that fall silent, on servers that answer all others, are no jam and make no server slow: the
-/// full score's day with silent connections had idle servers with lags of 20 to 106 usual answers.
+/// Hanging connections to servers that answer all other requests are no overload and make no server slow: in a full
+/// run with hanging connections, idle servers had latencies of 20 to 106 times the average.
 #[test]
-fn a_silent_connection_is_no_jam() {
-    let mut bed = Bed::new(settings(Idempotency::Unsafe), servers(6), 3);
+fn a_hung_connection_is_no_overload() {
+    let mut bed = TestBed::new(settings(Idempotency::Unsafe), servers(6), 3);
     let (mut silent, mut refused) = (Vec::new(), 0);
     for k in 0..2000u32 {
         bed.now += 5 * MS;
@@ -321,14 +330,14 @@
     assert!(refused < 20, "{refused} of 2000 refused");
 }
 
-/// A class that nobody has asked for yet is not refused for the guess of its answer time, however quick the others are
-/// (a rig's demo: the first acknowledgements after a quiet night of status requests were all turned away).
+/// A class without any requests so far is not refused because of its guessed latency, however fast the others are (in
+/// a demo of the rig, the first acknowledgements after a quiet night of status requests were all refused).
 #[test]
-fn a_class_that_comes_late_is_let_in() {
+fn a_class_without_earlier_requests_is_admitted() {
     let mut s = settings(Idempotency::Safe);
     let class = s.classes[0].clone();
     s.classes.push(Class { idempotency: Idempotency::Unsafe, ..class });
-    let mut bed = Bed::new(s, servers(6), 3);
+    let mut bed = TestBed::new(s, servers(6), 3);
     for _ in 0..2_000 {
         bed.now += 10 * MS;
         bed.served(MS);
@@ -343,14 +352,14 @@
     }
 }
 
-/// A node that starts while servers are cold has no rate yet from which their share could follow: it must find them
-/// all the same, and use them like others once they are warm.
+/// A node that starts while servers are cold has no request rate yet to compute their share from: it must use them
+/// all the same, and like any others once they are warm.
 #[test]
-fn servers_that_were_cold_at_the_start_are_used() {
+fn servers_cold_at_node_start_are_used() {
     let s = settings(Idempotency::Safe);
     let ramp = s.ramp;
     let list = |now| (0..4).map(|k| Server { started_at: now, ..Server::warm(endpoint(k)) }).collect();
-    let mut bed = Bed::new(s, list(1_000_000 * MS), 3);
+    let mut bed = TestBed::new(s, list(1_000_000 * MS), 3);
     bed.now += 800 * MS;
     assert!(bed.served(130 * MS).is_some(), "all are cold, and one has to be tried");
     bed.now += ramp;
@@ -365,10 +374,10 @@
     assert_eq!(used.len(), 4);
 }
 
-/// Answers that come in no time make no advice to come back in no time, where all servers are full.
+/// Very short response times must not lead to a very short retry-after time when all servers are full.
 #[test]
-fn advice_is_worth_heeding_where_answers_are_quick() {
-    let mut bed = Bed::new(
+fn retry_after_has_a_minimum() {
+    let mut bed = TestBed::new(
         Settings { retry_after: true, max_retry_after: 2_000 * MS, ..settings(Idempotency::Safe) },
         servers(1),
         3,
@@ -386,9 +395,9 @@
     assert!(advice.is_some_and(|after| after >= 20 * MS), "{advice:?} ns");
 }
 
-/// However long clients wait, a list that failed is asked for again well within the time in which one has to ask.
+/// However long the client timeout, a failed list is requested again well within the maximum list age.
 #[test]
-fn a_failed_list_is_asked_for_in_time() {
+fn a_failed_list_is_requested_again_in_time() {
     let mut settings = Settings::single_class(2_779_190_000, 9_263_967_000);
     settings.must_subscribe = true;
     settings.max_list_age = 6_000_000_000;
@@ -403,7 +412,7 @@
                 Action::StartTimer { after, .. } => Some(*after),
                 _ => None,
             });
-            let after = after.expect("it comes back");
+            let after = after.expect("a retry timer");
             assert!(after <= 1_350_000_000, "seed {seed}, failure {failure}: after {after} ns");
             now += after;
             sink.clear();
@@ -413,33 +422,38 @@
     }
 }
 
-/// A third of the connections come up late, at whichever server: that puts all of them out within seconds, and a node that
-/// then refuses all that comes serves less than one that had never looked (zone+brink, 937 of 1,969 requests refused).
+/// If a third of the connections come up late, at whichever server, all servers are ejected within seconds, and a
+/// node that then refuses everything serves less than one that never ejects (zone+brink, 937 of 1,969 requests
+/// refused).
 #[test]
-fn connections_that_come_up_late_leave_somebody_to_try() {
-    let mut bed = Bed::new(settings(Idempotency::Unsafe), servers(6), 3);
-    let mut turned_away = 0;
+fn late_connects_leave_a_server_to_try() {
+    let mut bed = TestBed::new(settings(Idempotency::Unsafe), servers(6), 3);
+    let mut refused = 0;
     for k in 0..2_000u64 {
         bed.now += 20 * MS;
         let (id, mut actions) = bed.request();
         let mut attempt = 0;
         while let Some(server) = sent(&actions, id) {
-            // Two of three fail, so that soon nobody is left.
-            let outcome = if (k + u64::from(attempt)) % 3 == 0 { AttemptOutcome::Ok } else { AttemptOutcome::ConnectFailed };
+            // Two of three fail, so that soon all servers are ejected.
+            let outcome = if (k + u64::from(attempt)) % 3 == 0 {
+                AttemptOutcome::Ok
+            } else {
+                AttemptOutcome::ConnectFailed
+            };
             actions = bed.outcome(id, server, attempt, 10 * MS, outcome);
             attempt += 1;
         }
-        turned_away += u32::from(attempt == 0);
+        refused += u32::from(attempt == 0);
     }
-    assert_eq!(turned_away, 0, "requests that nothing was tried for");
+    assert_eq!(refused, 0, "requests without any attempt");
 }
 
-/// Who is out for failures is tried by one request at a time, and not at all where another zone has somebody.
+/// An ejected server is tried by one request at a time, and not at all while another zone has an eligible one.
 #[test]
-fn those_that_are_out_are_tried_last_and_one_request_each() {
+fn ejected_servers_are_tried_last_with_one_request_each() {
     let zoned = |k: u8| Server { zone: k / 4, ..Server::warm(endpoint(k)) };
-    let mut bed = Bed::new(settings(Idempotency::Safe), (0..8).map(zoned).collect(), 3);
-    let fail = |bed: &mut Bed, only_home: bool| {
+    let mut bed = TestBed::new(settings(Idempotency::Safe), (0..8).map(zoned).collect(), 3);
+    let fail = |bed: &mut TestBed, only_home: bool| {
         for _ in 0..200 {
             bed.now += 5 * MS;
             let (id, actions) = bed.request();
@@ -450,7 +464,8 @@
             let mut attempt = 1;
             while let Some(server) = sent(&actions, id) {
                 let home = server.address[3] < 4;
-                let outcome = if only_home && !home { AttemptOutcome::Ok } else { AttemptOutcome::ConnectFailed };
+                let outcome =
+                    if only_home && !home { AttemptOutcome::Ok } else { AttemptOutcome::ConnectFailed };
                 actions = bed.outcome(id, server, attempt, MS, outcome);
                 attempt += 1;
             }
@@ -459,31 +474,32 @@
     fail(&mut bed, true);
     for _ in 0..50 {
         let (id, actions) = bed.request();
-        let server = sent(&actions, id).expect("the other zone has somebody");
-        assert!(server.address[3] >= 4, "{server:?} is out");
+        let server = sent(&actions, id).expect("the other zone has a server");
+        assert!(server.address[3] >= 4, "{server:?} is ejected");
         bed.outcome(id, server, 0, MS, AttemptOutcome::Ok);
     }
     fail(&mut bed, false);
-    let mut out = BTreeSet::new();
+    let mut ejected = BTreeSet::new();
     for _ in 0..20 {
         let (id, actions) = bed.request();
         match sent(&actions, id) {
-            Some(server) => assert!(out.insert(server), "a second request to {server:?}"),
+            Some(server) => assert!(ejected.insert(server), "a second request to {server:?}"),
             None => assert!(refused(&actions, id)),
         }
     }
-    assert!(out.iter().any(|s| s.address[3] < 4), "{out:?}");
-    assert!(out.len() <= 8);
+    assert!(ejected.iter().any(|s| s.address[3] < 4), "{ejected:?}");
+    assert!(ejected.len() <= 8);
 }
 
-/// A server whose connections do not come up gets every request while a sound one stands idle, for as long as clients leave
-/// before that is known. One slow answer of the sound server is enough to send the next request to the other; each request
-/// that is cancelled there keeps its credit, so that by the time the slow answer is forgotten the other one stands higher
-/// in the ranking, which decides ties. Seen on real processes in `endings::a_window_ends_while_connecting_http`: some 60
-/// connects a second to the server that is not up for five minutes, none to the sound one.
+/// A server whose connections do not come up got every request while a healthy one was idle, for as long as clients
+/// disconnected before the connect failed. One slow response of the healthy server was enough to send the next
+/// request to the other one; each request that was cancelled there kept its credit, so that by the time the slow
+/// response had decayed the other one ranked higher, which decides ties. Seen on real processes in
+/// `endings::a_window_ends_while_connecting_http`: some 60 connects per second to the server that is not up for five
+/// minutes, none to the healthy one.
 #[test]
 fn a_server_that_only_ever_has_requests_cancelled_does_not_stay_first() {
-    let mut bed = Bed::new(settings(Idempotency::Keyed), servers(1), 1);
+    let mut bed = TestBed::new(settings(Idempotency::Keyed), servers(1), 1);
     for took in [2, 2, 40] {
         bed.served(took * MS);
         bed.now += 50 * MS;
@@ -492,7 +508,7 @@
     let mut served = 0;
     for _ in 0..6_000 {
         let (id, actions) = bed.request();
-        let server = sent(&actions, id).expect("both are there");
+        let server = sent(&actions, id).expect("both servers are listed");
         if server == endpoint(0) {
             served += 1;
             bed.outcome(id, server, 0, 2 * MS, AttemptOutcome::Ok);
@@ -503,5 +519,5 @@
         }
         bed.now += 12 * MS;
     }
-    assert!(served > 3_000, "the sound server got {served} of 6,000 requests in 100 s");
+    assert!(served > 3_000, "the healthy server got {served} of 6,000 requests in 100 s");
 }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -1,4 +1,5 @@
-//! The four rules: one answer, no effect twice, drains kept, no cold server pushed over.
+//! The four invariants: one final response, no unsafe request run twice, draining respected, no server in slow start
+//! overloaded.
 
 mod common;
 use common::*;
@@ -17,11 +18,11 @@
     AttemptOutcome::NotSent,
 ];
 
-/// Each class of effect against each way an attempt can end without an answer.
+/// Each kind of idempotency against each way an attempt can end without a response.
 #[test]
-fn effects_against_endings() {
+fn idempotency_against_outcomes() {
     for outcome in ATTEMPT_OUTCOMES.into_iter().filter(|e| *e != AttemptOutcome::Ok) {
-        let mut bed = Bed::new(settings(Idempotency::Unsafe), servers(6), 1);
+        let mut bed = TestBed::new(settings(Idempotency::Unsafe), servers(6), 1);
         let (id, actions) = bed.request();
         let first = sent(&actions, id).unwrap();
         bed.now += 10 * MS;
@@ -32,7 +33,7 @@
             assert!(sent(&actions, id).is_none() && !refused(&actions, id), "{outcome:?}: {actions:?}");
             assert!(failed(&actions, id), "{outcome:?}: {actions:?}");
         }
-        let mut bed = Bed::new(settings(Idempotency::Safe), servers(6), 1);
+        let mut bed = TestBed::new(settings(Idempotency::Safe), servers(6), 1);
         let (id, actions) = bed.request();
         let first = sent(&actions, id).unwrap();
         let actions = bed.outcome(id, first, 0, 10 * MS, outcome);
@@ -40,12 +41,15 @@
     }
 }
 
-/// A keyed request that may have run goes again only inside its group and window, else it fails.
+/// A keyed request that may have run is retried only within its deduplication group and window, else it fails.
 #[test]
 fn keyed_requests_stay_in_their_group_and_window() {
-    for (group, late) in
-        [(DedupGroup::Zone, false), (DedupGroup::Cell, false), (DedupGroup::All, false), (DedupGroup::Zone, true)]
-    {
+    for (group, late) in [
+        (DedupGroup::Zone, false),
+        (DedupGroup::Cell, false),
+        (DedupGroup::All, false),
+        (DedupGroup::Zone, true),
+    ] {
         let mut s = settings(Idempotency::Keyed);
         s.classes[0].dedup_group = group;
         let mut list = servers(8);
@@ -53,7 +57,7 @@
             server.zone = (k / 4) as u8;
             server.cell = (k / 2) as u16;
         }
-        let mut bed = Bed::new(s, list.clone(), 2);
+        let mut bed = TestBed::new(s, list.clone(), 2);
         let (id, actions) = bed.request();
         let first = sent(&actions, id).unwrap();
         let took = if late { 650 * MS } else { 50 * MS };
@@ -66,48 +70,62 @@
                 assert!(group != DedupGroup::Zone || of(first).zone == of(second).zone);
                 assert!(group != DedupGroup::Cell || of(first).cell == of(second).cell);
             }
-            None => assert!(late && failed(&actions, id), "{dedup_group:?}: {actions:?}"),
+            None => assert!(late && failed(&actions, id), "{group:?}: {actions:?}"),
         }
     }
 }
 
-/// Random lives: every request gets one final answer, nothing follows it, and no unsafe effect can double.
+/// Random event sequences: every request gets one final response, nothing follows it, and no unsafe request can run
+/// twice.
 #[test]
-fn random_sequences_keep_the_rules() {
+fn random_sequences_keep_the_invariants() {
     for seed in 0..60u64 {
         let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(seed);
         let effect = [Idempotency::Safe, Idempotency::Keyed, Idempotency::Unsafe][(seed % 3) as usize];
         let mut s = settings(effect);
         s.hedging = seed % 2 == 0;
-        let mut bed = Bed::new(s, servers(8), seed);
+        let mut bed = TestBed::new(s, servers(8), seed);
         let mut draining = [false; 8];
-        // For each request: when it ends, its open attempts, whether one may have run, whether it is answered.
-        struct Life {
+        // Per request: its deadline, its open attempts, whether one may have run, and the number of final responses.
+        struct RequestState {
             until: Nanos,
             open: Vec<(u8, Endpoint, Nanos)>,
             attempts: u8,
             may_have_run: bool,
-            answers: u32,
+            responses: u32,
         }
-        let mut lives: BTreeMap<RequestId, Life> = BTreeMap::new();
+        let mut requests: BTreeMap<RequestId, RequestState> = BTreeMap::new();
         for _ in 0..1500 {
             bed.now += u64::from(rng.next_u32() % 20) * MS;
-            let due = lives.iter().find(|(_, l)| l.answers == 0 && bed.now >= l.until).map(|(id, _)| *id);
-            let pick = lives.iter().filter(|(_, l)| !l.open.is_empty()).nth(rng.next_u32() as usize % 4);
+            let due =
+                requests.iter().find(|(_, l)| l.responses == 0 && bed.now >= l.until).map(|(id, _)| *id);
+            let pick = requests.iter().filter(|(_, l)| !l.open.is_empty()).nth(rng.next_u32() as usize % 4);
             let target = due.or(pick.map(|(id, _)| *id));
             let actions = if let (Some(id), true) = (target, due.is_some() || rng.next_u32() % 2 == 0) {
-                let life = lives.get_mut(&id).unwrap();
-                assert!(!life.open.is_empty(), "seed {seed}: request {id} is held with nothing out");
-                let (attempt, server, at) = life.open.swap_remove(0);
+                let request_state = requests.get_mut(&id).unwrap();
+                assert!(
+                    !request_state.open.is_empty(),
+                    "seed {seed}: request {id} is held without an attempt in flight"
+                );
+                let (attempt, server, at) = request_state.open.swap_remove(0);
                 let outcome = match due {
                     Some(_) => AttemptOutcome::TimedOut,
                     None => ATTEMPT_OUTCOMES[rng.next_u32() as usize % 8],
                 };
-                life.may_have_run |= !outcome.never_ran();
-                let finished = outcome == AttemptOutcome::Ok || life.answers > 0;
-                life.answers += u32::from(outcome == AttemptOutcome::Ok && life.answers == 0);
+                request_state.may_have_run |= !outcome.never_ran();
+                let finished = outcome == AttemptOutcome::Ok || request_state.responses > 0;
+                request_state.responses +=
+                    u32::from(outcome == AttemptOutcome::Ok && request_state.responses == 0);
                 let (request, took) = (id, bed.now - at);
-                bed.feed(Event::AttemptEnded { request, server, attempt, finished, took, outcome, report: None })
+                bed.feed(Event::AttemptEnded {
+                    request,
+                    server,
+                    attempt,
+                    finished,
+                    took,
+                    outcome,
+                    report: None,
+                })
             } else if rng.next_u32() % 10 == 0 {
                 let k = rng.next_u32() as u8 % 8;
                 draining[usize::from(k)] ^= true;
@@ -118,48 +136,57 @@
             } else {
                 let (id, actions) = bed.request();
                 let until = bed.now + 800 * MS;
-                let life = Life { until, open: vec![], attempts: 0, may_have_run: false, answers: 0 };
-                lives.insert(id, life);
+                let request_state =
+                    RequestState { until, open: vec![], attempts: 0, may_have_run: false, responses: 0 };
+                requests.insert(id, request_state);
                 actions
             };
             for action in actions {
                 match action {
                     Action::Send { request, server, .. } => {
-                        let life = lives.get_mut(&request).unwrap();
-                        assert_eq!(life.answers, 0, "seed {seed}: sent after the answer");
-                        assert!(bed.now < life.until && life.attempts < 4);
+                        let request_state = requests.get_mut(&request).unwrap();
+                        assert_eq!(request_state.responses, 0, "seed {seed}: sent after the final response");
+                        assert!(bed.now < request_state.until && request_state.attempts < 4);
                         assert!(
                             !draining[usize::from(server.address[3])],
                             "seed {seed}: sent to a draining server"
                         );
-                        assert!(effect != Idempotency::Unsafe || (!life.may_have_run && life.open.is_empty()));
-                        assert!(life.open.is_empty() || (seed % 2 == 0 && effect == Idempotency::Safe));
-                        life.open.push((life.attempts, server, bed.now));
-                        life.attempts += 1;
+                        assert!(
+                            effect != Idempotency::Unsafe
+                                || (!request_state.may_have_run && request_state.open.is_empty())
+                        );
+                        assert!(
+                            request_state.open.is_empty() || (seed % 2 == 0 && effect == Idempotency::Safe)
+                        );
+                        request_state.open.push((request_state.attempts, server, bed.now));
+                        request_state.attempts += 1;
                     }
                     Action::Refuse { request, .. } => {
-                        let life = lives.get_mut(&request).unwrap();
-                        life.answers += 1;
-                        assert_eq!(life.answers, 1, "seed {seed}: answered twice");
-                        assert!(effect != Idempotency::Unsafe || (!life.may_have_run && life.open.is_empty()));
+                        let request_state = requests.get_mut(&request).unwrap();
+                        request_state.responses += 1;
+                        assert_eq!(request_state.responses, 1, "seed {seed}: two final responses");
+                        assert!(
+                            effect != Idempotency::Unsafe
+                                || (!request_state.may_have_run && request_state.open.is_empty())
+                        );
                     }
                     Action::Fail { request } => {
-                        let life = lives.get_mut(&request).unwrap();
-                        life.answers += 1;
-                        assert_eq!(life.answers, 1, "seed {seed}: answered twice");
+                        let request_state = requests.get_mut(&request).unwrap();
+                        request_state.responses += 1;
+                        assert_eq!(request_state.responses, 1, "seed {seed}: two final responses");
                     }
                     _ => {}
                 }
             }
         }
-        assert!(lives.values().filter(|l| l.answers == 1).count() > 200);
+        assert!(requests.values().filter(|s| s.responses == 1).count() > 200);
     }
 }
 
-/// Nothing new reaches a server once the list says that it drains, is gone, or no longer names it.
+/// No new request goes to a server once the list reports it as draining or removed, or omits it.
 #[test]
-fn drains_are_kept() {
-    let mut bed = Bed::new(settings(Idempotency::Safe), servers(4), 1);
+fn draining_servers_get_no_requests() {
+    let mut bed = TestBed::new(settings(Idempotency::Safe), servers(4), 1);
     bed.list(ListKind::Changes, vec![Server { phase: Phase::Draining, ..Server::warm(endpoint(0)) }]);
     bed.list(ListKind::Changes, vec![Server { phase: Phase::Removed, ..Server::warm(endpoint(1)) }]);
     for _ in 0..50 {
@@ -171,23 +198,23 @@
     }
 }
 
-/// With nobody to send to, a request still gets its one answer.
+/// Without any server, a request still gets its one final response.
 #[test]
 fn an_empty_list_refuses() {
-    let mut bed = Bed::new(settings(Idempotency::Unsafe), vec![], 1);
+    let mut bed = TestBed::new(settings(Idempotency::Unsafe), vec![], 1);
     let (id, actions) = bed.request();
     assert!(refused(&actions, id), "{actions:?}");
 }
 
-/// Odd but legal events change nothing.
+/// Unusual but legal events have no effect.
 #[test]
-fn odd_events_are_harmless() {
-    let mut bed = Bed::new(settings(Idempotency::Safe), servers(3), 1);
+fn unusual_events_are_harmless() {
+    let mut bed = TestBed::new(settings(Idempotency::Safe), servers(3), 1);
     assert!(bed.outcome(77, endpoint(0), 0, MS, AttemptOutcome::Error).is_empty());
     assert!(bed.feed(Event::ClientGone { request: 77 }).is_empty());
     assert!(bed.feed(Event::Timer { token: 9 }).is_empty());
-    let gone = Server { phase: Phase::Removed, ..Server::warm(endpoint(99)) };
-    assert!(bed.list(ListKind::Changes, vec![gone]).is_empty());
+    let removed = Server { phase: Phase::Removed, ..Server::warm(endpoint(99)) };
+    assert!(bed.list(ListKind::Changes, vec![removed]).is_empty());
     let (id, actions) = bed.request();
     let server = sent(&actions, id).unwrap();
     bed.feed(Event::ClientGone { request: id });
@@ -195,13 +222,13 @@
     assert!(sent(&late, id).is_none() && !failed(&late, id) && !refused(&late, id), "{late:?}");
 }
 
-/// A broken subscription is taken up again, later and not by all nodes at the same moment.
+/// A broken subscription is renewed, after a delay that differs between nodes.
 #[test]
 fn a_lost_subscription_is_renewed() {
     let mut s = settings(Idempotency::Safe);
     s.must_subscribe = true;
     let wait = |seed| {
-        let mut bed = Bed::new(s.clone(), vec![], seed);
+        let mut bed = TestBed::new(s.clone(), vec![], seed);
         assert!(bed.list(ListKind::Cached, servers(3)).contains(&Action::Subscribe));
         let actions = bed.list(ListKind::Failed, vec![]);
         let after = actions.iter().find_map(|a| match a {
@@ -215,17 +242,20 @@
     assert_ne!(wait(1), wait(2));
 }
 
-/// Settings that no node could act on are refused by name.
+/// Invalid settings are rejected and named.
 #[test]
-fn unsound_settings_are_named() {
-    let refusal = |edit: fn(&mut Settings)| {
+fn invalid_settings_are_named() {
+    let validation_error = |edit: fn(&mut Settings)| {
         let mut s = settings(Idempotency::Safe);
         edit(&mut s);
         laurelroute_policy::Balancer::new(s, 1).err()
     };
-    assert_eq!(refusal(|s| s.classes.clear()), Some(SettingsError::Empty("classes")));
-    assert_eq!(refusal(|s| s.classes[0].client_timeout = 0), Some(SettingsError::Zero("give_up")));
-    assert_eq!(refusal(|s| s.initial_capacity = 1.5), Some(SettingsError::NotAShare("cold_from")));
-    assert_eq!(refusal(|s| s.overload_multiple = f64::NAN), Some(SettingsError::OutOfRange("tip_multiple")));
-    assert_eq!(refusal(|_| {}), None);
+    assert_eq!(validation_error(|s| s.classes.clear()), Some(SettingsError::Empty("classes")));
+    assert_eq!(validation_error(|s| s.classes[0].client_timeout = 0), Some(SettingsError::Zero("give_up")));
+    assert_eq!(validation_error(|s| s.initial_capacity = 1.5), Some(SettingsError::NotAShare("cold_from")));
+    assert_eq!(
+        validation_error(|s| s.overload_multiple = f64::NAN),
+        Some(SettingsError::OutOfRange("tip_multiple"))
+    );
+    assert_eq!(validation_error(|_| {}), None);
 }
--- a/crates/policy/tests/split.rs
+++ b/crates/policy/tests/split.rs
@@ -1,4 +1,4 @@
-//! Requests split between two pools while a shift is on.
+//! Requests split between two pools during a traffic shift.
 
 mod common;
 
@@ -6,75 +6,76 @@
 use laurelroute_policy::interface::*;
 use std::collections::BTreeMap;
 
-/// Servers 0 to 3 are the old pool, 4 to 7 the new one, 8 is in neither.
-fn bed(share: f64) -> Bed {
-    let mut bed = Bed::new(Settings { hedging: false, ..settings(Idempotency::Safe) }, servers(9), 3);
+/// Servers 0 to 3 are the old pool, 4 to 7 the new one; 8 is in neither.
+fn bed(share: f64) -> TestBed {
+    let mut bed = TestBed::new(Settings { hedging: false, ..settings(Idempotency::Safe) }, servers(9), 3);
     split(&mut bed, share);
     bed
 }
 
-fn split(bed: &mut Bed, share: f64) {
+fn split(bed: &mut TestBed, share: f64) {
     let pools: BTreeMap<_, _> = (0..8).map(|k| (endpoint(k), k >= 4)).collect();
     bed.feed(Event::Split(Some(TrafficSplit { shares: vec![share], pools })));
 }
 
-fn place(part: f64) -> u32 {
+fn position(part: f64) -> u32 {
     (part * f64::from(u32::MAX)) as u32
 }
 
-/// Where a request of this place goes, answered at once.
-fn goes(bed: &mut Bed, id: RequestId, part: f64) -> u8 {
+/// Sends a request at a position on the hash, delivers its response at once and returns its server.
+fn destination(bed: &mut TestBed, id: RequestId, part: f64) -> u8 {
     bed.now += 10 * MS;
-    let request = Request { split_position: place(part), ..Request::new(id, bed.now + 800 * MS) };
+    let request = Request { split_position: position(part), ..Request::new(id, bed.now + 800 * MS) };
     let actions = bed.feed(Event::Request(request));
-    let server = sent(&actions, id).expect("somebody is there");
+    let server = sent(&actions, id).expect("a server is available");
     bed.outcome(id, server, 0, 20 * MS, AttemptOutcome::Ok);
     server.address[3]
 }
 
 #[test]
-fn a_request_goes_to_the_pool_of_its_place_at_every_share() {
+fn a_request_goes_to_the_pool_of_its_position_at_every_share() {
     let mut bed = bed(0.2);
     for (round, share) in [0.2, 0.5, 1.0, 0.0].into_iter().enumerate() {
         split(&mut bed, share);
         for id in 0..400 {
             let part = (f64::from(id) + 0.5) / 400.0;
-            let at = goes(&mut bed, 1 + round as u32 * 1000 + id, part);
+            let at = destination(&mut bed, 1 + round as u32 * 1000 + id, part);
             let new = at >= 4;
-            assert!(at == 8 || new == (part < share), "place {part} went to {at} at a share of {share}");
+            assert!(at == 8 || new == (part < share), "position {part} went to {at} at a share of {share}");
         }
     }
     bed.feed(Event::Split(None));
-    let met: std::collections::BTreeSet<u8> = (0..400).map(|k| goes(&mut bed, 9000 + k, 0.9)).collect();
-    assert!(met.iter().any(|at| (4..8).contains(at)), "pools are told apart no longer");
+    let seen: std::collections::BTreeSet<u8> =
+        (0..400).map(|k| destination(&mut bed, 9000 + k, 0.9)).collect();
+    assert!(seen.iter().any(|at| (4..8).contains(at)), "pools are no longer distinguished");
 }
 
 #[test]
-fn what_failed_in_the_new_pool_is_tried_again_in_the_old_one() {
+fn failures_in_the_new_pool_are_retried_in_the_old_one() {
     let mut bed = bed(1.0);
     for id in 1..=50 {
         bed.now += 50 * MS;
         let actions = bed.feed(Event::Request(Request::new(id, bed.now + 800 * MS)));
-        let first = sent(&actions, id).expect("the new pool is there");
+        let first = sent(&actions, id).expect("the new pool has servers");
         let again = bed.outcome(id, first, 0, 5 * MS, AttemptOutcome::Rejected);
         if first.address[3] == 8 {
             continue;
         }
-        let second = sent(&again, id).expect("a repeat that is free");
+        let second = sent(&again, id).expect("a retry of a rejected request is free");
         assert!(second.address[3] < 4 || second.address[3] == 8, "again to {second:?}");
         bed.outcome(id, second, 1, 20 * MS, AttemptOutcome::Ok);
     }
 }
 
 #[test]
-fn the_other_pool_serves_where_one_is_gone() {
+fn the_other_pool_serves_when_one_is_removed() {
     let mut bed = bed(1.0);
-    let gone = (4..9).map(|k| Server { phase: Phase::Removed, ..Server::warm(endpoint(k)) }).collect();
-    bed.list(ListKind::Changes, gone);
-    assert!(goes(&mut bed, 1, 0.5) < 4);
+    let removed = (4..9).map(|k| Server { phase: Phase::Removed, ..Server::warm(endpoint(k)) }).collect();
+    bed.list(ListKind::Changes, removed);
+    assert!(destination(&mut bed, 1, 0.5) < 4);
     let mut bed = self::bed(0.0);
-    let gone =
+    let removed =
         (0..4).chain([8]).map(|k| Server { phase: Phase::Removed, ..Server::warm(endpoint(k)) }).collect();
-    bed.list(ListKind::Changes, gone);
-    assert!((4..8).contains(&goes(&mut bed, 1, 0.5)));
+    bed.list(ListKind::Changes, removed);
+    assert!((4..8).contains(&destination(&mut bed, 1, 0.5)));
 }
--- a/crates/policy/tests/trial.rs
+++ b/crates/policy/tests/trial.rs
@@ -1,27 +1,27 @@
-//! A server that operators have put back is tried soon, wherever it stands.
+//! A server that operators have put back into use is tried soon, regardless of zone and rank.
 
 mod common;
 use common::*;
 use laurelroute_policy::interface::*;
 
-/// Ten warm servers at home and one elsewhere, which was taken out and comes back cold.
-fn put_back(idempotency: Idempotency) -> (Bed, Endpoint) {
-    let away = Server { zone: 1, ..Server::warm(endpoint(99)) };
+/// Ten warm servers in the local zone and one in another, which was drained and comes back cold.
+fn reinstated(idempotency: Idempotency) -> (TestBed, Endpoint) {
+    let remote = Server { zone: 1, ..Server::warm(endpoint(99)) };
     let mut list = servers(10);
-    list.push(away);
-    let mut bed = Bed::new(settings(effect), list, 7);
+    list.push(remote);
+    let mut bed = TestBed::new(settings(idempotency), list, 7);
     for _ in 0..300 {
         bed.now += 10 * MS;
-        assert_ne!(bed.served(50 * MS), Some(away.endpoint), "no need to cross");
+        assert_ne!(bed.served(50 * MS), Some(remote.endpoint), "no need to leave the local zone");
     }
-    bed.list(ListKind::Changes, vec![Server { phase: Phase::Draining, ..away }]);
+    bed.list(ListKind::Changes, vec![Server { phase: Phase::Draining, ..remote }]);
     bed.now += 1_000 * MS;
-    bed.list(ListKind::Changes, vec![Server { started_at: bed.now, ..away }]);
-    bed.feed(Event::Reinstated { server: away.endpoint });
-    (bed, away.endpoint)
+    bed.list(ListKind::Changes, vec![Server { started_at: bed.now, ..remote }]);
+    bed.feed(Event::Reinstated { server: remote.endpoint });
+    (bed, remote.endpoint)
 }
 
-fn tries(bed: &mut Bed, server: Endpoint, requests: u32) -> usize {
+fn trial_count(bed: &mut TestBed, server: Endpoint, requests: u32) -> usize {
     let mut to = Vec::new();
     for _ in 0..requests {
         bed.now += 10 * MS;
@@ -31,22 +31,22 @@
 }
 
 #[test]
-fn it_is_tried_once_and_then_chosen_like_any_other() {
-    let (mut bed, server) = put_back(Idempotency::Safe);
-    assert_eq!(tries(&mut bed, server, 300), 1);
+fn a_server_is_tried_once_and_then_chosen_like_any_other() {
+    let (mut bed, server) = reinstated(Idempotency::Safe);
+    assert_eq!(trial_count(&mut bed, server, 300), 1);
 }
 
-/// What must not run twice is no trial.
+/// Unsafe requests are not used as trials.
 #[test]
-fn nothing_unsafe_is_tried_with() {
-    let (mut bed, server) = put_back(Idempotency::Unsafe);
-    assert_eq!(tries(&mut bed, server, 300), 0);
+fn unsafe_requests_are_not_used_for_trials() {
+    let (mut bed, server) = reinstated(Idempotency::Unsafe);
+    assert_eq!(trial_count(&mut bed, server, 300), 0);
 }
 
 #[test]
-fn one_that_drains_again_is_not_tried() {
-    let (mut bed, server) = put_back(Idempotency::Safe);
+fn a_draining_server_is_not_tried() {
+    let (mut bed, server) = reinstated(Idempotency::Safe);
     let again = Server { zone: 1, phase: Phase::Draining, ..Server::warm(server) };
     bed.list(ListKind::Changes, vec![again]);
-    assert_eq!(tries(&mut bed, server, 300), 0);
+    assert_eq!(trial_count(&mut bed, server, 300), 0);
 }
--- a/crates/shift/src/follow.rs
+++ b/crates/shift/src/follow.rs
@@ -6,7 +6,9 @@
 use crate::place;
 use crate::pool::{Facts, Found, Pool, Roster};
 use crate::Nanos;
-use laurelroute_policy::interface::{AttemptOutcome, Endpoint, Phase, Request, Server, Settings, TrafficSplit};
+use laurelroute_policy::interface::{
+    AttemptOutcome, Endpoint, Phase, Request, Server, Settings, TrafficSplit,
+};
 use std::collections::BTreeMap;
 
 /// How often a shift is looked at.
--- a/crates/simulation/src/rules.rs
+++ b/crates/simulation/src/rules.rs
@@ -1,7 +1,7 @@
 //! The promises, looked at from outside: nothing here asks the decision module or the follower what they think.
 
 use crate::{Nanos, MS};
-use laurelroute_policy::interface::{Idempotency, AttemptOutcome};
+use laurelroute_policy::interface::{AttemptOutcome, Idempotency};
 use std::collections::BTreeMap;
 
 /// From the telling of a drain to the last request that may go out.
--- a/crates/simulation/src/services/app.rs
+++ b/crates/simulation/src/services/app.rs
@@ -8,7 +8,7 @@
 use laurelroute_plan::services::list_version::ListVersion;
 use laurelroute_plan::services::subscriber::{Change, Standing};
 use laurelroute_plan::wire::{Changes, Piece, Subscribe, Update};
-use laurelroute_policy::interface::{ServerObservation, Phase, Server, ATTEMPT_OUTCOMES};
+use laurelroute_policy::interface::{Phase, Server, ServerObservation, ATTEMPT_OUTCOMES};
 use prost::Message as _;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/simulation/src/services/source.rs
+++ b/crates/simulation/src/services/source.rs
@@ -235,7 +235,9 @@
                 let of: Vec<Listed> = self.servers.values().filter(serves).cloned().collect();
                 match of.len() {
                     0 => (0..self.draw.between(1, 6)).for_each(|_| entries.push(self.fresh(k))),
-                    1..=20 => of.iter().for_each(|listed| entries.push(self.in_phase(listed, Phase::Removed))),
+                    1..=20 => {
+                        of.iter().for_each(|listed| entries.push(self.in_phase(listed, Phase::Removed)))
+                    }
                     _ => {}
                 }
             }
--- a/crates/simulation/src/shift/world.rs
+++ b/crates/simulation/src/shift/world.rs
@@ -6,7 +6,8 @@
 use crate::draw::Draw;
 use crate::{Nanos, MS, S};
 use laurelroute_policy::interface::{
-    Action, Class, Idempotency, AttemptOutcome, Endpoint, Event, ListKind, Phase, Request, RequestId, Server, Settings,
+    Action, AttemptOutcome, Class, Endpoint, Event, Idempotency, ListKind, Phase, Request, RequestId, Server,
+    Settings,
 };
 use laurelroute_policy::Balancer;
 use laurelroute_shift::course::{Change, Course, State, Verb, Word};
@@ -144,14 +145,22 @@
 }
 
 fn ending(code: u8) -> AttemptOutcome {
-    [AttemptOutcome::Ok, AttemptOutcome::Error, AttemptOutcome::Rejected, AttemptOutcome::TimedOut][usize::from(code)]
+    [AttemptOutcome::Ok, AttemptOutcome::Error, AttemptOutcome::Rejected, AttemptOutcome::TimedOut]
+        [usize::from(code)]
 }
 
 fn module() -> Settings {
-    let class =
-        |effect, worth| Class { idempotency: effect, value: worth, ..Settings::single_class(AIM, GIVE_UP).classes[0].clone() };
+    let class = |effect, worth| Class {
+        idempotency: effect,
+        value: worth,
+        ..Settings::single_class(AIM, GIVE_UP).classes[0].clone()
+    };
     Settings {
-        classes: vec![class(Idempotency::Safe, 5.0), class(Idempotency::Safe, 1.0), class(Idempotency::Unsafe, 5.0)],
+        classes: vec![
+            class(Idempotency::Safe, 5.0),
+            class(Idempotency::Safe, 1.0),
+            class(Idempotency::Unsafe, 5.0),
+        ],
         tenant_quota: vec![1e9; SHIRES],
         initial_capacity: COLD.from,
         ramp: COLD.ramp,
@@ -398,8 +407,15 @@
             // Its answer was given: the module is owed the end all the same.
             let server = endpoint(k);
             let took = self.now - sent;
-            let event =
-                Event::AttemptEnded { request: id, server, attempt, finished: true, took, outcome: ending, report: None };
+            let event = Event::AttemptEnded {
+                request: id,
+                server,
+                attempt,
+                finished: true,
+                took,
+                outcome: ending,
+                report: None,
+            };
             return self.feed(event);
         };
         let (request, came, server, took) = (open.request, open.came, endpoint(k), self.now - sent);
@@ -409,7 +425,15 @@
             self.open.remove(&id);
             self.since[1] += u32::from(self.now - came <= AIM);
         }
-        self.feed(Event::AttemptEnded { request: id, server, attempt, finished, took, outcome: ending, report: None });
+        self.feed(Event::AttemptEnded {
+            request: id,
+            server,
+            attempt,
+            finished,
+            took,
+            outcome: ending,
+            report: None,
+        });
     }
 
     /// Its client waits no longer: every request has had its answer by now.
