--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -1,10 +1,10 @@
 //! The command line: subcommands, their options and exit codes.
 
 use crate::config::Config;
-use crate::fleet::cli::FleetFailure;
+use crate::fleet::cli::FleetCommandError;
 use crate::management_client::{request, ManagementError, ManagementRequest};
 use crate::run::{self, Role, StartError};
-use crate::shift::cli::ShiftFailure;
+use crate::shift::cli::ShiftCommandError;
 use crate::site::{Site, SiteError};
 use clap::{Parser, Subcommand};
 use laurelroute_plan::wire::Ask;
@@ -68,7 +68,7 @@
     /// Shifts traffic from one pool of servers to another. Exit code: 0 done, 1 refused, 2 no answer.
     Shift {
         #[command(subcommand)]
-        call: crate::shift::cli::ShiftCall,
+        call: crate::shift::cli::ShiftCommand,
         /// The node's management address; the default is that of GW_MANAGEMENT or GW_CONFIG.
         #[arg(long, value_name = "ADDRESS", global = true)]
         at: Option<SocketAddr>,
@@ -76,7 +76,7 @@
     /// Shows the fleet's members and their shared state. Exit code: 0 yes, 1 no, 2 no answer.
     Fleet {
         #[command(subcommand)]
-        call: crate::fleet::cli::FleetCall,
+        call: crate::fleet::cli::FleetCommand,
         /// The node's management address; the default is that of GW_MANAGEMENT or GW_CONFIG.
         #[arg(long, value_name = "ADDRESS", global = true)]
         at: Option<SocketAddr>,
@@ -126,9 +126,9 @@
     #[error("{0}")]
     Call(#[from] ManagementError),
     #[error("{0}")]
-    Shift(#[from] ShiftFailure),
+    Shift(#[from] ShiftCommandError),
     #[error("{0}")]
-    Fleet(#[from] FleetFailure),
+    Fleet(#[from] FleetCommandError),
 }
 
 /// Parses the arguments, runs the command and returns its exit code.
@@ -139,8 +139,8 @@
             eprintln!("laurelroute: {error}");
             let management_error = match &error {
                 Failure::Call(error)
-                | Failure::Fleet(FleetFailure::Call(error))
-                | Failure::Shift(ShiftFailure::Call(error)) => Some(error),
+                | Failure::Fleet(FleetCommandError::Call(error))
+                | Failure::Shift(ShiftCommandError::Call(error)) => Some(error),
                 _ => None,
             };
             match management_error {
@@ -177,7 +177,7 @@
     };
     print_reply(&request, at)?;
     if everywhere {
-        println!("{}", crate::fleet::cli::everywhere(&id, at)?);
+        println!("{}", crate::fleet::cli::ban_replication_report(&id, at)?);
     }
     Ok(())
 }
@@ -195,7 +195,7 @@
     let unchecked = if config.is_none() { "; class names were not checked, see --config" } else { "" };
     println!("{}: valid, {methods} Thrift methods{unchecked}", file.display());
     if let Some(shift) = &site.shift {
-        println!("{}", shift.explained());
+        println!("{}", shift.summary());
     }
     Ok(())
 }
--- a/crates/node/src/fleet/cli.rs
+++ b/crates/node/src/fleet/cli.rs
@@ -6,7 +6,7 @@
 
 /// What is asked.
 #[derive(Debug, clap::Subcommand)]
-pub(crate) enum FleetCall {
+pub(crate) enum FleetCommand {
     /// Who is a member, by the view that this node has.
     Members {
         /// As the node says it.
@@ -37,36 +37,36 @@
 }
 
 #[derive(Debug, thiserror::Error)]
-pub(crate) enum FleetFailure {
+pub(crate) enum FleetCommandError {
     #[error("{0}")]
     Call(#[from] ManagementError),
     #[error("the node's answer cannot be read: {0}")]
     Odd(#[from] serde_json::Error),
 }
 
-pub(crate) fn run(call: &FleetCall, at: Option<SocketAddr>) -> Result<(), FleetFailure> {
+pub(crate) fn run(call: &FleetCommand, at: Option<SocketAddr>) -> Result<(), FleetCommandError> {
     let text = match call {
-        FleetCall::Members { json: true } => request(&ManagementRequest::Fleet, at)?,
-        FleetCall::Members { json: false } => members(&asked(&ManagementRequest::Fleet, at)?),
-        FleetCall::Explain { name } => {
+        FleetCommand::Members { json: true } => request(&ManagementRequest::Fleet, at)?,
+        FleetCommand::Members { json: false } => members(&asked(&ManagementRequest::Fleet, at)?),
+        FleetCommand::Explain { name } => {
             explain(&asked(&ManagementRequest::Fleet, at)?, name).map_err(ManagementError::Refused)?
         }
-        FleetCall::State { kind, json: true } => request(&ManagementRequest::FleetState(kind.clone()), at)?,
-        FleetCall::State { kind, json: false } => {
+        FleetCommand::State { kind, json: true } => request(&ManagementRequest::FleetState(kind.clone()), at)?,
+        FleetCommand::State { kind, json: false } => {
             state(&asked(&ManagementRequest::FleetState(kind.clone()), at)?)
         }
-        FleetCall::Differ { a, b } => differ(*a, *b)?,
+        FleetCommand::Differ { a, b } => differ(*a, *b)?,
     };
     println!("{text}");
     Ok(())
 }
 
 /// What a node says, as JSON.
-fn asked(call: &ManagementRequest, at: Option<SocketAddr>) -> Result<Value, FleetFailure> {
+fn asked(call: &ManagementRequest, at: Option<SocketAddr>) -> Result<Value, FleetCommandError> {
     Ok(serde_json::from_str(&request(call, at)?)?)
 }
 
-fn differ(a: SocketAddr, b: SocketAddr) -> Result<String, FleetFailure> {
+fn differ(a: SocketAddr, b: SocketAddr) -> Result<String, FleetCommandError> {
     let copy = |at| asked(&ManagementRequest::FleetState(None), Some(at));
     let lines = differences(&copy(a)?, &copy(b)?);
     match lines.is_empty() {
@@ -76,7 +76,7 @@
 }
 
 /// After staff's word: which members have it. A no where one has not, or does not answer.
-pub(crate) fn everywhere(server: &str, at: Option<SocketAddr>) -> Result<String, ManagementError> {
+pub(crate) fn ban_replication_report(server: &str, at: Option<SocketAddr>) -> Result<String, ManagementError> {
     let said = request(&ManagementRequest::FleetHeld(server.to_owned()), at)?;
     let rows: Vec<(String, Option<bool>)> = serde_json::from_str(&said)
         .map_err(|_| ManagementError::Refused(format!("that is no answer: {said}")))?;
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -4,12 +4,12 @@
 //! What a member decides stands in `laurelroute-membership`.
 
 pub(crate) mod cli;
-pub(crate) mod copy;
+pub(crate) mod replica;
 mod history;
-mod lesson;
+mod learned_state;
 pub mod table;
 
-use copy::Copy;
+use replica::LocalReplica;
 use history::History;
 use laurelroute_core::gateway::Gateway;
 use laurelroute_core::retry_io::retried;
@@ -20,7 +20,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use table::FleetSite;
+use table::FleetConfig;
 use tokio::net::UdpSocket;
 use tokio::task::spawn_local;
 
@@ -50,10 +50,10 @@
 }
 
 /// A member.
-pub(crate) struct Member {
-    site: FleetSite,
+pub(crate) struct FleetMember {
+    site: FleetConfig,
     machine: RefCell<Machine>,
-    copy: Rc<Copy>,
+    copy: Rc<LocalReplica>,
     socket: RefCell<Option<Rc<UdpSocket>>>,
     /// The process that this one takes over from has its port still.
     waits: Cell<bool>,
@@ -68,10 +68,10 @@
 /// Joins the fleet that the operator's file names.
 pub(crate) fn start(
     gateway: &Rc<Gateway>,
-    site: &FleetSite,
+    site: &FleetConfig,
     allowed: bool,
     listen: SocketAddr,
-) -> Result<Rc<Member>, FleetError> {
+) -> Result<Rc<FleetMember>, FleetError> {
     if !allowed {
         return Err(FleetError::Forbidden);
     }
@@ -83,8 +83,8 @@
     let replica = laurelroute_replica::Machine::new(&site.site, &site.roster, site.me, machine.life());
     #[cfg(feature = "planted")]
     let (machine, replica) = planted(machine, replica);
-    let copy = Copy::new(replica, crate::upgrade::link::place(listen, "replica"), gateway.clock.now());
-    let member = Rc::new(Member {
+    let copy = LocalReplica::new(replica, crate::upgrade::link::runtime_path(listen, "replica"), gateway.clock.now());
+    let member = Rc::new(FleetMember {
         site: site.clone(),
         machine: RefCell::new(machine),
         copy: Rc::new(copy),
@@ -119,7 +119,7 @@
     (machine, replica)
 }
 
-impl Member {
+impl FleetMember {
     async fn run(self: Rc<Self>, gateway: Rc<Gateway>) {
         let socket = loop {
             match UdpSocket::bind(self.site.listen).await {
@@ -288,7 +288,7 @@
     }
 
     /// For operators, as JSON: the view, its members, and what this one hears of them.
-    pub(crate) fn members(&self, now: Nanos) -> serde_json::Value {
+    pub(crate) fn members_json(&self, now: Nanos) -> serde_json::Value {
         let machine = self.machine.borrow();
         let roster = &self.site.roster;
         let (view, since) = &*self.since.borrow();
--- a/crates/node/src/fleet/copy.rs
+++ b/crates/node/src/fleet/replica.rs
@@ -2,7 +2,7 @@
 //!
 //! How copies are brought in line stands in `laurelroute-replica`.
 
-use super::{lesson, Member};
+use super::{learned_state, FleetMember};
 use crate::files;
 use laurelroute_core::fleet::Entry as Listed;
 use laurelroute_core::gateway::Gateway;
@@ -36,7 +36,7 @@
 const HEARD: Nanos = 60_000 * MS;
 
 /// A member's copy.
-pub(super) struct Copy {
+pub(super) struct LocalReplica {
     pub(super) machine: RefCell<Machine>,
     path: Option<PathBuf>,
     started: Cell<Nanos>,
@@ -75,9 +75,9 @@
     })
 }
 
-impl Copy {
-    pub(super) fn new(machine: Machine, path: Option<PathBuf>, now: Nanos) -> Copy {
-        Copy {
+impl LocalReplica {
+    pub(super) fn new(machine: Machine, path: Option<PathBuf>, now: Nanos) -> LocalReplica {
+        LocalReplica {
             machine: RefCell::new(machine),
             path,
             started: Cell::new(now),
@@ -134,7 +134,7 @@
     }
 }
 
-impl Member {
+impl FleetMember {
     /// Reads what the process before has kept, once it no longer writes there.
     pub(super) fn remember(self: &Rc<Self>, gateway: &Rc<Gateway>) {
         self.copy.started.set(gateway.clock.now());
@@ -186,7 +186,7 @@
             let lasts = if lesson.number == number { TAUGHT } else { FRESH };
             if lesson.number == 0 || now.saturating_sub(*at) > lasts {
                 let number = lesson.number.wrapping_add(1).max(1);
-                (*at, *lesson) = (now, lesson::told(number, &gateway.learnt()));
+                (*at, *lesson) = (now, learned_state::told(number, &gateway.learnt()));
             }
             self.copy.machine.borrow_mut().teach(to, lesson, first)
         };
@@ -204,7 +204,7 @@
             gateway.listed().await;
             // How much comes here this node knows best itself.
             let rate = gateway.learnt().rate;
-            gateway.take_over(lesson::heard(rate, &lesson));
+            gateway.take_over(learned_state::heard(rate, &lesson));
         });
     }
 
@@ -236,7 +236,7 @@
     }
 
     /// What discovery says here: others may hear of it later, or not at all.
-    pub(crate) fn listed(
+    pub(crate) fn on_discovery_list(
         &self,
         gateway: &Rc<Gateway>,
         kind: ListKind,
@@ -303,7 +303,7 @@
     }
 
     /// Staff's word, said here: what to tell them of where it is kept.
-    pub(crate) async fn say(&self, gateway: &Rc<Gateway>, host: &str, out: bool) -> String {
+    pub(crate) async fn set_ban(&self, gateway: &Rc<Gateway>, host: &str, out: bool) -> String {
         let key = Key::Ban(host.to_owned());
         let known = self.copy.machine.borrow().bans(host).map(|b| b.out());
         if known.is_none() && !out {
@@ -334,7 +334,7 @@
     }
 
     /// Which members have this node's copy of a ban; `None` where one does not answer.
-    pub(crate) async fn held(&self, host: &str) -> Vec<(String, Option<bool>)> {
+    pub(crate) async fn members_holding_ban(&self, host: &str) -> Vec<(String, Option<bool>)> {
         let key = Key::Ban(host.to_owned());
         let number = {
             let mut asked = self.copy.asked.borrow_mut();
@@ -368,7 +368,7 @@
     }
 
     /// Whether this member knows what the others know, or has waited for that long enough.
-    pub(crate) fn ready(&self, now: Nanos) -> bool {
+    pub(crate) fn is_ready(&self, now: Nanos) -> bool {
         // As long as the process before has the port, it tells this one what it hears.
         if self.copy.machine.borrow().caught_up() || self.waits.get() {
             return true;
@@ -383,7 +383,7 @@
     }
 
     /// For operators, as JSON: all entries, each with who has spoken on it.
-    pub(crate) fn state(&self, kind: Option<&str>) -> serde_json::Value {
+    pub(crate) fn state_json(&self, kind: Option<&str>) -> serde_json::Value {
         let machine = self.copy.machine.borrow();
         let wanted = |(key, _): &(&Key, &Entry)| kind.is_none_or(|kind| key.kind() == kind);
         let rows: Vec<_> =
@@ -455,6 +455,6 @@
 }
 
 /// What the members are told of a list.
-pub(crate) fn phases(entries: &[Listed]) -> Vec<(String, bool)> {
+pub(crate) fn drain_flags(entries: &[Listed]) -> Vec<(String, bool)> {
     entries.iter().map(|e| (e.host.clone(), e.server.phase != Phase::Ready)).collect()
 }
--- a/crates/node/src/fleet/table.rs
+++ b/crates/node/src/fleet/table.rs
@@ -33,7 +33,7 @@
 
 /// The fleet that this process is a member of.
 #[derive(Clone, Debug)]
-pub struct FleetSite {
+pub struct FleetConfig {
     /// The installation.
     pub site: String,
     /// All members.
@@ -61,7 +61,7 @@
 }
 
 impl FleetTable {
-    pub(crate) fn checked(self, validator: &Validator<'_>) -> Result<FleetSite, SiteError> {
+    pub(crate) fn validate(self, validator: &Validator<'_>) -> Result<FleetConfig, SiteError> {
         if self.site.get_ref().is_empty() {
             return Err(validator.error_at(&self.site, "`fleet.site` has no text"));
         }
@@ -121,7 +121,7 @@
                 validator.error(Some(at), format!("`fleet.listen`: {listen} is no address of this machine"))
             );
         }
-        Ok(FleetSite {
+        Ok(FleetConfig {
             site: self.site.into_inner(),
             roster,
             me,
--- a/crates/node/src/ledger.rs
+++ b/crates/node/src/ledger.rs
@@ -9,7 +9,7 @@
 //! the start is read again: operators have been told that their bans count, so neither is given up.
 
 use crate::files;
-use crate::upgrade::link::place;
+use crate::upgrade::link::runtime_path;
 use laurelroute_core::gateway::Gateway;
 use laurelroute_handover::bans::{Bans, Word};
 use laurelroute_handover::ledger::{decode, encode, LedgerError, MOST_FILE};
@@ -73,7 +73,7 @@
     /// The ledger of the node that listens on an address.
     pub(crate) fn for_listener(listen: SocketAddr) -> Rc<BanLedger> {
         Rc::new(BanLedger {
-            path: place(listen, "bans"),
+            path: runtime_path(listen, "bans"),
             progress: RefCell::default(),
             progress_changed: Notify::new(),
             write_requested: Notify::new(),
--- a/crates/node/src/levels.rs
+++ b/crates/node/src/levels.rs
@@ -1,7 +1,7 @@
 //! The operator's settings of a two-level installation: this peer's identity (`[peers]`) and its role as a forwarder
 //! (`[forward]`) or as a planner (`[plan]`).
 
-use crate::services::table::{Publish, PublishTable, Use, UseTable};
+use crate::services::table::{PlannerServices, PlannerServicesTable, ForwarderServices, ForwarderServicesTable};
 use crate::site::{Classes, SiteError, Validator};
 use laurelroute_channel::tls::{Tls, TlsError};
 use laurelroute_plan::member::LONGEST_NAME;
@@ -125,7 +125,7 @@
     /// Bandwidth limit of reports to one planner, in bytes per second.
     pub report_bytes: u32,
     /// Set if the forwarder follows the planners per service.
-    pub services: Option<Use>,
+    pub services: Option<ForwarderServices>,
 }
 
 /// Settings of the planner role.
@@ -146,7 +146,7 @@
     /// Request classes with a rate limit, in requests per second over all forwarders.
     pub limits: Vec<(String, f64)>,
     /// Set if the planner publishes its list per service.
-    pub services: Option<Publish>,
+    pub services: Option<PlannerServices>,
 }
 
 /// The validated settings of a two-level installation.
@@ -214,7 +214,7 @@
         );
     }
     let planners = planners.clone();
-    let services = UseTable {
+    let services = ForwarderServicesTable {
         services: table.services,
         service: table.service,
         most_services: table.most_services,
@@ -225,7 +225,7 @@
         update_bytes: table.update_bytes,
         update_burst: table.update_burst,
     };
-    let services = services.checked(validator, table.report_bytes.clone())?;
+    let services = services.validate(validator, table.report_bytes.clone())?;
     let report_bytes =
         validator.bounded_number("forward.report_bytes", table.report_bytes, MAX_BYTES_PER_SECOND, 8_000)?;
     Ok(ForwarderSettings { planners, report_bytes, services })
@@ -236,7 +236,7 @@
     table: PlanTable,
     classes: Classes<'_>,
 ) -> Result<PlannerSettings, SiteError> {
-    let services = PublishTable {
+    let services = PlannerServicesTable {
         services: table.services,
         most_forwarders: table.most_forwarders,
         update_bytes: table.update_bytes,
@@ -244,7 +244,7 @@
         drain_bytes: table.drain_bytes,
         drain_burst: table.drain_burst,
     };
-    let services = services.checked(validator)?;
+    let services = services.validate(validator)?;
     if services.is_some() {
         // Ignoring these settings silently would allow more connections than the servers can take.
         let unsupported = [
--- a/crates/node/src/management.rs
+++ b/crates/node/src/management.rs
@@ -1,9 +1,9 @@
 //! The management endpoint, an HTTP server for operators: readiness, counters and events, detaching and attaching
 //! servers, traffic shifts and the state of the fleet.
 
-use crate::fleet::Member;
+use crate::fleet::FleetMember;
 use crate::ledger::BanLedger;
-use crate::upgrade::succession::Succession;
+use crate::upgrade::takeover::Takeover;
 use http_body_util::Full;
 use hyper::body::{Bytes, Incoming};
 use hyper::header::{HeaderValue, ALLOW, CONNECTION};
@@ -49,19 +49,19 @@
 /// Serves the requests of operators.
 pub(crate) struct ManagementServer {
     gateway: Rc<Gateway>,
-    succession: Rc<Succession>,
+    takeover: Rc<Takeover>,
     ledger: Rc<BanLedger>,
-    member: Option<Rc<Member>>,
+    member: Option<Rc<FleetMember>>,
 }
 
 impl ManagementServer {
     pub(crate) fn new(
         gateway: Rc<Gateway>,
-        succession: Rc<Succession>,
+        takeover: Rc<Takeover>,
         ledger: Rc<BanLedger>,
-        member: Option<Rc<Member>>,
+        member: Option<Rc<FleetMember>>,
     ) -> Rc<Self> {
-        Rc::new(ManagementServer { gateway, succession, ledger, member })
+        Rc::new(ManagementServer { gateway, takeover, ledger, member })
     }
 
     /// Accepts connections forever.
@@ -108,8 +108,8 @@
         let (status, text) = match (request.method(), servers) {
             (&Method::GET | &Method::HEAD, None) if path == "/_ready" => {
                 let now = self.gateway.clock.now();
-                let catching_up = self.member.as_ref().is_some_and(|m| !m.ready(now));
-                match self.succession.serving(&self.gateway) {
+                let catching_up = self.member.as_ref().is_some_and(|m| !m.is_ready(now));
+                match self.takeover.is_serving(&self.gateway) {
                     true if catching_up => {
                         (StatusCode::SERVICE_UNAVAILABLE, "has yet to hear what its fleet knows".to_owned())
                     }
@@ -123,12 +123,12 @@
             (&Method::GET, None) if path == "/_events" => {
                 (StatusCode::OK, events::last(self.gateway.clock.now()))
             }
-            (&Method::GET, None) if path == "/_shift" => crate::shift::desk::status(&self.gateway),
+            (&Method::GET, None) if path == "/_shift" => crate::shift::api::status(&self.gateway),
             (&Method::POST, None) if path.starts_with("/_shift/") => {
-                crate::shift::desk::say(&self.gateway, &path["/_shift/".len()..], percent_decode)
+                crate::shift::api::apply_command(&self.gateway, &path["/_shift/".len()..], percent_decode)
             }
             (&Method::GET, None) if path == "/_fleet" => match &self.member {
-                Some(member) => (StatusCode::OK, member.members(self.gateway.clock.now()).to_string()),
+                Some(member) => (StatusCode::OK, member.members_json(self.gateway.clock.now()).to_string()),
                 None => (StatusCode::NOT_FOUND, "this node is no member of a fleet".to_owned()),
             },
             (&Method::GET, None) if path.starts_with("/_fleet/") => {
@@ -154,12 +154,12 @@
             return (StatusCode::NOT_FOUND, "this node is no member of a fleet".to_owned());
         };
         match call.split_once('/') {
-            None if call == "state" => (StatusCode::OK, member.state(None).to_string()),
+            None if call == "state" => (StatusCode::OK, member.state_json(None).to_string()),
             Some(("state", kind @ ("ban" | "drain"))) => {
-                (StatusCode::OK, member.state(Some(kind)).to_string())
+                (StatusCode::OK, member.state_json(Some(kind)).to_string())
             }
             Some(("held", id)) => match percent_decode(id) {
-                Some(host) => (StatusCode::OK, serde_json::json!(member.held(&host).await).to_string()),
+                Some(host) => (StatusCode::OK, serde_json::json!(member.members_holding_ban(&host).await).to_string()),
                 None => (StatusCode::BAD_REQUEST, "that is no server's name".to_owned()),
             },
             _ => (StatusCode::NOT_FOUND, "no such call".to_owned()),
@@ -189,7 +189,7 @@
                 }
                 let fleet = async {
                     match &self.member {
-                        Some(member) => format!("; {}", member.say(&self.gateway, &host, ban).await),
+                        Some(member) => format!("; {}", member.set_ban(&self.gateway, &host, ban).await),
                         None => String::new(),
                     }
                 };
@@ -205,7 +205,7 @@
     async fn persist(&self, record: Option<Word>) -> String {
         let sent = async {
             if let Some(record) = record {
-                self.succession.tell(record).await;
+                self.takeover.send_ban_update(record).await;
             }
         };
         // Writes the file even if nothing has changed: an earlier write may have failed.
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -8,8 +8,8 @@
 use crate::management::ManagementServer;
 use crate::signals::Signal;
 use crate::site::{Site, SiteError};
-use crate::upgrade::claim::Claim;
-use crate::upgrade::succession::{Entrance, Succession, Take};
+use crate::upgrade::predecessor::PredecessorReply;
+use crate::upgrade::takeover::{ClientListener, Takeover, AcceptFn};
 use crate::{plan, source};
 use laurelroute_core::accept::{accept, MakeRoom, Need};
 use laurelroute_core::gateway::Gateway;
@@ -165,20 +165,20 @@
     let discovery = watch::Sender::new(config.discovery);
     let management = config.management.map(listen).transpose()?;
     let ledger = BanLedger::for_listener(config.listen);
-    let mut claim = Claim::make(config.listen).await;
+    let mut predecessor = PredecessorReply::request(config.listen).await;
     // Read after the claim: bans made in between are in the file or are sent to this process.
     ledger.load(&gateway);
-    gateway.merge_bans(claim.take_words());
+    gateway.merge_bans(predecessor.take_ban_updates());
     let member = match &site.fleet {
         Some(fleet) => Some(crate::fleet::start(&gateway, fleet, config.site.settings.peers, config.listen)?),
         None => None,
     };
     let mut open_listener = |kind, address| {
-        let inherited = claim.listeners(kind, address);
-        Ok::<_, StartError>(match claim {
-            _ if !inherited.is_empty() => Entrance::Open(inherited),
-            Claim::Silent(_) => Entrance::Bound(bind(address)?, address),
-            Claim::Alone | Claim::Offered(..) => Entrance::Open(vec![listen(address)?]),
+        let inherited = predecessor.listeners(kind, address);
+        Ok::<_, StartError>(match predecessor {
+            _ if !inherited.is_empty() => ClientListener::Listening(inherited),
+            PredecessorReply::Silent(_) => ClientListener::Bound(bind(address)?, address),
+            PredecessorReply::None | PredecessorReply::Offered(..) => ClientListener::Listening(vec![listen(address)?]),
         })
     };
     let mut listeners = vec![(Door::Http, open_listener(Door::Http, config.listen)?)];
@@ -187,7 +187,7 @@
         listeners.push((Door::Thrift, open_listener(Door::Thrift, thrift.listen)?));
         front = Some(Front::new(gateway.clone(), thrift.front.clone()));
     }
-    let succession = Succession::new(config.site.sockets, ledger.clone());
+    let takeover = Takeover::new(config.site.sockets, ledger.clone());
     let standalone_watcher = || {
         let heartbeat_gateway = gateway.clone();
         Watcher::new(source::gateway_sink(&gateway, member.clone()), &config, &site, discovery.subscribe())
@@ -213,9 +213,9 @@
             let _ = make_on_any(Need::Soon) || need != Need::Soon && make_on_any(need);
         })
     };
-    let take: Take = {
+    let take: AcceptFn = {
         let (gateway, clients, front) = (gateway.clone(), clients.clone(), front.clone());
-        let gate = succession.gate();
+        let gate = takeover.gate();
         Box::new(move |kind, listener| {
             let (budget, room, gate) = (gateway.budget.clone(), make_room.clone(), gate.clone());
             match (kind, &front) {
@@ -235,12 +235,12 @@
     });
     if let Some(listener) = management {
         spawn_local(
-            ManagementServer::new(gateway.clone(), succession.clone(), ledger.clone(), member)
+            ManagementServer::new(gateway.clone(), takeover.clone(), ledger.clone(), member)
                 .accept(listener),
         );
     }
     let serving =
-        succession.clone().serve(gateway.clone(), clients.clone(), take, listeners, claim, config.listen);
+        takeover.clone().serve(gateway.clone(), clients.clone(), take, listeners, predecessor, config.listen);
     spawn_local(serving);
     spawn_local(sweep(gateway.clone(), clients.clone(), front.clone()));
     spawn_local(reload(config, discovery, hangup));
@@ -251,20 +251,20 @@
     gateway.end_by(gateway.clock.now() + (kill_delay - FINAL_ANSWER_MARGIN).as_nanos() as u64);
     // A new process is handed the clients' connections as they become idle, once it accepts clients; clients whose
     // connections stay are told to reconnect.
-    let handing_over = || succession.has_heir() && (clients.number() > 0 || !succession.heir_serves());
+    let handing_over = || takeover.has_successor() && (clients.number() > 0 || !takeover.successor_serves());
     while terminated_at.elapsed() < NEW_PROCESS_WAIT
         || handing_over() && terminated_at.elapsed() < kill_delay - CLOSE_BUSY_MARGIN
     {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     gateway.common.leaving.set(true);
-    if !succession.heir_serves() {
+    if !takeover.successor_serves() {
         tokio::time::sleep(ACCEPT_LINGER).await;
-        succession.shut().await;
+        takeover.stop_accepting().await;
     }
     // Closing an idle connection may race with its next request: if a new process accepts clients, it is handed the
     // connection instead.
-    let open_http = || if succession.heir_serves() { clients.number() } else { clients.close_idle() };
+    let open_http = || if takeover.successor_serves() { clients.number() } else { clients.close_idle() };
     let open_connections = || open_http() + front.as_ref().map_or(0, |f| f.close_idle());
     while open_connections() > 0 && terminated_at.elapsed() < kill_delay + EXIT_MARGIN {
         tokio::time::sleep(Duration::from_millis(10)).await;
--- a/crates/node/src/services/forwarder.rs
+++ b/crates/node/src/services/forwarder.rs
@@ -1,7 +1,7 @@
 //! The forwarder's role by services: a connection to one planner at a time, and the directory that it feeds.
 
 use super::directory::Directory;
-use super::table::Use;
+use super::table::ForwarderServices;
 use crate::levels::{ForwarderSettings, PeerSettings};
 use crate::log::RateLimitedWarning;
 use crate::site::Site;
@@ -32,17 +32,17 @@
     forward: &ForwarderSettings,
     peers: &PeerSettings,
     tls: &Tls,
-    own: &Use,
+    own: &ForwarderServices,
 ) -> Routing {
     let now = gateway.clock.now();
     let settings = subscriber::Settings {
         name: peers.name.clone(),
         site: peers.site.clone(),
         planners: forward.planners.iter().map(SocketAddr::to_string).collect(),
-        most_services: own.most_services,
-        most_bytes: own.most_bytes,
-        unused_after: own.unused_after,
-        unknown_for: own.unknown_for,
+        most_services: own.max_services,
+        most_bytes: own.max_service_bytes,
+        unused_after: own.unused_timeout,
+        unknown_for: own.unknown_ttl,
         bytes_per_second: own.report_bytes.into(),
         burst: own.report_burst.into(),
         takes_per_second: own.update_bytes.into(),
--- a/crates/node/src/services/planner.rs
+++ b/crates/node/src/services/planner.rs
@@ -3,7 +3,7 @@
 //! One thread, no disk. A peer that does not prove itself gets nothing; one that does is bounded in messages (the
 //! channel), in what it asks for (the publisher) and in time.
 
-use super::table::Publish;
+use super::table::PlannerServices;
 use crate::discovery::{Sink, Watcher};
 use crate::levels::{PeerSettings, PlannerSettings, RoleError};
 use crate::log::RateLimitedWarning;
@@ -56,7 +56,7 @@
 pub(crate) fn start(
     peers: &PeerSettings,
     plan: &PlannerSettings,
-    own: &Publish,
+    own: &PlannerServices,
     watch: impl FnOnce(Sink) -> Watcher,
 ) -> Result<(), StartError> {
     let tls = peers.tls().map_err(RoleError::from)?;
@@ -66,7 +66,7 @@
         site: peers.site.clone(),
         life,
         planners: plan.planners,
-        most_forwarders: own.most_forwarders,
+        most_forwarders: own.max_forwarders,
         bytes_per_second: own.update_bytes.into(),
         burst: own.update_burst.into(),
         drain_bytes_per_second: own.drain_bytes.into(),
@@ -85,7 +85,7 @@
             services: true,
         },
         tls,
-        most_peers: own.most_forwarders + OTHERS,
+        most_peers: own.max_forwarders + OTHERS,
         peers: Cell::new(0),
         log: RefCell::default(),
         dropped: RefCell::default(),
--- a/crates/node/src/services/table.rs
+++ b/crates/node/src/services/table.rs
@@ -17,7 +17,7 @@
 
 /// Keys of `[forward]`.
 #[derive(Debug)]
-pub(crate) struct UseTable {
+pub(crate) struct ForwarderServicesTable {
     pub(crate) services: Option<Spanned<bool>>,
     pub(crate) service: Option<Spanned<Value>>,
     pub(crate) most_services: Option<Spanned<u32>>,
@@ -31,7 +31,7 @@
 
 /// Keys of `[plan]`.
 #[derive(Debug)]
-pub(crate) struct PublishTable {
+pub(crate) struct PlannerServicesTable {
     pub(crate) services: Option<Spanned<bool>>,
     pub(crate) most_forwarders: Option<Spanned<u32>>,
     pub(crate) update_bytes: Option<Spanned<u32>>,
@@ -42,17 +42,17 @@
 
 /// How a forwarder uses services.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Use {
+pub struct ForwarderServices {
     /// Where a request's service stands.
     pub place: Place,
     /// Services held at most.
-    pub most_services: usize,
+    pub max_services: usize,
     /// Bytes that they may take at most.
-    pub most_bytes: usize,
+    pub max_service_bytes: usize,
     /// A service that no request has named for so long is dropped.
-    pub unused_after: Nanos,
+    pub unused_timeout: Nanos,
     /// That a service does not exist is remembered for so long.
-    pub unknown_for: Nanos,
+    pub unknown_ttl: Nanos,
     /// Bytes a second that it says to its planner.
     pub report_bytes: u32,
     /// Bytes beyond that at once.
@@ -65,9 +65,9 @@
 
 /// What a planner publishes.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Publish {
+pub struct PlannerServices {
     /// Forwarders that it takes at most.
-    pub most_forwarders: usize,
+    pub max_forwarders: usize,
     /// Bytes a second to one forwarder.
     pub update_bytes: u32,
     /// Bytes beyond that at once.
@@ -97,12 +97,12 @@
     value.as_ref().map(|v| v.span().start)
 }
 
-impl UseTable {
-    pub(crate) fn checked(
+impl ForwarderServicesTable {
+    pub(crate) fn validate(
         self,
         validator: &Validator<'_>,
         report_bytes: Option<Spanned<u32>>,
-    ) -> Result<Option<Use>, SiteError> {
+    ) -> Result<Option<ForwarderServices>, SiteError> {
         if !self.services.is_some_and(Spanned::into_inner) {
             let keys = [
                 ("service", start(&self.service)),
@@ -121,13 +121,13 @@
         let seconds = |key: &str, value, or| {
             validator.bounded_number(&format!("forward.{key}"), value, MOST_SECONDS, or).map(|s| s * SECOND)
         };
-        Ok(Some(Use {
+        Ok(Some(ForwarderServices {
             place: self.service.map_or(Ok(Place::Nowhere), |value| place(validator, &value))?,
-            most_services: number("most_services", self.most_services, MOST_SERVICES, 1_000)? as usize,
-            most_bytes: number("most_service_bytes", self.most_service_bytes, MOST_SERVICE_BYTES, 16 << 20)?
+            max_services: number("most_services", self.most_services, MOST_SERVICES, 1_000)? as usize,
+            max_service_bytes: number("most_service_bytes", self.most_service_bytes, MOST_SERVICE_BYTES, 16 << 20)?
                 as usize,
-            unused_after: seconds("unused_seconds", self.unused_seconds, 600)?,
-            unknown_for: seconds("unknown_seconds", self.unknown_seconds, 10)?,
+            unused_timeout: seconds("unused_seconds", self.unused_seconds, 600)?,
+            unknown_ttl: seconds("unknown_seconds", self.unknown_seconds, 10)?,
             report_bytes: number("report_bytes", report_bytes, MOST_BYTES, 1_500)?,
             report_burst: number("report_burst", self.report_burst, MOST_BYTES, 8_000)?,
             update_bytes: number("update_bytes", self.update_bytes, MOST_BYTES, 7_000)?,
@@ -150,13 +150,13 @@
     .ok_or_else(|| validator.error_at(value, "`forward.service` has to be \"host\" or { header = \"NAME\" }"))
 }
 
-impl PublishTable {
-    pub(crate) fn on(&self) -> bool {
+impl PlannerServicesTable {
+    pub(crate) fn enabled(&self) -> bool {
         self.services.as_ref().is_some_and(|on| *on.get_ref())
     }
 
-    pub(crate) fn checked(self, validator: &Validator<'_>) -> Result<Option<Publish>, SiteError> {
-        if !self.on() {
+    pub(crate) fn validate(self, validator: &Validator<'_>) -> Result<Option<PlannerServices>, SiteError> {
+        if !self.enabled() {
             let keys = [
                 ("most_forwarders", start(&self.most_forwarders)),
                 ("update_bytes", start(&self.update_bytes)),
@@ -168,8 +168,8 @@
         }
         let number =
             |key: &str, value, most, or| validator.bounded_number(&format!("plan.{key}"), value, most, or);
-        Ok(Some(Publish {
-            most_forwarders: number("most_forwarders", self.most_forwarders, MOST_FORWARDERS, 10_000)?
+        Ok(Some(PlannerServices {
+            max_forwarders: number("most_forwarders", self.most_forwarders, MOST_FORWARDERS, 10_000)?
                 as usize,
             update_bytes: number("update_bytes", self.update_bytes, MOST_BYTES, 7_000)?,
             update_burst: number("update_burst", self.update_burst, MOST_BYTES, 36_000)?,
--- a/crates/node/src/shift/desk.rs
+++ b/crates/node/src/shift/api.rs
@@ -31,7 +31,7 @@
 }
 
 /// An operator's word, from the rest of the path.
-pub(crate) fn say(
+pub(crate) fn apply_command(
     gateway: &Rc<Gateway>,
     rest: &str,
     decode: fn(&str) -> Option<String>,
@@ -63,7 +63,7 @@
 }
 
 /// The path of a word.
-pub(crate) fn path(word: &Word) -> String {
+pub(crate) fn command_path(word: &Word) -> String {
     let name = VERBS.iter().find(|(_, v)| *v == word.verb).map_or("", |(n, _)| n);
     let insist = if word.insist { "insist/" } else { "" };
     format!("/_shift/{insist}{name}/{}/{}", percent_encode(&word.who), percent_encode(&word.why))
--- a/crates/node/src/shift/cli.rs
+++ b/crates/node/src/shift/cli.rs
@@ -10,7 +10,7 @@
 const ROWS: usize = 12;
 
 #[derive(Debug, Subcommand)]
-pub(crate) enum ShiftCall {
+pub(crate) enum ShiftCommand {
     /// Begins the shift, or begins it again after an undo.
     Start(Say),
     /// Stands still where it is; what alarms is taken back all the same.
@@ -58,7 +58,7 @@
 
 /// Why a call on a shift came to nothing.
 #[derive(Debug, thiserror::Error)]
-pub(crate) enum ShiftFailure {
+pub(crate) enum ShiftCommandError {
     #[error("{0}")]
     Call(#[from] ManagementError),
     #[error("the node's answer cannot be read: {0}")]
@@ -67,17 +67,17 @@
     Terminal(#[from] std::io::Error),
 }
 
-pub(crate) fn run(call: &ShiftCall, at: Option<SocketAddr>) -> Result<(), ShiftFailure> {
+pub(crate) fn run(call: &ShiftCommand, at: Option<SocketAddr>) -> Result<(), ShiftCommandError> {
     let (verb, say) = match call {
-        ShiftCall::Start(say) => (Verb::Start, say),
-        ShiftCall::Hold(say) => (Verb::Hold, say),
-        ShiftCall::Advance(say) => (Verb::Advance, say),
-        ShiftCall::Undo(say) => (Verb::Undo, say),
-        ShiftCall::Finish(say) => (Verb::Finish, say),
-        ShiftCall::Abandon(say) => (Verb::Abandon, say),
-        ShiftCall::Status { json } => return show(at, *json, false),
-        ShiftCall::Explain { json } => return show(at, *json, true),
-        ShiftCall::Watch { every } => return super::watch::run(at, *every),
+        ShiftCommand::Start(say) => (Verb::Start, say),
+        ShiftCommand::Hold(say) => (Verb::Hold, say),
+        ShiftCommand::Advance(say) => (Verb::Advance, say),
+        ShiftCommand::Undo(say) => (Verb::Undo, say),
+        ShiftCommand::Finish(say) => (Verb::Finish, say),
+        ShiftCommand::Abandon(say) => (Verb::Abandon, say),
+        ShiftCommand::Status { json } => return show(at, *json, false),
+        ShiftCommand::Explain { json } => return show(at, *json, true),
+        ShiftCommand::Watch { every } => return super::watch::run(at, *every),
     };
     let user = || std::env::var("USER").unwrap_or_else(|_| "operator".to_owned());
     let who = say.who.clone().unwrap_or_else(user);
@@ -87,11 +87,11 @@
 }
 
 /// The status of a running node's shift.
-pub(super) fn status(at: Option<SocketAddr>) -> Result<Status, ShiftFailure> {
+pub(super) fn status(at: Option<SocketAddr>) -> Result<Status, ShiftCommandError> {
     Ok(serde_json::from_str(&request(&ManagementRequest::ShiftStatus, at)?)?)
 }
 
-fn show(at: Option<SocketAddr>, json: bool, history: bool) -> Result<(), ShiftFailure> {
+fn show(at: Option<SocketAddr>, json: bool, history: bool) -> Result<(), ShiftCommandError> {
     let status = status(at)?;
     if json {
         println!("{}", serde_json::to_string_pretty(&status)?);
--- a/crates/node/src/shift/mod.rs
+++ b/crates/node/src/shift/mod.rs
@@ -1,7 +1,7 @@
 //! A shift in a running node: looked at four times a second, kept in its journal, told to operators.
 
 pub(crate) mod cli;
-pub(crate) mod desk;
+pub(crate) mod api;
 pub mod table;
 mod watch;
 
@@ -16,7 +16,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::Duration;
-use table::Shift;
+use table::ShiftConfig;
 use tokio::sync::mpsc;
 
 /// Evidence is kept every so many looks: 10 s of it are lost when a process is killed.
@@ -39,7 +39,7 @@
 }
 
 /// Has the gateway follow a shift, from where its journal ends.
-pub(crate) fn start(gateway: &Rc<Gateway>, config: &Config, shift: &Shift) -> Result<(), ShiftStartError> {
+pub(crate) fn start(gateway: &Rc<Gateway>, config: &Config, shift: &ShiftConfig) -> Result<(), ShiftStartError> {
     let mut settings = shift.settings.clone();
     settings.classes = config.site.classes.clone();
     settings.behind.resize(settings.classes.len(), 0);
--- a/crates/node/src/shift/table.rs
+++ b/crates/node/src/shift/table.rs
@@ -71,16 +71,16 @@
 
 /// A shift that the file names, checked but for what only the platform's configuration holds.
 #[derive(Clone, Debug)]
-pub struct Shift {
+pub struct ShiftConfig {
     /// Its settings.
     pub settings: ShiftSettings,
     /// Where its journal is, meant from where the file is.
     pub journal: Option<PathBuf>,
 }
 
-impl Shift {
+impl ShiftConfig {
     /// What it will do, in some lines.
-    pub(crate) fn explained(&self) -> String {
+    pub(crate) fn summary(&self) -> String {
         let settings = &self.settings;
         let steps: Vec<String> = settings.steps.iter().map(|s| format!("{}%", 100.0 * s)).collect();
         let mut text = format!("shift {}: {}", settings.name, steps.join(", "));
@@ -124,7 +124,7 @@
 }
 
 impl ShiftTable {
-    pub(crate) fn checked(self, validator: &Validator<'_>, classes: Classes<'_>) -> Result<Shift, SiteError> {
+    pub(crate) fn validate(self, validator: &Validator<'_>, classes: Classes<'_>) -> Result<ShiftConfig, SiteError> {
         let pools = Pools {
             old: self.old.get_ref().predicate(validator, "old")?,
             new: self.new.get_ref().predicate(validator, "new")?,
@@ -170,11 +170,11 @@
         };
         self.behind(validator, &mut settings)?;
         for split in &self.splits {
-            settings.splits.push(split.checked(validator)?);
+            settings.splits.push(split.validate(validator)?);
         }
         settings.validate().map_err(|e| self.blamed(validator, &e))?;
         let folder = Path::new(validator.file).parent().unwrap_or(Path::new(""));
-        Ok(Shift { settings, journal: self.journal.as_ref().map(|j| folder.join(j)) })
+        Ok(ShiftConfig { settings, journal: self.journal.as_ref().map(|j| folder.join(j)) })
     }
 
     fn behind(&self, validator: &Validator<'_>, settings: &mut ShiftSettings) -> Result<(), SiteError> {
@@ -217,7 +217,7 @@
 }
 
 impl SplitTable {
-    fn checked(&self, validator: &Validator<'_>) -> Result<Split, SiteError> {
+    fn validate(&self, validator: &Validator<'_>) -> Result<Split, SiteError> {
         let name = self.name.get_ref();
         let wrong = |group: &str| {
             validator.error_at(
--- a/crates/node/src/shift/watch.rs
+++ b/crates/node/src/shift/watch.rs
@@ -1,6 +1,6 @@
 //! `laurelroute shift watch`: a live view for a terminal of 80 by 24, that says everything without colour as well.
 
-use super::cli::{status, ShiftFailure};
+use super::cli::{status, ShiftCommandError};
 use laurelroute_shift::explain::{Row, Status};
 use ratatui::crossterm::event::{self, Event, KeyCode};
 use ratatui::layout::{Constraint, Layout, Rect};
@@ -14,7 +14,7 @@
 /// The least and the most time between two looks, in seconds.
 const EVERY: (f64, f64) = (0.2, 3600.0);
 
-pub(super) fn run(at: Option<SocketAddr>, every: f64) -> Result<(), ShiftFailure> {
+pub(super) fn run(at: Option<SocketAddr>, every: f64) -> Result<(), ShiftCommandError> {
     let pause =
         Duration::from_secs_f64(if every.is_finite() { every.clamp(EVERY.0, EVERY.1) } else { EVERY.0 });
     if !std::io::stdout().is_terminal() {
@@ -50,7 +50,7 @@
 }
 
 /// One line a change, for files and pipes; ends with the shift.
-fn plain(at: Option<SocketAddr>, pause: Duration) -> Result<(), ShiftFailure> {
+fn plain(at: Option<SocketAddr>, pause: Duration) -> Result<(), ShiftCommandError> {
     let mut last = String::new();
     loop {
         let status = status(at)?;
--- a/crates/node/src/site.rs
+++ b/crates/node/src/site.rs
@@ -2,9 +2,9 @@
 //!
 //! Every error names the file, the line and the key. Features are off unless the file configures them.
 
-use crate::fleet::table::{FleetSite, FleetTable};
+use crate::fleet::table::{FleetConfig, FleetTable};
 use crate::levels::{ForwardTable, LevelTables, Levels, PeersTable, PlanTable};
-use crate::shift::table::{Shift, ShiftTable};
+use crate::shift::table::{ShiftConfig, ShiftTable};
 use laurelroute_policy::interface::{Idempotency, Settings};
 use laurelroute_thrift::codec::decoder::Accept;
 use laurelroute_thrift::codec::{application, Form, Limits, FORMS};
@@ -142,9 +142,9 @@
     /// This peer's identity and role in a two-level installation.
     pub levels: Levels,
     /// A traffic shift from one pool of servers to another.
-    pub shift: Option<Shift>,
+    pub shift: Option<ShiftConfig>,
     /// The fleet that this process is a member of.
-    pub fleet: Option<FleetSite>,
+    pub fleet: Option<FleetConfig>,
 }
 
 /// The request classes that methods may name, with their settings; `None` skips the validation of class names.
@@ -176,8 +176,8 @@
         let thrift = table.thrift.map(|t| validator.thrift(t, classes)).transpose()?;
         let tables = LevelTables { peers: table.peers, forward: table.forward, plan: table.plan };
         let levels = tables.validate(&validator, classes)?;
-        let shift = table.shift.map(|t| t.into_inner().checked(&validator, classes)).transpose()?;
-        let fleet = table.fleet.map(|t| t.checked(&validator)).transpose()?;
+        let shift = table.shift.map(|t| t.into_inner().validate(&validator, classes)).transpose()?;
+        let fleet = table.fleet.map(|t| t.validate(&validator)).transpose()?;
         Ok(Site { max_connections, thrift, levels, shift, fleet })
     }
 }
--- a/crates/node/src/source.rs
+++ b/crates/node/src/source.rs
@@ -1,7 +1,7 @@
 //! Conversion of discovery's server entries for the gateway, the planner and the forwarders.
 
 use crate::discovery::Sink;
-use crate::fleet::copy::phases;
+use crate::fleet::replica::drain_flags;
 use laurelroute_core::fleet::Entry;
 use laurelroute_core::gateway::Gateway;
 use laurelroute_plan::member::Member;
@@ -11,13 +11,13 @@
 
 /// Sink of a standalone node: passes lists to the gateway and, if the node is a member of a fleet, replicates the
 /// drains in them to the other members.
-pub(crate) fn gateway_sink(gateway: &Rc<Gateway>, fleet: Option<Rc<crate::fleet::Member>>) -> Sink {
+pub(crate) fn gateway_sink(gateway: &Rc<Gateway>, fleet: Option<Rc<crate::fleet::FleetMember>>) -> Sink {
     let gateway = gateway.clone();
     Box::new(move |kind, version, entries| {
-        let listed_phases = fleet.is_some().then(|| phases(&entries));
+        let listed_phases = fleet.is_some().then(|| drain_flags(&entries));
         gateway.list(kind, entries);
         if let (Some(fleet), Some(listed_phases)) = (&fleet, listed_phases) {
-            fleet.listed(&gateway, kind, version, &listed_phases);
+            fleet.on_discovery_list(&gateway, kind, version, &listed_phases);
         }
         if matches!(kind, ListKind::Full | ListKind::Changes) {
             gateway.set_ready();
--- a/crates/node/src/upgrade/link.rs
+++ b/crates/node/src/upgrade/link.rs
@@ -141,14 +141,14 @@
 
 /// A file that the processes of the node that listens there share, in the folder that they share. Without one there is
 /// no such place.
-pub(crate) fn place(listen: SocketAddr, kind: &str) -> Option<PathBuf> {
+pub(crate) fn runtime_path(listen: SocketAddr, kind: &str) -> Option<PathBuf> {
     let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty())?;
     let name = format!("laurelroute-{:016x}.{kind}", laurelroute_core::mix(listen.to_string().as_bytes()));
     Some(Path::new(&folder).join(name))
 }
 
 /// The folder is opened, and the place named through its descriptor: a socket's address has room for 107 bytes.
-pub(super) fn address(place: &Path) -> Result<(std::fs::File, SocketAddrUnix), LinkError> {
+pub(super) fn socket_address(place: &Path) -> Result<(std::fs::File, SocketAddrUnix), LinkError> {
     let folder = std::fs::File::open(place.parent().unwrap_or(Path::new("/")))?;
     let name = place.file_name().unwrap_or_default().to_string_lossy().into_owned();
     let descriptor = std::os::fd::AsRawFd::as_raw_fd(&folder);
@@ -163,7 +163,7 @@
 
 /// Waits for heirs at that place, in the stead of whoever did so before.
 pub(super) fn bind(place: &Path) -> Result<UnixListener, LinkError> {
-    let (_folder, address) = address(place)?;
+    let (_folder, address) = socket_address(place)?;
     match std::fs::remove_file(place) {
         Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e.into()),
         _ => {}
--- a/crates/node/src/upgrade/mod.rs
+++ b/crates/node/src/upgrade/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! What the two sides decide stands in `laurelroute-handover`.
 
-pub(crate) mod claim;
+pub(crate) mod predecessor;
 pub(crate) mod link;
-mod steer;
-pub(crate) mod succession;
+mod reuseport;
+pub(crate) mod takeover;
--- a/crates/node/src/upgrade/claim.rs
+++ b/crates/node/src/upgrade/predecessor.rs
@@ -1,6 +1,6 @@
 //! What a process that starts gets from the one that serves, if there is one.
 
-use super::link::{address, place, socket, Link, LinkError, SOCKET};
+use super::link::{runtime_path, socket_address, socket, Link, LinkError, SOCKET};
 use laurelroute_handover::bans::Word;
 use laurelroute_handover::message::{Door, Message, VERSION};
 use laurelroute_policy::interface::LearnedState;
@@ -14,9 +14,9 @@
 const OFFER: Duration = Duration::from_millis(120);
 
 /// Who else serves at the address.
-pub(crate) enum Claim {
+pub(crate) enum PredecessorReply {
     /// Nobody that can be spoken to.
-    Alone,
+    None,
     /// A process that hands over what it has.
     Offered(Link, Offer),
     /// One that is there and says nothing. It may yet.
@@ -35,47 +35,47 @@
     pub(super) learnt: LearnedState,
 }
 
-impl Claim {
+impl PredecessorReply {
     /// Asks the process that serves at that address for all that it has.
-    pub(crate) async fn make(listen: SocketAddr) -> Claim {
-        let Some(place) = place(listen, SOCKET).filter(|place| place.exists()) else { return Claim::Alone };
+    pub(crate) async fn request(listen: SocketAddr) -> PredecessorReply {
+        let Some(place) = runtime_path(listen, SOCKET).filter(|place| place.exists()) else { return PredecessorReply::None };
         let claimed = async {
             let link = ask(&place).await?;
             match tokio::time::timeout(OFFER, offer(&link)).await {
-                Ok(offer) => Ok(Claim::Offered(link, offer?)),
-                Err(_) => Ok(Claim::Silent(link)),
+                Ok(offer) => Ok(PredecessorReply::Offered(link, offer?)),
+                Err(_) => Ok(PredecessorReply::Silent(link)),
             }
         };
-        let claim: Result<Claim, LinkError> = claimed.await;
+        let claim: Result<PredecessorReply, LinkError> = claimed.await;
         match &claim {
             Err(error) => tracing::warn!("takeover: {error}; the address is shared without it"),
-            Ok(Claim::Silent(_)) => {
+            Ok(PredecessorReply::Silent(_)) => {
                 tracing::warn!("takeover: no offer in time; new clients come here as soon as there is a list")
             }
             Ok(_) => {}
         }
-        claim.unwrap_or(Claim::Alone)
+        claim.unwrap_or(PredecessorReply::None)
     }
 
     /// The elder's listening sockets of this kind, where it has offered any.
     pub(crate) fn listeners(&mut self, door: Door, address: SocketAddr) -> Vec<TcpListener> {
         match self {
-            Claim::Offered(_, offer) => offer.listeners(door, address),
-            Claim::Alone | Claim::Silent(_) => Vec::new(),
+            PredecessorReply::Offered(_, offer) => offer.listeners(door, address),
+            PredecessorReply::None | PredecessorReply::Silent(_) => Vec::new(),
         }
     }
 
     /// Words on servers that came with the offer.
-    pub(crate) fn take_words(&mut self) -> Vec<Word> {
+    pub(crate) fn take_ban_updates(&mut self) -> Vec<Word> {
         match self {
-            Claim::Offered(_, offer) => std::mem::take(&mut offer.words),
-            Claim::Alone | Claim::Silent(_) => Vec::new(),
+            PredecessorReply::Offered(_, offer) => std::mem::take(&mut offer.words),
+            PredecessorReply::None | PredecessorReply::Silent(_) => Vec::new(),
         }
     }
 }
 
 async fn ask(place: &Path) -> Result<Link, LinkError> {
-    let (_folder, address) = address(place)?;
+    let (_folder, address) = socket_address(place)?;
     let socket = socket()?;
     rustix::net::connect(&socket, &address)?;
     let link = Link::new(socket)?;
--- a/crates/node/src/upgrade/steer.rs
+++ b/crates/node/src/upgrade/reuseport.rs
@@ -16,7 +16,7 @@
 
 /// Brings all new connections to the socket that has begun to listen at that address last. Sockets have their place in
 /// the order in which they began.
-pub(super) fn to_last(socket: impl AsFd, address: SocketAddr) -> io::Result<()> {
+pub(super) fn route_to_newest(socket: impl AsFd, address: SocketAddr) -> io::Result<()> {
     let table = if address.is_ipv4() { "/proc/self/net/tcp" } else { "/proc/self/net/tcp6" };
     let listening = listening(BufReader::new(File::open(table)?).lines(), address)?;
     let place = u32::try_from(listening.saturating_sub(1)).map_err(io::Error::other)?;
--- a/crates/node/src/upgrade/succession.rs
+++ b/crates/node/src/upgrade/takeover.rs
@@ -1,8 +1,8 @@
 //! This process's place between the one that it takes over from and the one that takes over from it.
 
-use super::claim::{offer, Claim, Offer};
-use super::link::{bind, place, Link, LinkError, Rest, SOCKET};
-use super::steer;
+use super::predecessor::{offer, PredecessorReply, Offer};
+use super::link::{bind, runtime_path, Link, LinkError, Rest, SOCKET};
+use super::reuseport;
 use crate::ledger::BanLedger;
 use laurelroute_core::accept::Gate;
 use laurelroute_core::gateway::Gateway;
@@ -29,7 +29,7 @@
 const MOST_WAITING: usize = 64;
 
 /// How clients come in by one door.
-pub(crate) enum Entrance {
+pub(crate) enum ClientListener {
     /// By sockets that listen already.
     Open(Vec<TcpListener>),
     /// By one that will listen once this process serves: until then all connections go to the process that has not
@@ -38,13 +38,13 @@
 }
 
 /// Starts to accept by a listening socket of a door.
-pub(crate) type Take = Box<dyn Fn(Door, Rc<TcpListener>) -> JoinHandle<()>>;
+pub(crate) type AcceptFn = Box<dyn Fn(Door, Rc<TcpListener>) -> JoinHandle<()>>;
 
 /// This process's place in the line of those that serve at the address: after an elder, before an heir, both or none.
-pub(crate) struct Succession {
+pub(crate) struct Takeover {
     gate: watch::Sender<Gate>,
     clients: RefCell<Option<Rc<Clients>>>,
-    take: RefCell<Option<Take>>,
+    take: RefCell<Option<AcceptFn>>,
     listeners: RefCell<Vec<(Door, Rc<TcpListener>)>>,
     accepting: RefCell<Vec<JoinHandle<()>>>,
     /// For clients at rest, while an heir that beats is there.
@@ -59,9 +59,9 @@
     ledger: Rc<BanLedger>,
 }
 
-impl Succession {
-    pub(crate) fn new(sockets: usize, ledger: Rc<BanLedger>) -> Rc<Succession> {
-        Rc::new(Succession {
+impl Takeover {
+    pub(crate) fn new(sockets: usize, ledger: Rc<BanLedger>) -> Rc<Takeover> {
+        Rc::new(Takeover {
             gate: watch::Sender::new(Gate::Held),
             clients: RefCell::default(),
             take: RefCell::default(),
@@ -84,24 +84,24 @@
     }
 
     /// Whether this process takes clients.
-    pub(crate) fn serving(&self, gateway: &Gateway) -> bool {
+    pub(crate) fn is_serving(&self, gateway: &Gateway) -> bool {
         gateway.ready.get() && !gateway.leaving() && *self.gate.borrow() == Gate::Open
     }
 
     /// An heir is there, whether it takes clients by now or not.
-    pub(crate) fn has_heir(&self) -> bool {
+    pub(crate) fn has_successor(&self) -> bool {
         !self.elder.borrow().alone()
     }
 
     /// An heir takes all new clients now.
-    pub(crate) fn heir_serves(&self) -> bool {
+    pub(crate) fn successor_serves(&self) -> bool {
         let elder = self.elder.borrow();
         elder.yielded() && !elder.covering()
     }
 
     /// No more clients: what waits is still taken, unless an heir takes it. Over once that has been done.
-    pub(crate) async fn shut(&self) {
-        if self.heir_serves() {
+    pub(crate) async fn stop_accepting(&self) {
+        if self.successor_serves() {
             return;
         }
         self.gate.send_replace(Gate::Shut);
@@ -125,7 +125,7 @@
         for (door, socket, address) in bound {
             match socket.listen(crate::run::LISTEN_BACKLOG) {
                 Ok(listener) => {
-                    if let Err(error) = steer::to_last(&listener, address) {
+                    if let Err(error) = reuseport::route_to_newest(&listener, address) {
                         tracing::warn!("takeover: connections go to both processes: {error}");
                     }
                     self.enter(door, listener);
@@ -135,32 +135,32 @@
         }
     }
 
-    /// Serves by these entrances: after a process that serves now once there is a list, else at once. From then on others
+    /// Serves by these client_listeners: after a process that serves now once there is a list, else at once. From then on others
     /// may take over from this one.
     pub(crate) async fn serve(
         self: Rc<Self>,
         gateway: Rc<Gateway>,
         clients: Rc<Clients>,
-        take: Take,
-        entrances: Vec<(Door, Entrance)>,
-        claim: Claim,
+        take: AcceptFn,
+        client_listeners: Vec<(Door, ClientListener)>,
+        claim: PredecessorReply,
         listen: SocketAddr,
     ) {
         *self.clients.borrow_mut() = Some(clients);
         *self.take.borrow_mut() = Some(take);
         let mut bound = Vec::new();
-        for (door, entrance) in entrances {
-            match entrance {
-                Entrance::Open(listeners) => listeners.into_iter().for_each(|l| self.enter(door, l)),
-                Entrance::Bound(socket, address) => bound.push((door, socket, address)),
+        for (door, client_listener) in client_listeners {
+            match client_listener {
+                ClientListener::Listening(listeners) => listeners.into_iter().for_each(|l| self.enter(door, l)),
+                ClientListener::Bound(socket, address) => bound.push((door, socket, address)),
             }
         }
         match claim {
-            Claim::Alone => {
+            PredecessorReply::None => {
                 self.gate.send_replace(Gate::Open);
             }
-            Claim::Offered(link, offer) => self.take_over(&gateway, link, offer).await,
-            Claim::Silent(link) => {
+            PredecessorReply::Offered(link, offer) => self.take_over(&gateway, link, offer).await,
+            PredecessorReply::Silent(link) => {
                 // Both keep within the limit also before the elder has said what it holds.
                 let held = link.peer().and_then(descriptors);
                 gateway.resize(share::beside(self.sockets, held));
@@ -170,7 +170,7 @@
                 spawn_local(self.clone().await_offer(gateway.clone(), link));
             }
         }
-        let Some(place) = place(listen, SOCKET) else { return };
+        let Some(place) = runtime_path(listen, SOCKET) else { return };
         // Anew after each heir that has gone: it may have waited there for an heir of its own.
         loop {
             match bind(&place) {
@@ -316,11 +316,11 @@
                     if !covering && self.elder.borrow().covering() {
                         tracing::warn!("takeover: the new process is silent; this one accepts beside it");
                     }
-                    if self.heir_serves() {
+                    if self.successor_serves() {
                         self.hand_over(gateway, link);
                     }
                 }
-                _ = self.rested(), if self.heir_serves() => {
+                _ = self.rested(), if self.successor_serves() => {
                     self.hand_over(gateway, link);
                     // What went is closed here before more of them go.
                     tokio::task::yield_now().await;
@@ -446,7 +446,7 @@
     }
 
     /// Tells the node's other process, and waits until it has noted it. At once where there is none.
-    pub(crate) async fn tell(&self, word: Word) {
+    pub(crate) async fn send_ban_update(&self, word: Word) {
         let links = self.links.borrow().clone();
         for link in links {
             let mark = self.marks.get();
