--- a/crates/node/src/fleet/cli.rs
+++ b/crates/node/src/fleet/cli.rs
@@ -1,59 +1,60 @@
-//! `laurelroute fleet`: what a running member says of its fleet, for people.
+//! The `laurelroute fleet` subcommands: print a running member's view of its fleet and its replicated state.
 
 use crate::management_client::{request, ManagementError, ManagementRequest};
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// What is asked.
+/// Subcommands of `laurelroute fleet`.
 #[derive(Debug, clap::Subcommand)]
 pub(crate) enum FleetCommand {
-    /// Who is a member, by the view that this node has.
+    /// Lists the members of the view that this node has.
     Members {
-        /// As the node says it.
+        /// Print the node's JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Why a member is in or out: who watches it here, how long it has been silent, who accuses it.
+    /// Explains why a member is in or out: whether this node watches it, how long it has been silent, which members accuse it.
     Explain {
-        /// Its name.
+        /// Name of the member.
         name: String,
     },
-    /// What all members know alike, as this node has it: bans, and drains by the list.
+    /// Shows this node's replica of the state shared by all members: bans, and drains from discovery's list.
     State {
-        /// Only `ban` or `drain`.
+        /// Show only entries of this kind.
         #[arg(long, value_parser = ["ban", "drain"])]
         kind: Option<String>,
-        /// As the node says it.
+        /// Print the node's JSON.
         #[arg(long)]
         json: bool,
     },
-    /// What two nodes' copies disagree on, and which rule will settle it: exit code 1 where they do.
+    /// Compares two nodes' replicas and names the rule that resolves each difference; exit code 1 where they differ.
     Differ {
-        /// A node's second address.
+        /// Management address of a node.
         a: SocketAddr,
-        /// Another one's.
+        /// Management address of the other node.
         b: SocketAddr,
     },
 }
 
+/// Why a `laurelroute fleet` subcommand failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum FleetCommandError {
     #[error("{0}")]
     Call(#[from] ManagementError),
-    #[error("the node's answer cannot be read: {0}")]
-    Odd(#[from] serde_json::Error),
+    #[error("invalid response from the node: {0}")]
+    InvalidResponse(#[from] serde_json::Error),
 }
 
 pub(crate) fn run(call: &FleetCommand, at: Option<SocketAddr>) -> Result<(), FleetCommandError> {
     let text = match call {
         FleetCommand::Members { json: true } => request(&ManagementRequest::Fleet, at)?,
-        FleetCommand::Members { json: false } => members(&asked(&ManagementRequest::Fleet, at)?),
+        FleetCommand::Members { json: false } => members(&query(&ManagementRequest::Fleet, at)?),
         FleetCommand::Explain { name } => {
-            explain(&asked(&ManagementRequest::Fleet, at)?, name).map_err(ManagementError::Refused)?
+            explain(&query(&ManagementRequest::Fleet, at)?, name).map_err(ManagementError::Refused)?
         }
         FleetCommand::State { kind, json: true } => request(&ManagementRequest::FleetState(kind.clone()), at)?,
         FleetCommand::State { kind, json: false } => {
-            state(&asked(&ManagementRequest::FleetState(kind.clone()), at)?)
+            state(&query(&ManagementRequest::FleetState(kind.clone()), at)?)
         }
         FleetCommand::Differ { a, b } => differ(*a, *b)?,
     };
@@ -61,29 +62,29 @@
     Ok(())
 }
 
-/// What a node says, as JSON.
-fn asked(call: &ManagementRequest, at: Option<SocketAddr>) -> Result<Value, FleetCommandError> {
+/// Sends a call to a node and parses its JSON response.
+fn query(call: &ManagementRequest, at: Option<SocketAddr>) -> Result<Value, FleetCommandError> {
     Ok(serde_json::from_str(&request(call, at)?)?)
 }
 
 fn differ(a: SocketAddr, b: SocketAddr) -> Result<String, FleetCommandError> {
-    let copy = |at| asked(&ManagementRequest::FleetState(None), Some(at));
-    let lines = differences(&copy(a)?, &copy(b)?);
+    let replica = |at| query(&ManagementRequest::FleetState(None), Some(at));
+    let lines = differences(&replica(a)?, &replica(b)?);
     match lines.is_empty() {
         true => Ok("the copies are equal".to_owned()),
         false => Err(ManagementError::Refused(lines.join("\n")).into()),
     }
 }
 
-/// After staff's word: which members have it. A no where one has not, or does not answer.
+/// Lists which members hold an operator's ban of `server`; an error where one does not hold it or does not answer.
 pub(crate) fn ban_replication_report(server: &str, at: Option<SocketAddr>) -> Result<String, ManagementError> {
-    let said = request(&ManagementRequest::FleetHeld(server.to_owned()), at)?;
-    let rows: Vec<(String, Option<bool>)> = serde_json::from_str(&said)
-        .map_err(|_| ManagementError::Refused(format!("that is no answer: {said}")))?;
+    let response = request(&ManagementRequest::FleetHeld(server.to_owned()), at)?;
+    let rows: Vec<(String, Option<bool>)> = serde_json::from_str(&response)
+        .map_err(|_| ManagementError::Refused(format!("invalid response from the node: {response}")))?;
     let line = |(name, has): &(String, Option<bool>)| {
         let has = match has {
             Some(true) => "has it",
-            Some(false) => "has not",
+            Some(false) => "does not have it",
             None => "does not answer",
         };
         format!("{name:<24} {has}")
@@ -95,63 +96,63 @@
     }
 }
 
-fn entries(copy: &Value) -> &[Value] {
-    copy["entries"].as_array().map_or(&[], Vec::as_slice)
+fn entries(replica: &Value) -> &[Value] {
+    replica["entries"].as_array().map_or(&[], Vec::as_slice)
 }
 
-fn state(copy: &Value) -> String {
-    let word = |w: &Value| match w["version"].as_u64() {
+fn state(replica: &Value) -> String {
+    let record = |record: &Value| match record["version"].as_u64() {
         Some(version) => format!("list {version}"),
-        None => format!("{}#{}{}", text(&w["by"]), w["number"], if w["out"] == true { "" } else { " back" }),
+        None => format!("{}#{}{}", text(&record["by"]), record["number"], if record["out"] == true { "" } else { " back" }),
     };
-    let row = |e: &Value| {
-        let words: Vec<String> = e["words"].as_array().into_iter().flatten().map(word).collect();
-        let out = if e["out"] == true { "out" } else { "in use" };
-        format!("{:<6} {:<24} {out:<7} {}", text(&e["kind"]), text(&e["server"]), words.join(", "))
+    let row = |entry: &Value| {
+        let records: Vec<String> = entry["words"].as_array().into_iter().flatten().map(record).collect();
+        let out = if entry["out"] == true { "out" } else { "in use" };
+        format!("{:<6} {:<24} {out:<7} {}", text(&entry["kind"]), text(&entry["server"]), records.join(", "))
     };
-    let caught_up = if copy["caught_up"] == true { "" } else { "; has yet to hear what the others know" };
-    let head = format!(
-        "copy {} at {}, {} entries{caught_up}",
-        text(&copy["copy"]),
-        text(&copy["me"]),
-        entries(copy).len()
+    let caught_up = if replica["caught_up"] == true { "" } else { "; not yet caught up with the other members" };
+    let header = format!(
+        "replica {} at {}, {} entries{caught_up}",
+        text(&replica["copy"]),
+        text(&replica["me"]),
+        entries(replica).len()
     );
-    [head].into_iter().chain(entries(copy).iter().map(row)).collect::<Vec<_>>().join("\n")
+    [header].into_iter().chain(entries(replica).iter().map(row)).collect::<Vec<_>>().join("\n")
 }
 
-/// Entries that two copies have otherwise, with the rule that settles it.
+/// Describes each entry in which two replicas differ, with the rule that resolves it.
 fn differences(a: &Value, b: &Value) -> Vec<String> {
     let name = |e: &Value| (text(&e["kind"]).to_owned(), text(&e["server"]).to_owned());
-    let index = |copy: &Value| -> std::collections::BTreeMap<(String, String), Value> {
-        entries(copy).iter().map(|e| (name(e), e.clone())).collect()
+    let index = |replica: &Value| -> std::collections::BTreeMap<(String, String), Value> {
+        entries(replica).iter().map(|e| (name(e), e.clone())).collect()
     };
-    let (mine, theirs) = (index(a), index(b));
-    let keys: std::collections::BTreeSet<_> = mine.keys().chain(theirs.keys()).collect();
-    let short = |e: Option<&Value>| match e {
-        None => "nothing".to_owned(),
+    let (first, second) = (index(a), index(b));
+    let keys: std::collections::BTreeSet<_> = first.keys().chain(second.keys()).collect();
+    let standing = |e: Option<&Value>| match e {
+        None => "no entry".to_owned(),
         Some(e) => (if e["out"] == true { "out" } else { "in use" }).to_owned(),
     };
     let line = |key: &(String, String)| {
         let rule = match key.0.as_str() {
-            "drain" => "the later version of the list counts",
-            _ => "the word that knew of the other counts; of two that did not, the ban",
+            "drain" => "the newer version of the list wins",
+            _ => "the change made with knowledge of the other wins; of two concurrent changes, the ban",
         };
-        let (a, b) = (short(mine.get(key)), short(theirs.get(key)));
-        format!("{} {}: {a} here, {b} there: {rule}", key.0, key.1)
+        let (a, b) = (standing(first.get(key)), standing(second.get(key)));
+        format!("{} {}: {a} at the first node, {b} at the second: {rule}", key.0, key.1)
     };
-    keys.into_iter().filter(|key| mine.get(*key) != theirs.get(*key)).map(line).collect()
+    keys.into_iter().filter(|key| first.get(*key) != second.get(*key)).map(line).collect()
 }
 
 fn rows(fleet: &Value) -> &[Value] {
     fleet["members"].as_array().map_or(&[], Vec::as_slice)
 }
 
-fn standing(fleet: &Value) -> String {
+fn view_summary(fleet: &Value) -> String {
     match fleet["view"].as_u64() {
-        None => format!("{} is in no view and asks to come in", text(&fleet["me"])),
+        None => format!("{} is not in a view and asks to join", text(&fleet["me"])),
         Some(view) => format!(
-            "view {view}{} at {}, for {:.1} s; lease: {}; part of what is shared: {:.4}",
-            if fleet["rooted"] == true { "" } else { " (founded without all)" },
+            "view {view}{} at {}, for {:.1} s; lease: {}; share of the fleet-wide limits: {:.4}",
+            if fleet["rooted"] == true { "" } else { " (founded without all members)" },
             text(&fleet["me"]),
             fleet["since_ms"].as_f64().unwrap_or(0.0) / 1e3,
             if fleet["lease"] == true { "held" } else { "none" },
@@ -166,31 +167,31 @@
         let member = if m["member"] == true { "in" } else { "out" };
         format!("{:<24} {:<22} {member:<4} {silent:>9}", text(&m["name"]), text(&m["address"]))
     };
-    let head = format!("{:<24} {:<22} {:<4} {:>9}", "name", "address", "", "silent");
+    let header = format!("{:<24} {:<22} {:<4} {:>9}", "name", "address", "", "silent");
     let rows = rows(fleet).iter().map(row);
     let learnt = fleet["learnt"]["servers"].as_u64();
     let learnt = learnt
-        .map(|n| format!("began with what {} had learnt of {n} servers", text(&fleet["learnt"]["from"])));
-    [standing(fleet), head].into_iter().chain(rows).chain(learnt).collect::<Vec<_>>().join("\n")
+        .map(|n| format!("started with what {} had learnt about {n} servers", text(&fleet["learnt"]["from"])));
+    [view_summary(fleet), header].into_iter().chain(rows).chain(learnt).collect::<Vec<_>>().join("\n")
 }
 
 fn explain(fleet: &Value, name: &str) -> Result<String, String> {
-    let of = rows(fleet).iter().find(|m| m["name"] == name);
-    let Some(m) = of else { return Err(format!("no member is called `{name}`")) };
+    let member = rows(fleet).iter().find(|m| m["name"] == name);
+    let Some(member) = member else { return Err(format!("no member is called `{name}`")) };
     let accusers: Vec<&str> =
-        m["accused_by"].as_array().into_iter().flatten().filter_map(Value::as_str).collect();
-    let mut lines = vec![standing(fleet)];
-    lines.push(match m["life"].as_u64() {
-        Some(life) => format!("{name} is a member, with life {life:08x}"),
-        None => format!("{name} is no member in this view"),
+        member["accused_by"].as_array().into_iter().flatten().filter_map(Value::as_str).collect();
+    let mut lines = vec![view_summary(fleet)];
+    lines.push(match member["life"].as_u64() {
+        Some(life) => format!("{name} is a member, with incarnation {life:08x}"),
+        None => format!("{name} is no member of this view"),
     });
-    lines.push(match (m["watched_here"] == true, m["silent_ms"].as_u64()) {
-        (true, Some(ms)) => format!("this node watches it, and has not heard of it for {ms} ms"),
-        _ => "this node does not watch it; others do".to_owned(),
+    lines.push(match (member["watched_here"] == true, member["silent_ms"].as_u64()) {
+        (true, Some(ms)) => format!("this node watches it and has received nothing from it for {ms} ms"),
+        _ => "this node does not watch it; other members do".to_owned(),
     });
     lines.push(match accusers.is_empty() {
-        true => "nobody accuses it of silence, as far as this node is told".to_owned(),
-        false => format!("accused of silence by {}", accusers.join(", ")),
+        true => "no member accuses it of being silent, as far as this node knows".to_owned(),
+        false => format!("accused of being silent by {}", accusers.join(", ")),
     });
     Ok(lines.join("\n"))
 }
@@ -204,36 +205,36 @@
     use super::*;
 
     #[test]
-    fn a_fleet_is_readable() {
+    fn a_fleet_is_printed_readably() {
         let fleet = serde_json::json!({"me": "a", "view": 3, "rooted": true, "since_ms": 1500, "lease": true, "share": 0.46,
             "members": [{"name": "a", "address": "127.0.0.1:1", "member": true, "life": 7, "watched_here": false,
             "silent_ms": null, "accused_by": []}, {"name": "b", "address": "127.0.0.1:2", "member": false, "life": null,
             "watched_here": true, "silent_ms": 2300, "accused_by": ["a"]}], "learnt": {"from": "b", "servers": 7}});
         let shown = members(&fleet);
         assert!(
-            shown.starts_with("view 3 at a, for 1.5 s; lease: held; part of what is shared: 0.4600"),
+            shown.starts_with("view 3 at a, for 1.5 s; lease: held; share of the fleet-wide limits: 0.4600"),
             "{shown}"
         );
         assert!(shown.lines().nth(3).unwrap().contains("out") && shown.contains("2300 ms"), "{shown}");
-        assert!(shown.ends_with("\nbegan with what b had learnt of 7 servers"), "{shown}");
-        let why = explain(&fleet, "b").unwrap();
-        assert!(why.contains("no member") && why.contains("for 2300 ms") && why.contains("by a"), "{why}");
+        assert!(shown.ends_with("\nstarted with what b had learnt about 7 servers"), "{shown}");
+        let explanation = explain(&fleet, "b").unwrap();
+        assert!(explanation.contains("no member") && explanation.contains("for 2300 ms") && explanation.contains("by a"), "{explanation}");
         assert!(explain(&fleet, "c").is_err());
     }
 
     #[test]
-    fn copies_are_readable_and_so_is_what_differs() {
-        let word = serde_json::json!({"by": "a", "life": 1, "number": 2, "out": true, "at": 0});
-        let ban = serde_json::json!({"kind": "ban", "server": "s", "out": true, "words": [word]});
+    fn replicas_and_their_differences_are_printed_readably() {
+        let record = serde_json::json!({"by": "a", "life": 1, "number": 2, "out": true, "at": 0});
+        let ban = serde_json::json!({"kind": "ban", "server": "s", "out": true, "words": [record]});
         let drain = serde_json::json!({"kind": "drain", "server": "t", "out": false, "words": [{"version": 7, "out": false}]});
-        let copy = |entries: &[&Value]| serde_json::json!({"me": "a", "caught_up": true, "copy": "0f", "entries": entries});
-        let both = copy(&[&ban, &drain]);
+        let replica = |entries: &[&Value]| serde_json::json!({"me": "a", "caught_up": true, "copy": "0f", "entries": entries});
+        let both = replica(&[&ban, &drain]);
         let shown = state(&both);
-        assert!(shown.starts_with("copy 0f at a, 2 entries\n") && shown.contains("a#2"), "{shown}");
+        assert!(shown.starts_with("replica 0f at a, 2 entries\n") && shown.contains("a#2"), "{shown}");
         assert!(shown.lines().nth(2).unwrap().contains("list 7"), "{shown}");
         assert!(differences(&both, &both).is_empty());
-        let lines = differences(&both, &copy(&[&drain]));
+        let lines = differences(&both, &replica(&[&drain]));
         assert_eq!(lines.len(), 1);
-        assert!(lines[0].starts_with("ban s: out here, nothing there"), "{lines:?}");
+        assert!(lines[0].starts_with("ban s: out at the first node, no entry at the second"), "{lines:?}");
     }
 }
--- a/crates/node/src/fleet/learned_state.rs
+++ b/crates/node/src/fleet/learned_state.rs
@@ -1,47 +1,48 @@
-//! What this node has learnt of servers, as members tell it to one that starts.
+//! Converts what this node has learnt about servers to and from the fixed-point form that members send to a starting one.
 
 use laurelroute_policy::interface::{Endpoint, LearnedServer, LearnedState};
 use laurelroute_replica::lesson::MOST_SERVERS;
 use laurelroute_replica::{Lesson, Row, Usual};
 
-/// Sixteenths of a request, thousandths of what is usual, parts of all.
+/// Units of the fixed-point form: sixteenths of a request, thousandths of a ratio, and `u16::MAX` for a fraction of 1.
 const SIXTEENTHS: f64 = 16.0;
 const THOUSANDTHS: f64 = 1_000.0;
-const ALL: f64 = u16::MAX as f64;
+const FULL_SCALE: f64 = u16::MAX as f64;
 
-fn small(figure: f64, unit: f64) -> u16 {
-    (figure * unit).round().clamp(0.0, f64::from(u16::MAX)) as u16
+/// Scales to a `u16`, saturating at its bounds.
+fn to_fixed(value: f64, unit: f64) -> u16 {
+    (value * unit).round().clamp(0.0, f64::from(u16::MAX)) as u16
 }
 
-/// For one that asks.
-pub(super) fn told(number: u32, learnt: &LearnedState) -> Lesson {
-    let row = |k: &LearnedServer| Row {
-        address: k.server.address,
-        port: k.server.port,
-        accomplished: (k.score * SIXTEENTHS).round().clamp(0.0, f64::from(u32::MAX)) as u32,
-        lag: small(k.relative_latency, THOUSANDTHS),
-        faults: small(k.failure_rate, ALL),
+/// Encodes learnt state for a member that requests it.
+pub(super) fn encode(number: u32, learnt: &LearnedState) -> Lesson {
+    let row = |known: &LearnedServer| Row {
+        address: known.server.address,
+        port: known.server.port,
+        accomplished: (known.score * SIXTEENTHS).round().clamp(0.0, f64::from(u32::MAX)) as u32,
+        lag: to_fixed(known.relative_latency, THOUSANDTHS),
+        faults: to_fixed(known.failure_rate, FULL_SCALE),
     };
     let class =
         |(typical, answers): &(u64, u32)| (u32::try_from(typical / 1_000).unwrap_or(u32::MAX), *answers);
     Lesson {
         number,
         usual: Usual {
-            pressure: small(learnt.slowdown, THOUSANDTHS),
-            faults: small(learnt.failure_rate, ALL),
+            pressure: to_fixed(learnt.slowdown, THOUSANDTHS),
+            faults: to_fixed(learnt.failure_rate, FULL_SCALE),
             classes: learnt.classes.iter().map(class).collect(),
         },
         rows: learnt.servers.iter().take(MOST_SERVERS).map(row).collect(),
     }
 }
 
-/// From one that was asked, beside the rate of requests that this node sees itself.
-pub(super) fn heard(rate: f64, lesson: &Lesson) -> LearnedState {
+/// Decodes learnt state received from another member; `rate` is the request rate that this node observes itself.
+pub(super) fn decode(rate: f64, lesson: &Lesson) -> LearnedState {
     let known = |row: &Row| LearnedServer {
         server: Endpoint { address: row.address, port: row.port },
         score: f64::from(row.accomplished) / SIXTEENTHS,
         relative_latency: f64::from(row.lag) / THOUSANDTHS,
-        failure_rate: f64::from(row.faults) / ALL,
+        failure_rate: f64::from(row.faults) / FULL_SCALE,
     };
     LearnedState {
         rate,
@@ -52,7 +53,7 @@
             .map(|(us, answers)| (u64::from(*us) * 1_000, *answers))
             .collect(),
         slowdown: f64::from(lesson.usual.pressure) / THOUSANDTHS,
-        failure_rate: f64::from(lesson.usual.faults) / ALL,
+        failure_rate: f64::from(lesson.usual.faults) / FULL_SCALE,
         servers: lesson.rows.iter().map(known).collect(),
     }
 }
@@ -62,29 +63,29 @@
     use super::*;
 
     #[test]
-    fn what_was_learnt_comes_through() {
+    fn learnt_state_survives_a_round_trip() {
         let server = LearnedServer {
             server: Endpoint { address: [10, 0, 0, 9], port: 8080 },
             score: 12_345.5,
             relative_latency: 1.25,
             failure_rate: 0.5,
         };
-        let odd = LearnedServer { score: f64::NAN, relative_latency: 1e9, failure_rate: -1.0, ..server };
+        let out_of_range = LearnedServer { score: f64::NAN, relative_latency: 1e9, failure_rate: -1.0, ..server };
         let learnt = LearnedState {
             rate: 3.0,
             classes: vec![(2_500_000, 300), (0, 0)],
             slowdown: 1.5,
             failure_rate: 0.25,
-            servers: vec![server, odd],
+            servers: vec![server, out_of_range],
         };
-        let back = heard(7.0, &told(4, &learnt));
-        assert_eq!((back.rate, &back.classes, back.slowdown), (7.0, &learnt.classes, 1.5));
-        assert_eq!((back.servers[0].server, back.servers[0].score), (server.server, 12_345.5));
+        let decoded = decode(7.0, &encode(4, &learnt));
+        assert_eq!((decoded.rate, &decoded.classes, decoded.slowdown), (7.0, &learnt.classes, 1.5));
+        assert_eq!((decoded.servers[0].server, decoded.servers[0].score), (server.server, 12_345.5));
         assert!(
-            (back.servers[0].relative_latency - 1.25).abs() < 1e-3
-                && (back.servers[0].failure_rate - 0.5).abs() < 1e-4
+            (decoded.servers[0].relative_latency - 1.25).abs() < 1e-3
+                && (decoded.servers[0].failure_rate - 0.5).abs() < 1e-4
         );
-        let odd = back.servers[1];
-        assert_eq!((odd.score, odd.relative_latency, odd.failure_rate), (0.0, 65.535, 0.0));
+        let clamped = decoded.servers[1];
+        assert_eq!((clamped.score, clamped.relative_latency, clamped.failure_rate), (0.0, 65.535, 0.0));
     }
 }
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -1,7 +1,7 @@
-//! This process as a member of its fleet: datagrams to and from the others, what follows from the views, and what operators
-//! are told.
+//! Runs this process as a member of its fleet: exchanges datagrams with the other members, applies membership views and
+//! reports the fleet's state to operators.
 //!
-//! What a member decides stands in `laurelroute-membership`.
+//! The membership protocol itself is in `laurelroute-membership`.
 
 pub(crate) mod cli;
 pub(crate) mod replica;
@@ -24,51 +24,54 @@
 use tokio::net::UdpSocket;
 use tokio::task::spawn_local;
 
-/// Bytes of a datagram at most (the platform's protocol page).
-const DATAGRAM: usize = 256;
-/// Bytes of its mark: HMAC-SHA256 cut to half, the least that RFC 2104, section 5, has.
-const MARK: usize = 16;
-/// Datagrams that are read at a time before others have their turn.
-const BURST: usize = 64;
-/// A port that the process before still holds is tried again after this.
-const BIND_AGAIN: Duration = Duration::from_millis(250);
-/// Who is refused is named this often at most.
-const REFUSED_EVERY: Nanos = 10_000 * MS;
+/// Maximum size of a datagram, authentication tag included, as the platform's protocol page sets it.
+const MAX_DATAGRAM_BYTES: usize = 256;
+/// Length of the authentication tag: HMAC-SHA256 truncated to half, the shortest that RFC 2104, section 5, recommends.
+const TAG_BYTES: usize = 16;
+/// Datagrams read in one batch before other tasks get to run.
+const RECEIVE_BATCH: usize = 64;
+/// Delay before binding is retried while the old process still holds the port.
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(250);
+/// Minimum interval between log lines about a seat refused for the same reason.
+const REFUSAL_LOG_INTERVAL: Nanos = 10_000 * MS;
 
-/// Why a node does not start as a member.
+/// Why a node cannot start as a fleet member.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
-    /// The platform does not have it.
-    #[error("`[fleet]`: the settings do not allow talk between nodes (`caps.peers`)")]
+    /// The platform's settings do not allow traffic between nodes.
+    #[error("`[fleet]`: the settings do not allow traffic between nodes (`caps.peers`)")]
     Forbidden,
-    /// The system gives no randomness.
-    #[error("`[fleet]`: no randomness from the system")]
+    /// The operating system provides no random bytes.
+    #[error("`[fleet]`: the operating system provides no random bytes")]
     Random,
-    /// Its history cannot be written.
+    /// The history file cannot be opened.
     #[error("`fleet.history`: {0}")]
     History(std::io::Error),
 }
 
-/// A member.
+/// This process's fleet membership.
 pub(crate) struct FleetMember {
-    site: FleetConfig,
+    config: FleetConfig,
     machine: RefCell<Machine>,
-    copy: Rc<LocalReplica>,
+    replica: Rc<LocalReplica>,
     socket: RefCell<Option<Rc<UdpSocket>>>,
-    /// The process that this one takes over from has its port still.
-    waits: Cell<bool>,
+    /// The old process of a takeover still holds the port.
+    waiting_for_port: Cell<bool>,
     history: RefCell<Option<History>>,
+    /// When the refusal of a seat for a reason was last logged.
     refused: RefCell<BTreeMap<(Seat, Reason), Nanos>>,
-    /// The last view, and when it came, for operators.
-    since: RefCell<(Option<View>, Nanos)>,
+    /// The current view and when it was installed, for operators.
+    current_view: RefCell<(Option<View>, Nanos)>,
+    /// The last share of the fleet-wide limits passed to the gateway.
     share: RefCell<f64>,
+    /// The last accusations recorded in the history.
     accused: RefCell<Vec<Seat>>,
 }
 
-/// Joins the fleet that the operator's file names.
+/// Joins the fleet configured in the operator's file.
 pub(crate) fn start(
     gateway: &Rc<Gateway>,
-    site: &FleetConfig,
+    config: &FleetConfig,
     allowed: bool,
     listen: SocketAddr,
 ) -> Result<Rc<FleetMember>, FleetError> {
@@ -78,43 +81,43 @@
     let mut seed = [0; 16];
     ring::rand::SecureRandom::fill(&ring::rand::SystemRandom::new(), &mut seed)
         .map_err(|_| FleetError::Random)?;
-    let history = site.history.as_deref().map(History::open).transpose().map_err(FleetError::History)?;
-    let machine = Machine::new(&site.site, site.roster.clone(), site.me, seed, gateway.clock.now());
-    let replica = laurelroute_replica::Machine::new(&site.site, &site.roster, site.me, machine.life());
+    let history = config.history.as_deref().map(History::open).transpose().map_err(FleetError::History)?;
+    let machine = Machine::new(&config.site, config.roster.clone(), config.own_seat, seed, gateway.clock.now());
+    let replica_machine = laurelroute_replica::Machine::new(&config.site, &config.roster, config.own_seat, machine.life());
     #[cfg(feature = "planted")]
-    let (machine, replica) = planted(machine, replica);
-    let copy = LocalReplica::new(replica, crate::upgrade::link::runtime_path(listen, "replica"), gateway.clock.now());
+    let (machine, replica_machine) = planted(machine, replica_machine);
+    let replica = LocalReplica::new(replica_machine, crate::upgrade::link::runtime_path(listen, "replica"), gateway.clock.now());
     let member = Rc::new(FleetMember {
-        site: site.clone(),
+        config: config.clone(),
         machine: RefCell::new(machine),
-        copy: Rc::new(copy),
+        replica: Rc::new(replica),
         socket: RefCell::default(),
-        waits: Cell::default(),
+        waiting_for_port: Cell::default(),
         history: RefCell::new(history),
         refused: RefCell::default(),
-        since: RefCell::default(),
+        current_view: RefCell::default(),
         share: RefCell::new(-1.0),
         accused: RefCell::default(),
     });
-    member.note("start", "");
+    member.record("start", "");
     spawn_local(member.clone().run(gateway.clone()));
     Ok(member)
 }
 
-/// For tests: the defect that the environment names.
+/// For tests: plants the defect named in the environment.
 #[cfg(feature = "planted")]
 fn planted(
     mut machine: Machine,
     mut replica: laurelroute_replica::Machine,
 ) -> (Machine, laurelroute_replica::Machine) {
     use laurelroute_membership::defect::{Defect, Planted};
-    use laurelroute_replica::defect as copies;
+    use laurelroute_replica::defect as replica_defect;
     let named = std::env::var("LAURELROUTE_PLANTED").unwrap_or_default();
     if let Some(defect) = Defect::ALL.into_iter().find(|d| format!("{d:?}") == named) {
         machine.plant(Planted::some(defect));
     }
-    if let Some(defect) = copies::Defect::ALL.into_iter().find(|d| format!("{d:?}") == named) {
-        replica.plant(copies::Planted::some(defect));
+    if let Some(defect) = replica_defect::Defect::ALL.into_iter().find(|d| format!("{d:?}") == named) {
+        replica.plant(replica_defect::Planted::some(defect));
     }
     (machine, replica)
 }
@@ -122,47 +125,47 @@
 impl FleetMember {
     async fn run(self: Rc<Self>, gateway: Rc<Gateway>) {
         let socket = loop {
-            match UdpSocket::bind(self.site.listen).await {
+            match UdpSocket::bind(self.config.listen).await {
                 Ok(socket) => break Rc::new(socket),
-                // The process that this one takes over from may have it still.
-                Err(error) => tracing::debug!("fleet: {}: {error}", self.site.listen),
+                // During a takeover the old process may still hold the port.
+                Err(error) => tracing::debug!("fleet: {}: {error}", self.config.listen),
             }
-            self.waits.set(true);
-            tokio::time::sleep(BIND_AGAIN).await;
+            self.waiting_for_port.set(true);
+            tokio::time::sleep(BIND_RETRY_INTERVAL).await;
         };
-        if !self.waits.replace(false) {
-            // Nobody has handed over what this node had learnt.
-            self.copy.machine.borrow_mut().learn();
+        if !self.waiting_for_port.replace(false) {
+            // No old process has handed over what this node had learnt.
+            self.replica.machine.borrow_mut().learn();
         }
         self.socket.replace(Some(socket.clone()));
-        // The process before has ended, and writes its file no longer.
-        self.remember(&gateway);
+        // The old process has ended and no longer writes the replica's file.
+        self.restore_replica(&gateway);
         let seats: BTreeMap<SocketAddr, Seat> =
-            self.site.addresses.iter().enumerate().map(|(seat, address)| (*address, seat as Seat)).collect();
+            self.config.addresses.iter().enumerate().map(|(seat, address)| (*address, seat as Seat)).collect();
         let mut tick = tokio::time::interval(Duration::from_nanos(TICK));
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        let mut bytes = [0; DATAGRAM + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             tokio::select! {
                 _ = tick.tick() => {
                     let now = gateway.clock.now();
                     let outputs = self.machine.borrow_mut().tick(now);
-                    self.carry_out(&gateway, outputs);
-                    let outputs = self.copy.machine.borrow_mut().tick(now);
-                    self.carry_out_copy(&gateway, outputs);
-                    self.forget_heard(&gateway, now);
-                    self.follow_share(&gateway, now);
-                    self.note_accused();
-                    self.note_copy();
+                    self.apply_outputs(&gateway, outputs);
+                    let outputs = self.replica.machine.borrow_mut().tick(now);
+                    self.apply_replica_outputs(&gateway, outputs);
+                    self.expire_reported_drains(&gateway, now);
+                    self.update_share(&gateway, now);
+                    self.record_accusations();
+                    self.record_replica_digest();
                 }
                 ready = socket.readable() => {
                     if ready.is_err() {
                         continue;
                     }
-                    for _ in 0..BURST {
+                    for _ in 0..RECEIVE_BATCH {
                         let Ok((length, from)) = retried(|| socket.try_recv_from(&mut bytes)) else { break };
                         let Some(seat) = seats.get(&from) else { continue };
-                        let Some(body) = self.opened(&bytes[..length]) else { continue };
+                        let Some(body) = self.authenticate(&bytes[..length]) else { continue };
                         self.receive(&gateway, *seat, body);
                     }
                 }
@@ -173,125 +176,125 @@
     fn receive(&self, gateway: &Rc<Gateway>, seat: Seat, body: &[u8]) {
         let now = gateway.clock.now();
         if body.first().is_some_and(|version| version & 0x80 != 0) {
-            let outputs = self.copy.machine.borrow_mut().receive(now, seat, body);
-            return self.carry_out_copy(gateway, outputs);
+            let outputs = self.replica.machine.borrow_mut().receive(now, seat, body);
+            return self.apply_replica_outputs(gateway, outputs);
         }
         let outputs = self.machine.borrow_mut().receive(now, seat, body);
-        self.carry_out(gateway, outputs);
+        self.apply_outputs(gateway, outputs);
     }
 
-    /// One that finds no room, or nobody, is lost: no more is promised of a datagram.
-    fn post(&self, to: Seat, bytes: Vec<u8>) {
+    /// Sends a datagram, best effort: it is dropped where the socket has no room or the peer cannot be reached.
+    fn send(&self, to: Seat, bytes: Vec<u8>) {
         if let Some(socket) = &*self.socket.borrow() {
-            let (sealed, address) = (self.sealed(bytes), self.site.addresses[usize::from(to)]);
+            let (sealed, address) = (self.seal(bytes), self.config.addresses[usize::from(to)]);
             let _ = retried(|| socket.try_send_to(&sealed, address));
         }
     }
 
-    /// A datagram without its mark; `None` where it is not one of ours.
-    fn opened<'a>(&self, bytes: &'a [u8]) -> Option<&'a [u8]> {
-        if bytes.len() > DATAGRAM {
+    /// Verifies a datagram's tag and returns its body; `None` where the tag is wrong or the datagram too long.
+    fn authenticate<'a>(&self, bytes: &'a [u8]) -> Option<&'a [u8]> {
+        if bytes.len() > MAX_DATAGRAM_BYTES {
             return None;
         }
-        let Some(key) = &self.site.key else { return Some(bytes) };
-        let (body, mark) = bytes.split_at(bytes.len().checked_sub(MARK)?);
-        let whole = hmac::sign(key, body);
-        let same = whole.as_ref()[..MARK].iter().zip(mark).fold(0, |sum, (a, b)| sum | (a ^ b)) == 0;
-        same.then_some(body)
+        let Some(key) = &self.config.key else { return Some(bytes) };
+        let (body, tag) = bytes.split_at(bytes.len().checked_sub(TAG_BYTES)?);
+        let expected = hmac::sign(key, body);
+        let equal = expected.as_ref()[..TAG_BYTES].iter().zip(tag).fold(0, |sum, (a, b)| sum | (a ^ b)) == 0;
+        equal.then_some(body)
     }
 
-    fn sealed(&self, mut bytes: Vec<u8>) -> Vec<u8> {
-        if let Some(key) = &self.site.key {
-            let mark = hmac::sign(key, &bytes);
-            bytes.extend_from_slice(&mark.as_ref()[..MARK]);
+    fn seal(&self, mut bytes: Vec<u8>) -> Vec<u8> {
+        if let Some(key) = &self.config.key {
+            let tag = hmac::sign(key, &bytes);
+            bytes.extend_from_slice(&tag.as_ref()[..TAG_BYTES]);
         }
         bytes
     }
 
-    fn carry_out(&self, gateway: &Rc<Gateway>, outputs: Vec<Output>) {
+    fn apply_outputs(&self, gateway: &Rc<Gateway>, outputs: Vec<Output>) {
         let now = gateway.clock.now();
         for output in outputs {
             match output {
-                Output::Send(to, bytes) => self.post(to, bytes),
+                Output::Send(to, bytes) => self.send(to, bytes),
                 Output::View(view) => {
                     let life = self.machine.borrow().life();
-                    let outputs = self.copy.machine.borrow_mut().view(now, &view, life);
-                    self.entered(now, view);
-                    self.carry_out_copy(gateway, outputs);
+                    let outputs = self.replica.machine.borrow_mut().view(now, &view, life);
+                    self.install_view(now, view);
+                    self.apply_replica_outputs(gateway, outputs);
                 }
                 Output::Out => {
-                    tracing::warn!("fleet: this member was put out, and asks to come back");
-                    self.note("out", "");
-                    self.copy.machine.borrow_mut().leave();
-                    *self.since.borrow_mut() = (None, now);
+                    tracing::warn!("fleet: this member was removed from the view and asks to rejoin");
+                    self.record("out", "");
+                    self.replica.machine.borrow_mut().leave();
+                    *self.current_view.borrow_mut() = (None, now);
                 }
-                Output::Refused(seat, reason) => self.refuse(now, seat, reason),
+                Output::Refused(seat, reason) => self.log_refusal(now, seat, reason),
             }
         }
     }
 
-    fn entered(&self, now: Nanos, view: View) {
-        let name = |seat: &Seat| self.site.roster.name(*seat).to_owned();
-        let (before, _) = self.since.replace((Some(view.clone()), now));
-        let old = before.map(|v| v.members).unwrap_or_default();
-        let changed = |a: &BTreeMap<Seat, u32>, b: &BTreeMap<Seat, u32>| -> Vec<String> {
-            a.iter().filter(|(seat, life)| b.get(seat) != Some(life)).map(|(seat, _)| name(seat)).collect()
+    fn install_view(&self, now: Nanos, view: View) {
+        let name = |seat: &Seat| self.config.roster.name(*seat).to_owned();
+        let (previous, _) = self.current_view.replace((Some(view.clone()), now));
+        let old = previous.map(|v| v.members).unwrap_or_default();
+        let missing_from = |members: &BTreeMap<Seat, u32>, other: &BTreeMap<Seat, u32>| -> Vec<String> {
+            members.iter().filter(|(seat, life)| other.get(seat) != Some(life)).map(|(seat, _)| name(seat)).collect()
         };
-        let (new, gone) = (changed(&view.members, &old), changed(&old, &view.members));
+        let (joined, removed) = (missing_from(&view.members, &old), missing_from(&old, &view.members));
         tracing::info!(
-            "fleet: view {} of {} members; in: {}; out: {}",
+            "fleet: view {} with {} members; joined: {}; removed: {}",
             view.number,
             view.members.len(),
-            list(&new),
-            list(&gone)
+            name_list(&joined),
+            name_list(&removed)
         );
         if let Some(history) = &mut *self.history.borrow_mut() {
             history.view(&self.machine.borrow(), &view);
         }
     }
 
-    fn refuse(&self, now: Nanos, seat: Seat, reason: Reason) {
+    fn log_refusal(&self, now: Nanos, seat: Seat, reason: Reason) {
         let mut refused = self.refused.borrow_mut();
-        if refused.get(&(seat, reason)).is_some_and(|at| now.saturating_sub(*at) < REFUSED_EVERY) {
+        if refused.get(&(seat, reason)).is_some_and(|at| now.saturating_sub(*at) < REFUSAL_LOG_INTERVAL) {
             return;
         }
-        // Of each seat as many as there are reasons; versions come from outside.
-        if refused.len() >= 8 * self.site.addresses.len() {
+        // Versions come from the network: their number has to be bounded.
+        if refused.len() >= 8 * self.config.addresses.len() {
             refused.clear();
         }
         refused.insert((seat, reason), now);
-        tracing::warn!("fleet: {} is refused: {reason}", self.site.roster.name(seat));
+        tracing::warn!("fleet: refusing {}: {reason}", self.config.roster.name(seat));
     }
 
-    /// What this member may use of what all share follows its lease.
-    fn follow_share(&self, gateway: &Rc<Gateway>, now: Nanos) {
+    /// Passes this member's share of the fleet-wide limits, which depends on its lease, to the gateway.
+    fn update_share(&self, gateway: &Rc<Gateway>, now: Nanos) {
         let share = self.machine.borrow().share(now);
         if share != self.share.replace(share) {
             gateway.take_share(share);
-            self.note("share", &format!("{share:.9}"));
+            self.record("share", &format!("{share:.9}"));
         }
     }
 
-    fn note_accused(&self) {
+    fn record_accusations(&self) {
         let accused = self.machine.borrow().accuses().to_vec();
         if *self.accused.borrow() != accused {
             let seats: Vec<String> = accused.iter().map(Seat::to_string).collect();
-            self.note("accuse", &seats.join(","));
+            self.record("accuse", &seats.join(","));
             self.accused.replace(accused);
         }
     }
 
-    fn note(&self, what: &str, value: &str) {
+    fn record(&self, what: &str, value: &str) {
         if let Some(history) = &mut *self.history.borrow_mut() {
-            history.note(&self.machine.borrow(), what, value);
+            history.record(&self.machine.borrow(), what, value);
         }
     }
 
-    /// For operators, as JSON: the view, its members, and what this one hears of them.
+    /// Reports the view, its members and their observed health, as JSON for operators.
     pub(crate) fn members_json(&self, now: Nanos) -> serde_json::Value {
         let machine = self.machine.borrow();
-        let roster = &self.site.roster;
-        let (view, since) = &*self.since.borrow();
+        let roster = &self.config.roster;
+        let (view, installed_at) = &*self.current_view.borrow();
         let silent: BTreeMap<Seat, Nanos> = machine.silences().collect();
         let rows: Vec<_> = roster
             .seats()
@@ -301,7 +304,7 @@
                     machine.accusers_of(now, seat).iter().map(|s| roster.name(*s).to_owned()).collect();
                 serde_json::json!({
                     "name": roster.name(seat),
-                    "address": self.site.addresses[usize::from(seat)],
+                    "address": self.config.addresses[usize::from(seat)],
                     "member": life.is_some(),
                     "life": life,
                     "watched_here": silent.contains_key(&seat),
@@ -314,22 +317,22 @@
             "me": roster.name(machine.seat()),
             "view": view.as_ref().map(|v| v.number),
             "rooted": view.as_ref().map(|v| v.rooted),
-            "since_ms": now.saturating_sub(*since) / MS,
+            "since_ms": now.saturating_sub(*installed_at) / MS,
             "lease": machine.attached(now),
             "share": machine.share(now),
             "pauses": machine.pauses(),
-            "learnt": self.copy.learnt.borrow().as_ref().map(|(from, servers)| serde_json::json!({"from": from, "servers": servers})),
+            "learnt": self.replica.learnt.borrow().as_ref().map(|(from, servers)| serde_json::json!({"from": from, "servers": servers})),
             "members": rows,
         })
     }
 }
 
-/// Names for a line of the log, not too many.
-fn list(names: &[String]) -> String {
-    const MOST: usize = 12;
+/// Joins names for a log line, with a bound on their number.
+fn name_list(names: &[String]) -> String {
+    const MAX_NAMES: usize = 12;
     match names.len() {
         0 => "none".to_owned(),
-        n if n > MOST => format!("{} and {} more", names[..MOST].join(" "), n - MOST),
+        n if n > MAX_NAMES => format!("{} and {} more", names[..MAX_NAMES].join(" "), n - MAX_NAMES),
         _ => names.join(" "),
     }
 }
--- a/crates/node/src/fleet/replica.rs
+++ b/crates/node/src/fleet/replica.rs
@@ -1,6 +1,7 @@
-//! This member's copy of what the fleet knows: its file, what it has the gateway do, and what staff are told.
+//! This member's replica of the state shared by the fleet: bans and drains of servers. Stores it on disk, applies changes to
+//! the gateway and reports to operators.
 //!
-//! How copies are brought in line stands in `laurelroute-replica`.
+//! The protocol that keeps replicas consistent is in `laurelroute-replica`.
 
 use super::{learned_state, FleetMember};
 use crate::files;
@@ -17,59 +18,65 @@
 use std::time::Duration;
 use tokio::sync::{watch, Notify};
 
-/// How long an answer to staff waits until the word is on the disk and at other members.
-const KEPT: Duration = Duration::from_millis(300);
-/// How long members are waited for that are asked what they have.
-const ANSWERS: Duration = Duration::from_millis(1000);
-/// Those who have not said yes by then are asked again.
-const ASK_AGAIN: Duration = Duration::from_millis(100);
-/// Looks at whether others have a word, in between.
-const LOOK: Duration = Duration::from_millis(10);
-/// What could not be written is tried again after this.
-const WRITE_AGAIN: Duration = Duration::from_secs(1);
-/// What was learnt is told as it was for so long: to one that has a part of it, and to one that has none.
-const TAUGHT: Nanos = 3_000 * MS;
-const FRESH: Nanos = 500 * MS;
-/// A member that nobody brings up to date says that it is ready after this all the same.
-const BEHIND: Nanos = 3_000 * MS;
-/// A drain that only others have heard of counts for so long: the list has had its time to come here as well.
-const HEARD: Nanos = 60_000 * MS;
+/// How long the response to an operator waits for the change to reach the disk and other members.
+const CONFIRM_TIMEOUT: Duration = Duration::from_millis(300);
+/// How long other members' responses are waited for when they are asked whether they hold an entry.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Interval at which the question is repeated until all members hold the entry.
+const QUERY_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval at which these waits check for progress.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Delay before a failed write is retried.
+const WRITE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
+/// Age up to which a snapshot of learnt state is still sent to a member that has received a part of it.
+const PARTIAL_SNAPSHOT_TTL: Nanos = 3_000 * MS;
+/// Age up to which a snapshot of learnt state is sent to a member that has received none of it.
+const SNAPSHOT_TTL: Nanos = 500 * MS;
+/// A member that no other member brings up to date reports itself ready after this time all the same.
+const CATCH_UP_TIMEOUT: Nanos = 3_000 * MS;
+/// How long a drain counts that only other members have seen: by then this node's own list should have it as well.
+const REPORTED_DRAIN_TTL: Nanos = 60_000 * MS;
 
-/// A member's copy.
+/// A member's replica and its file.
 pub(super) struct LocalReplica {
     pub(super) machine: RefCell<Machine>,
+    /// The file; `None` where there is no folder for it.
     path: Option<PathBuf>,
+    /// When this process took over the file and the port, or its start before that.
     started: Cell<Nanos>,
-    /// How often it has changed, and how often it had when the file was written; `Err` where that failed.
+    /// Number of changes so far.
     changes: Cell<u64>,
-    kept: watch::Sender<(u64, Option<String>)>,
-    write: Notify,
-    /// The last question to all, and who has answered.
-    asked: RefCell<(u32, BTreeMap<Seat, bool>)>,
-    /// Drains that only others have heard of, with when that was.
-    heard: RefCell<BTreeMap<String, Nanos>>,
-    /// The version of this node's own list.
-    version: Cell<u64>,
-    root: Cell<u64>,
-    /// It has said that it may be behind.
-    behind: Cell<bool>,
-    /// What it has learnt of servers, as last told to one that has asked, and when that was.
-    lesson: RefCell<(Nanos, Lesson)>,
-    /// From whom it has learnt itself, and of how many servers.
-    pub(super) learnt: RefCell<Option<(String, usize)>>,
+    /// Number of changes at the last write of the file, and that write's error where it failed.
+    written: watch::Sender<(u64, Option<String>)>,
+    write_requested: Notify,
+    /// Number of the last query to all members, and the answers to it.
+    query: RefCell<(u32, BTreeMap<Seat, bool>)>,
+    /// Drains that only other members have seen, and when they were first reported.
+    reported_drains: RefCell<BTreeMap<String, Nanos>>,
+    /// Version of this node's own list from discovery.
+    list_version: Cell<u64>,
+    /// The digest of the replica that was last recorded in the history.
+    recorded_root: Cell<u64>,
+    /// The warning that this member may be behind has been logged.
+    behind_logged: Cell<bool>,
+    /// The last snapshot of learnt state that was sent to a member, and when it was taken.
+    snapshot: RefCell<(Nanos, Lesson)>,
+    /// The member that this node has received learnt state from, and the number of servers in it.
+    pub(super) learnt_from: RefCell<Option<(String, usize)>>,
 }
 
+/// Reads the replica's file; a damaged one is moved aside.
 fn load(path: &Path) -> Vec<(Key, Entry)> {
     let bytes = match files::read_bounded(path, disk::MOST_FILE) {
         Ok(bytes) => bytes,
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Vec::new(),
         Err(error) => {
-            tracing::warn!("{}: {error}; the other members are the memory", path.display());
+            tracing::warn!("{}: {error}; starting empty, the other members hold the state", path.display());
             return Vec::new();
         }
     };
     disk::decode(&bytes).unwrap_or_else(|error| {
-        tracing::warn!("{}: {error}; nothing is taken from it", path.display());
+        tracing::warn!("{}: {error}; the file is ignored", path.display());
         files::quarantine(path);
         Vec::new()
     })
@@ -82,160 +89,162 @@
             path,
             started: Cell::new(now),
             changes: Cell::default(),
-            kept: watch::Sender::default(),
-            write: Notify::new(),
-            asked: RefCell::default(),
-            heard: RefCell::default(),
-            version: Cell::default(),
-            root: Cell::default(),
-            behind: Cell::default(),
-            lesson: RefCell::default(),
-            learnt: RefCell::default(),
+            written: watch::Sender::default(),
+            write_requested: Notify::new(),
+            query: RefCell::default(),
+            reported_drains: RefCell::default(),
+            list_version: Cell::default(),
+            recorded_root: Cell::default(),
+            behind_logged: Cell::default(),
+            snapshot: RefCell::default(),
+            learnt_from: RefCell::default(),
         }
     }
 
-    /// Writes the file each time that something has changed, one write at a time.
-    async fn keep(self: Rc<Self>) {
+    /// Writes the file whenever the replica has changed, one write at a time.
+    async fn run_writer(self: Rc<Self>) {
         let Some(path) = self.path.clone() else { return };
         loop {
-            if self.kept.borrow().1.is_some() {
-                // A disk that was full or gone has all of it once it is well again, whether or not anything changes.
-                let _ = tokio::time::timeout(WRITE_AGAIN, self.write.notified()).await;
+            if self.written.borrow().1.is_some() {
+                // After a failure the write is retried even if nothing changes, so that a disk that recovers is up to date.
+                let _ = tokio::time::timeout(WRITE_RETRY_INTERVAL, self.write_requested.notified()).await;
             } else {
-                self.write.notified().await;
+                self.write_requested.notified().await;
             }
             let changes = self.changes.get();
             let bytes = disk::encode(self.machine.borrow().store());
             let path = path.clone();
-            // A disk may take its time, and clients do not wait for it.
-            let written = tokio::task::spawn_blocking(move || files::replace_atomically(&path, &bytes)).await;
-            let error = match written {
+            // On another thread: a slow disk must not hold up requests.
+            let result = tokio::task::spawn_blocking(move || files::replace_atomically(&path, &bytes)).await;
+            let error = match result {
                 Ok(Ok(())) => None,
                 Ok(Err(error)) => Some(error.to_string()),
                 Err(_) => Some("the writer has ended early".to_owned()),
             };
-            if let Some(error) = error.as_ref().filter(|e| self.kept.borrow().1.as_ref() != Some(*e)) {
-                tracing::warn!("what the fleet knows is not kept on this node's disk: {error}");
+            if let Some(error) = error.as_ref().filter(|e| self.written.borrow().1.as_ref() != Some(*e)) {
+                tracing::warn!("fleet: the replica cannot be written to disk: {error}");
             }
-            self.kept.send_replace((changes, error));
+            self.written.send_replace((changes, error));
         }
     }
 
-    /// Whether the disk has all that has changed up to this; why not, where it will not.
+    /// Whether the disk has the first `changes` changes; an error where writing failed or there is no file.
     fn on_disk(&self, changes: u64) -> Result<bool, String> {
         if self.path.is_none() {
             return Err("TMPDIR names no folder".to_owned());
         }
-        let kept = self.kept.borrow();
-        match &kept.1 {
-            Some(error) if kept.0 >= changes => Err(error.clone()),
-            _ => Ok(kept.0 >= changes),
+        let written = self.written.borrow();
+        match &written.1 {
+            Some(error) if written.0 >= changes => Err(error.clone()),
+            _ => Ok(written.0 >= changes),
         }
     }
 }
 
 impl FleetMember {
-    /// Reads what the process before has kept, once it no longer writes there.
-    pub(super) fn remember(self: &Rc<Self>, gateway: &Rc<Gateway>) {
-        self.copy.started.set(gateway.clock.now());
-        let entries = self.copy.path.as_deref().map_or_else(Vec::new, load);
-        let outputs = self.copy.machine.borrow_mut().restore(entries);
-        self.carry_out_copy(gateway, outputs);
-        tokio::task::spawn_local(self.copy.clone().keep());
+    /// Restores the replica from the file, once the old process no longer writes to it, and starts the writer.
+    pub(super) fn restore_replica(self: &Rc<Self>, gateway: &Rc<Gateway>) {
+        self.replica.started.set(gateway.clock.now());
+        let entries = self.replica.path.as_deref().map_or_else(Vec::new, load);
+        let outputs = self.replica.machine.borrow_mut().restore(entries);
+        self.apply_replica_outputs(gateway, outputs);
+        tokio::task::spawn_local(self.replica.clone().run_writer());
     }
 
-    pub(super) fn carry_out_copy(&self, gateway: &Rc<Gateway>, outputs: Vec<Output>) {
+    /// Carries out what the replica's state machine requests.
+    pub(super) fn apply_replica_outputs(&self, gateway: &Rc<Gateway>, outputs: Vec<Output>) {
         for output in outputs {
             match output {
-                Output::Send(to, bytes) => self.post(to, bytes),
-                Output::Changed(key) => self.follow(gateway, &key),
+                Output::Send(to, bytes) => self.send(to, bytes),
+                Output::Changed(key) => self.apply_entry(gateway, &key),
                 Output::Lost(key) => tracing::warn!(
-                    "fleet: server {}: the word to put it back loses to a ban of {} that was said meanwhile",
+                    "fleet: server {}: lifting the ban is overridden by a concurrent ban from {}",
                     key.host(),
-                    self.speakers(&key)
+                    self.banning_members(&key)
                 ),
                 Output::CaughtUp => {
-                    tracing::info!("fleet: this member has what the others know");
-                    self.note("caught", "");
-                    self.settle(gateway);
+                    tracing::info!("fleet: this member has caught up with the others");
+                    self.record("caught", "");
+                    self.publish_local_bans(gateway);
                 }
                 Output::Has(seat, number, has) => {
-                    let mut asked = self.copy.asked.borrow_mut();
-                    if asked.0 == number {
-                        asked.1.insert(seat, has);
+                    let mut query = self.replica.query.borrow_mut();
+                    if query.0 == number {
+                        query.1.insert(seat, has);
                     }
                 }
                 Output::Version(seat, version) => {
                     let reason = laurelroute_membership::Reason::Version(version);
-                    self.refuse(gateway.clock.now(), seat, reason);
+                    self.log_refusal(gateway.clock.now(), seat, reason);
                 }
-                Output::Asked(seat, number, first) => self.teach(gateway, seat, number, first),
-                Output::Learnt(seat, lesson) => self.take_lesson(gateway, seat, lesson),
+                Output::Asked(seat, number, first) => self.send_learnt_state(gateway, seat, number, first),
+                Output::Learnt(seat, lesson) => self.apply_learnt_state(gateway, seat, lesson),
                 Output::NoPlace(key) => {
-                    tracing::warn!("fleet: no place for what others say of server {}", key.host());
+                    tracing::warn!("fleet: no room for the other members' entry of server {}", key.host());
                 }
             }
         }
     }
 
-    /// Tells a member that starts what this one has learnt of servers. Rows that go together are of one moment.
-    fn teach(&self, gateway: &Rc<Gateway>, to: Seat, number: u32, first: u32) {
+    /// Sends what this node has learnt about servers to a member that starts. All rows of a transfer come from one snapshot.
+    fn send_learnt_state(&self, gateway: &Rc<Gateway>, to: Seat, number: u32, first: u32) {
         let now = gateway.clock.now();
         let outputs = {
-            let (at, lesson) = &mut *self.copy.lesson.borrow_mut();
-            let lasts = if lesson.number == number { TAUGHT } else { FRESH };
-            if lesson.number == 0 || now.saturating_sub(*at) > lasts {
+            let (taken_at, lesson) = &mut *self.replica.snapshot.borrow_mut();
+            let ttl = if lesson.number == number { PARTIAL_SNAPSHOT_TTL } else { SNAPSHOT_TTL };
+            if lesson.number == 0 || now.saturating_sub(*taken_at) > ttl {
                 let number = lesson.number.wrapping_add(1).max(1);
-                (*at, *lesson) = (now, learned_state::told(number, &gateway.learnt()));
+                (*taken_at, *lesson) = (now, learned_state::encode(number, &gateway.learnt()));
             }
-            self.copy.machine.borrow_mut().teach(to, lesson, first)
+            self.replica.machine.borrow_mut().teach(to, lesson, first)
         };
-        self.carry_out_copy(gateway, outputs);
+        self.apply_replica_outputs(gateway, outputs);
     }
 
-    /// Goes by what another member has learnt, as soon as there is a list of servers.
-    fn take_lesson(&self, gateway: &Rc<Gateway>, from: Seat, lesson: Lesson) {
-        let name = self.site.roster.name(from).to_owned();
-        tracing::info!("fleet: learnt of {} servers from {name}", lesson.rows.len());
-        self.note("learnt", &name);
-        *self.copy.learnt.borrow_mut() = Some((name, lesson.rows.len()));
+    /// Applies the learnt state received from another member as soon as there is a list of servers.
+    fn apply_learnt_state(&self, gateway: &Rc<Gateway>, from: Seat, lesson: Lesson) {
+        let name = self.config.roster.name(from).to_owned();
+        tracing::info!("fleet: received learnt state of {} servers from {name}", lesson.rows.len());
+        self.record("learnt", &name);
+        *self.replica.learnt_from.borrow_mut() = Some((name, lesson.rows.len()));
         let gateway = gateway.clone();
         tokio::task::spawn_local(async move {
             gateway.listed().await;
-            // How much comes here this node knows best itself.
+            // The request rate is this node's own: another member's says nothing about the traffic here.
             let rate = gateway.learnt().rate;
-            gateway.take_over(learned_state::heard(rate, &lesson));
+            gateway.take_over(learned_state::decode(rate, &lesson));
         });
     }
 
-    /// An entry is another one: the gateway goes by it, and the disk has to have it.
-    fn follow(&self, gateway: &Rc<Gateway>, key: &Key) {
-        self.copy.changes.set(self.copy.changes.get() + 1);
-        self.copy.write.notify_one();
+    /// Applies a changed entry to the gateway and schedules a write of the file.
+    fn apply_entry(&self, gateway: &Rc<Gateway>, key: &Key) {
+        self.replica.changes.set(self.replica.changes.get() + 1);
+        self.replica.write_requested.notify_one();
         match key {
             Key::Ban(host) => {
-                let out = self.copy.machine.borrow().bans(host).is_some_and(|b| b.out());
-                self.note_ban(host);
+                let out = self.replica.machine.borrow().bans(host).is_some_and(|b| b.out());
+                self.record_ban(host);
                 gateway.follow_ban(host, out);
             }
-            Key::Drain(host) => self.follow_drain(gateway, host),
+            Key::Drain(host) => self.apply_drain(gateway, host),
         }
     }
 
-    fn follow_drain(&self, gateway: &Rc<Gateway>, host: &str) {
-        let drain = self.copy.machine.borrow().store().drain(host);
-        let beyond = drain.is_some_and(|d| d.out && d.version > self.copy.version.get());
-        let mut heard = self.copy.heard.borrow_mut();
-        if beyond {
-            heard.entry(host.to_owned()).or_insert(gateway.clock.now());
-        } else if heard.remove(host).is_none() {
+    /// Applies a drain to the gateway where the fleet's entry is newer than this node's own list.
+    fn apply_drain(&self, gateway: &Rc<Gateway>, host: &str) {
+        let drain = self.replica.machine.borrow().store().drain(host);
+        let ahead_of_list = drain.is_some_and(|d| d.out && d.version > self.replica.list_version.get());
+        let mut reported = self.replica.reported_drains.borrow_mut();
+        if ahead_of_list {
+            reported.entry(host.to_owned()).or_insert(gateway.clock.now());
+        } else if reported.remove(host).is_none() {
             return;
         }
-        drop(heard);
-        gateway.follow_drain(host, beyond);
+        drop(reported);
+        gateway.follow_drain(host, ahead_of_list);
     }
 
-    /// What discovery says here: others may hear of it later, or not at all.
+    /// Enters the drains of this node's list from discovery: other members may receive that list later or not at all.
     pub(crate) fn on_discovery_list(
         &self,
         gateway: &Rc<Gateway>,
@@ -247,214 +256,220 @@
             return;
         }
         let now = gateway.clock.now();
-        self.copy.version.set(version);
-        let mut said: Vec<(String, bool)> = entries.to_vec();
+        self.replica.list_version.set(version);
+        let mut drains: Vec<(String, bool)> = entries.to_vec();
         if kind == ListKind::Full {
-            let named: std::collections::BTreeSet<&String> = entries.iter().map(|(host, _)| host).collect();
-            let machine = self.copy.machine.borrow();
-            let drained = |(key, entry): (&Key, &Entry)| match key {
-                Key::Drain(host) if !entry.out() && !named.contains(host) => Some((host.clone(), true)),
+            let listed: std::collections::BTreeSet<&String> = entries.iter().map(|(host, _)| host).collect();
+            let machine = self.replica.machine.borrow();
+            // A host that a full list does not contain counts as drained.
+            let missing = |(key, entry): (&Key, &Entry)| match key {
+                Key::Drain(host) if !entry.out() && !listed.contains(host) => Some((host.clone(), true)),
                 _ => None,
             };
-            said.extend(machine.store().entries().filter_map(drained));
+            drains.extend(machine.store().entries().filter_map(missing));
         }
-        for (host, out) in said {
-            let outputs = self.copy.machine.borrow_mut().listed(now, &host, Drain { version, out });
-            self.carry_out_copy(gateway, outputs);
+        for (host, out) in drains {
+            let outputs = self.replica.machine.borrow_mut().listed(now, &host, Drain { version, out });
+            self.apply_replica_outputs(gateway, outputs);
         }
-        // What only others had heard of may be in this list.
-        let heard: Vec<String> = self.copy.heard.borrow().keys().cloned().collect();
-        heard.iter().for_each(|host| self.follow_drain(gateway, host));
+        // This list may contain drains that only other members had reported.
+        let reported: Vec<String> = self.replica.reported_drains.borrow().keys().cloned().collect();
+        reported.iter().for_each(|host| self.apply_drain(gateway, host));
     }
 
-    /// What others have heard of, and the list here has still not said, counts no longer.
-    pub(super) fn forget_heard(&self, gateway: &Rc<Gateway>, now: Nanos) {
-        let old = |(host, at): (&String, &Nanos)| (now.saturating_sub(*at) >= HEARD).then(|| host.clone());
-        let old: Vec<String> = self.copy.heard.borrow().iter().filter_map(old).collect();
-        for host in old {
-            self.copy.heard.borrow_mut().remove(&host);
+    /// Ends drains that other members reported and that this node's own list has not shown within [`REPORTED_DRAIN_TTL`].
+    pub(super) fn expire_reported_drains(&self, gateway: &Rc<Gateway>, now: Nanos) {
+        let expired = |(host, since): (&String, &Nanos)| (now.saturating_sub(*since) >= REPORTED_DRAIN_TTL).then(|| host.clone());
+        let expired: Vec<String> = self.replica.reported_drains.borrow().iter().filter_map(expired).collect();
+        for host in expired {
+            self.replica.reported_drains.borrow_mut().remove(&host);
             tracing::warn!(
-                "fleet: others say that server {host} drains, and the list here does not: it is used again"
+                "fleet: other members report that server {host} drains, but this node's list does not: using it again"
             );
             gateway.follow_drain(&host, false);
         }
     }
 
-    /// Bans that only this node's file had are said to all; where the fleet knows better, its word counts.
-    fn settle(&self, gateway: &Rc<Gateway>) {
-        let words: Vec<(String, bool)> =
+    /// Publishes bans that only this node's file had; where the fleet's state differs, the fleet's state applies.
+    fn publish_local_bans(&self, gateway: &Rc<Gateway>) {
+        let local_bans: Vec<(String, bool)> =
             gateway.fleet(|f| f.bans.words().map(|w| (w.host.clone(), w.out)).collect());
-        for (host, out) in words {
-            let known = self.copy.machine.borrow().bans(&host).map(|b| b.out());
+        for (host, out) in local_bans {
+            let known = self.replica.machine.borrow().bans(&host).map(|b| b.out());
             match known {
                 Some(known) if known != out => gateway.follow_ban(&host, known),
-                None if out => drop(self.speak(gateway, &host, true)),
+                None if out => drop(self.change_ban(gateway, &host, true)),
                 _ => {}
             }
         }
     }
 
-    fn speak(&self, gateway: &Rc<Gateway>, host: &str, out: bool) -> Result<(), SayError> {
+    /// Records an operator's change in the replica and sends it to the other members.
+    fn change_ban(&self, gateway: &Rc<Gateway>, host: &str, out: bool) -> Result<(), SayError> {
         let now = gateway.clock.now();
-        let outputs = self.copy.machine.borrow_mut().say(now, host, out, now)?;
-        self.note_said(host, out);
-        self.carry_out_copy(gateway, outputs);
+        let outputs = self.replica.machine.borrow_mut().say(now, host, out, now)?;
+        self.record_change(host, out);
+        self.apply_replica_outputs(gateway, outputs);
         Ok(())
     }
 
-    /// Staff's word, said here: what to tell them of where it is kept.
+    /// Bans a server or lifts its ban for an operator; reports where the change is stored.
     pub(crate) async fn set_ban(&self, gateway: &Rc<Gateway>, host: &str, out: bool) -> String {
         let key = Key::Ban(host.to_owned());
-        let known = self.copy.machine.borrow().bans(host).map(|b| b.out());
+        let known = self.replica.machine.borrow().bans(host).map(|b| b.out());
         if known.is_none() && !out {
             return "nobody has taken it out".to_owned();
         }
         if known != Some(out) {
-            if let Err(error) = self.speak(gateway, host, out) {
+            if let Err(error) = self.change_ban(gateway, host, out) {
                 return format!("the fleet is not told: {error}");
             }
         }
-        let changes = self.copy.changes.get();
-        let wanted = self.site.confirm.min(self.machine.borrow().view().map_or(0, |v| v.members.len() - 1));
-        let held = || self.copy.machine.borrow().held_by(&key);
-        let begun = tokio::time::Instant::now();
-        while begun.elapsed() < KEPT && (held() < wanted || self.copy.on_disk(changes) == Ok(false)) {
-            tokio::time::sleep(LOOK).await;
+        let changes = self.replica.changes.get();
+        let required = self.config.confirm.min(self.machine.borrow().view().map_or(0, |v| v.members.len() - 1));
+        let holders = || self.replica.machine.borrow().held_by(&key);
+        let started_at = tokio::time::Instant::now();
+        while started_at.elapsed() < CONFIRM_TIMEOUT && (holders() < required || self.replica.on_disk(changes) == Ok(false)) {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        let others = match held() {
+        let others = match holders() {
             0 => "kept at this node alone".to_owned(),
             1 => "kept at one other member".to_owned(),
             n => format!("kept at {n} other members"),
         };
-        match self.copy.on_disk(changes) {
+        match self.replica.on_disk(changes) {
             Ok(true) => others,
             Ok(false) => format!("{others}; not on the disk here yet"),
             Err(error) => format!("{others}; not on the disk here: {error}"),
         }
     }
 
-    /// Which members have this node's copy of a ban; `None` where one does not answer.
+    /// Lists whether each member holds this node's state of a ban; `None` for a member that does not answer.
     pub(crate) async fn members_holding_ban(&self, host: &str) -> Vec<(String, Option<bool>)> {
         let key = Key::Ban(host.to_owned());
         let number = {
-            let mut asked = self.copy.asked.borrow_mut();
-            *asked = (asked.0.wrapping_add(1), BTreeMap::new());
-            asked.0
+            let mut query = self.replica.query.borrow_mut();
+            *query = (query.0.wrapping_add(1), BTreeMap::new());
+            query.0
         };
         let members: Vec<Seat> =
             self.machine.borrow().view().map_or_else(Vec::new, |v| v.members.keys().copied().collect());
-        let others = members.iter().filter(|s| **s != self.site.me).count();
-        // Another question has come since, or all have said yes; who has not may have it a moment later.
-        let over = || {
-            let asked = self.copy.asked.borrow();
-            asked.0 != number || asked.1.len() >= others && asked.1.values().all(|has| *has)
+        let others = members.iter().filter(|s| **s != self.config.own_seat).count();
+        // Done when a newer query has replaced this one or all members hold the entry; one that does not may receive it a
+        // moment later.
+        let done = || {
+            let query = self.replica.query.borrow();
+            query.0 != number || query.1.len() >= others && query.1.values().all(|has| *has)
         };
-        let begun = tokio::time::Instant::now();
-        while begun.elapsed() < ANSWERS && !over() {
-            let outputs = self.copy.machine.borrow_mut().ask(number, &key);
+        let started_at = tokio::time::Instant::now();
+        while started_at.elapsed() < QUERY_TIMEOUT && !done() {
+            let outputs = self.replica.machine.borrow_mut().ask(number, &key);
             for output in outputs {
                 if let Output::Send(to, bytes) = output {
-                    self.post(to, bytes);
+                    self.send(to, bytes);
                 }
             }
-            let asked = tokio::time::Instant::now();
-            while asked.elapsed() < ASK_AGAIN && !over() {
-                tokio::time::sleep(LOOK).await;
+            let asked_at = tokio::time::Instant::now();
+            while asked_at.elapsed() < QUERY_RETRY_INTERVAL && !done() {
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
-        let asked = self.copy.asked.borrow();
-        let answer = |seat: Seat| if seat == self.site.me { Some(true) } else { asked.1.get(&seat).copied() };
-        members.into_iter().map(|seat| (self.site.roster.name(seat).to_owned(), answer(seat))).collect()
+        let query = self.replica.query.borrow();
+        let answer = |seat: Seat| if seat == self.config.own_seat { Some(true) } else { query.1.get(&seat).copied() };
+        members.into_iter().map(|seat| (self.config.roster.name(seat).to_owned(), answer(seat))).collect()
     }
 
-    /// Whether this member knows what the others know, or has waited for that long enough.
+    /// Whether this member has caught up with the others or has waited long enough for that.
     pub(crate) fn is_ready(&self, now: Nanos) -> bool {
-        // As long as the process before has the port, it tells this one what it hears.
-        if self.copy.machine.borrow().caught_up() || self.waits.get() {
+        // While the old process holds the port, it passes on to this one what it receives.
+        if self.replica.machine.borrow().caught_up() || self.waiting_for_port.get() {
             return true;
         }
-        let long = now.saturating_sub(self.copy.started.get()) >= BEHIND;
-        if long && !self.copy.behind.replace(true) {
+        let timed_out = now.saturating_sub(self.replica.started.get()) >= CATCH_UP_TIMEOUT;
+        if timed_out && !self.replica.behind_logged.replace(true) {
             tracing::warn!(
-                "fleet: nobody has told this member what the others know: it serves, and may be behind"
+                "fleet: no other member has sent its state: serving, possibly with outdated state"
             );
         }
-        long
+        timed_out
     }
 
-    /// For operators, as JSON: all entries, each with who has spoken on it.
+    /// Reports all entries as JSON for operators, each with the changes behind it.
     pub(crate) fn state_json(&self, kind: Option<&str>) -> serde_json::Value {
-        let machine = self.copy.machine.borrow();
-        let wanted = |(key, _): &(&Key, &Entry)| kind.is_none_or(|kind| key.kind() == kind);
+        let machine = self.replica.machine.borrow();
+        let selected = |(key, _): &(&Key, &Entry)| kind.is_none_or(|kind| key.kind() == kind);
         let rows: Vec<_> =
-            machine.store().entries().filter(wanted).map(|(key, entry)| self.row(key, entry)).collect();
+            machine.store().entries().filter(selected).map(|(key, entry)| self.entry_json(key, entry)).collect();
         serde_json::json!({
-            "me": self.site.roster.name(self.site.me),
+            "me": self.config.roster.name(self.config.own_seat),
             "caught_up": machine.caught_up(),
             "copy": format!("{:016x}", machine.store().root()),
             "entries": rows,
         })
     }
 
-    fn row(&self, key: &Key, entry: &Entry) -> serde_json::Value {
-        let words: Vec<_> = match entry {
+    /// One entry as JSON, with the changes behind it.
+    fn entry_json(&self, key: &Key, entry: &Entry) -> serde_json::Value {
+        let records: Vec<_> = match entry {
             Entry::Bans(bans) => bans
                 .words()
                 .iter()
-                .map(|w| {
-                    let by = self.site.roster.name(w.dot.writer.seat);
-                    serde_json::json!({"by": by, "life": w.dot.writer.life, "number": w.dot.number, "out": w.out, "at": w.at})
+                .map(|change| {
+                    let by = self.config.roster.name(change.dot.writer.seat);
+                    serde_json::json!({"by": by, "life": change.dot.writer.life, "number": change.dot.number, "out": change.out, "at": change.at})
                 })
                 .collect(),
             Entry::Drain(drain) => vec![serde_json::json!({"version": drain.version, "out": drain.out})],
         };
-        serde_json::json!({"kind": key.kind(), "server": key.host(), "out": entry.out(), "words": words})
+        serde_json::json!({"kind": key.kind(), "server": key.host(), "out": entry.out(), "words": records})
     }
 
-    /// Who stands behind a ban.
-    fn speakers(&self, key: &Key) -> String {
-        let machine = self.copy.machine.borrow();
-        let words = machine.bans(key.host()).map_or(&[][..], |b| b.words());
+    /// Names of the members whose bans of the server are in force.
+    fn banning_members(&self, key: &Key) -> String {
+        let machine = self.replica.machine.borrow();
+        let changes = machine.bans(key.host()).map_or(&[][..], |b| b.words());
         let names: Vec<&str> =
-            words.iter().filter(|w| w.out).map(|w| self.site.roster.name(w.dot.writer.seat)).collect();
+            changes.iter().filter(|change| change.out).map(|change| self.config.roster.name(change.dot.writer.seat)).collect();
         names.join(" ")
     }
 
-    fn note_ban(&self, host: &str) {
+    /// Records a server's ban state in the history.
+    fn record_ban(&self, host: &str) {
         let line = {
-            let machine = self.copy.machine.borrow();
+            let machine = self.replica.machine.borrow();
             let Some(bans) = machine.bans(host) else { return };
-            serde_json::json!({"host": host, "out": bans.out(), "known": known(bans)})
+            serde_json::json!({"host": host, "out": bans.out(), "known": known_changes(bans)})
         };
-        self.note("ban", &line.to_string());
+        self.record("ban", &line.to_string());
     }
 
-    /// What was said here, and what was known of the server before.
-    fn note_said(&self, host: &str, out: bool) {
+    /// Records a change made at this node, with the changes of the server's ban that were known before.
+    fn record_change(&self, host: &str, out: bool) {
         let line = {
-            let machine = self.copy.machine.borrow();
-            let Some(word) = machine.bans(host).and_then(|b| b.words().first().copied()) else { return };
-            let writer = word.dot.writer;
-            serde_json::json!({"host": host, "out": out, "dot": [u64::from(writer.seat), u64::from(writer.life), word.dot.number],
-                "knew": machine.bans(host).map(known)})
+            let machine = self.replica.machine.borrow();
+            let Some(change) = machine.bans(host).and_then(|b| b.words().first().copied()) else { return };
+            let writer = change.dot.writer;
+            serde_json::json!({"host": host, "out": out, "dot": [u64::from(writer.seat), u64::from(writer.life), change.dot.number],
+                "knew": machine.bans(host).map(known_changes)})
         };
-        self.note("said", &line.to_string());
+        self.record("said", &line.to_string());
     }
 
-    /// Its copy, told from others, each time that it is another one.
-    pub(super) fn note_copy(&self) {
-        let root = self.copy.machine.borrow().store().root();
-        if self.copy.root.replace(root) != root {
-            self.note("copy", &format!("{root:016x}"));
+    /// Records the replica's digest in the history whenever it has changed.
+    pub(super) fn record_replica_digest(&self) {
+        let root = self.replica.machine.borrow().store().root();
+        if self.replica.recorded_root.replace(root) != root {
+            self.record("copy", &format!("{root:016x}"));
         }
     }
 }
 
-fn known(bans: &laurelroute_replica::Bans) -> Vec<[u64; 3]> {
+/// The changes that this ban's state includes, as seat, incarnation and number.
+fn known_changes(bans: &laurelroute_replica::Bans) -> Vec<[u64; 3]> {
     bans.known().map(|dot| [dot.writer.seat.into(), dot.writer.life.into(), dot.number]).collect()
 }
 
-/// What the members are told of a list.
+/// Reduces a list from discovery to hosts and whether each drains, as members replicate it.
 pub(crate) fn drain_flags(entries: &[Listed]) -> Vec<(String, bool)> {
     entries.iter().map(|e| (e.host.clone(), e.server.phase != Phase::Ready)).collect()
 }
--- a/crates/node/src/fleet/table.rs
+++ b/crates/node/src/fleet/table.rs
@@ -1,4 +1,4 @@
-//! The operator's file on the fleet: who the members are, and which of them this process is (`[fleet]`).
+//! The `[fleet]` section of the operator's file: the members of the fleet and which of them this process is.
 
 use crate::site::{SiteError, Validator};
 use laurelroute_membership::{Roster, Seat};
@@ -8,8 +8,8 @@
 use std::path::PathBuf;
 use toml::Spanned;
 
-/// Bytes of a key at least: as long as what the MAC gives.
-const LEAST_KEY: usize = 16;
+/// Minimum length of the key: as long as the authentication tag.
+const MIN_KEY_BYTES: usize = 16;
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -31,80 +31,81 @@
     address: Spanned<SocketAddr>,
 }
 
-/// The fleet that this process is a member of.
+/// The validated fleet configuration of this process.
 #[derive(Clone, Debug)]
 pub struct FleetConfig {
-    /// The installation.
+    /// Name of the installation.
     pub site: String,
-    /// All members.
+    /// All configured members.
     pub roster: Roster,
-    /// Which one this is.
-    pub me: Seat,
-    /// Where their datagrams go, in the roster's order.
+    /// This member's seat in the roster.
+    pub own_seat: Seat,
+    /// Addresses that datagrams to the members are sent to, in roster order.
     pub addresses: Vec<SocketAddr>,
-    /// Where this one's arrive.
+    /// Address that this member receives datagrams on.
     pub listen: SocketAddr,
-    /// With this key each datagram is marked as one of the installation's.
+    /// Key that authenticates the installation's datagrams; without one they are not authenticated.
     pub key: Option<hmac::Key>,
-    /// A file for what happens, in lines of JSON.
+    /// File that membership events are appended to, one JSON object per line.
     pub history: Option<PathBuf>,
-    /// Staff's word is answered once so many others have it, where there are so many and they answer in time.
+    /// Number of other members that have to hold an operator's change before the call is answered, if there are that many
+    /// and they respond in time.
     pub confirm: usize,
 }
 
-/// A key as an even number of hexadecimal digits.
-fn key(text: &str) -> Option<Vec<u8>> {
+/// Decodes a key from an even number of hexadecimal digits.
+fn parse_key(text: &str) -> Option<Vec<u8>> {
     let digits = text.as_bytes();
     let byte = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).ok()?, 16).ok();
-    let plain = digits.len().is_multiple_of(2) && digits.iter().all(u8::is_ascii_hexdigit);
-    plain.then(|| digits.chunks(2).map(byte).collect()).flatten()
+    let valid = digits.len().is_multiple_of(2) && digits.iter().all(u8::is_ascii_hexdigit);
+    valid.then(|| digits.chunks(2).map(byte).collect()).flatten()
 }
 
 impl FleetTable {
     pub(crate) fn validate(self, validator: &Validator<'_>) -> Result<FleetConfig, SiteError> {
         if self.site.get_ref().is_empty() {
-            return Err(validator.error_at(&self.site, "`fleet.site` has no text"));
+            return Err(validator.error_at(&self.site, "`fleet.site` must not be empty"));
         }
-        for (k, member) in self.members.iter().enumerate() {
+        for (index, member) in self.members.iter().enumerate() {
             let (name, address) = (member.name.get_ref(), member.address.get_ref());
-            let before = &self.members[..k];
-            if before.iter().any(|m| m.name.get_ref() == name) {
-                return Err(validator.error_at(&member.name, format!("the member `{name}` stands twice")));
+            let earlier = &self.members[..index];
+            if earlier.iter().any(|m| m.name.get_ref() == name) {
+                return Err(validator.error_at(&member.name, format!("the member `{name}` is listed twice")));
             }
-            if let Some(other) = before.iter().find(|m| m.address.get_ref() == address) {
+            if let Some(other) = earlier.iter().find(|m| m.address.get_ref() == address) {
                 let other = other.name.get_ref();
                 return Err(validator
                     .error_at(&member.address, format!("`{name}` has the address of `{other}`: {address}")));
             }
             if address.port() == 0 || address.ip().is_unspecified() {
-                return Err(validator.error_at(&member.address, format!("nobody can send to {address}")));
+                return Err(validator.error_at(&member.address, format!("{address} is not a usable destination address")));
             }
         }
         let names = self.members.iter().map(|m| m.name.get_ref().clone()).collect();
         let roster = Roster::new(names)
             .map_err(|e| validator.error_at(&self.name, format!("`[[fleet.member]]`: {e}")))?;
-        let own = self.name.get_ref();
-        let Some(me) = roster.seat(own) else {
+        let own_name = self.name.get_ref();
+        let Some(own_seat) = roster.seat(own_name) else {
             return Err(validator
-                .error_at(&self.name, format!("`fleet.name` is `{own}`, which is no `[[fleet.member]]`")));
+                .error_at(&self.name, format!("`fleet.name` is `{own_name}`, which is not a `[[fleet.member]]`")));
         };
         let mut addresses: Vec<(&String, SocketAddr)> =
             self.members.iter().map(|m| (m.name.get_ref(), *m.address.get_ref())).collect();
         addresses.sort_unstable();
         let addresses: Vec<SocketAddr> = addresses.into_iter().map(|(_, address)| address).collect();
-        let listen = self.listen.as_ref().map_or(addresses[usize::from(me)], |l| *l.get_ref());
+        let listen = self.listen.as_ref().map_or(addresses[usize::from(own_seat)], |l| *l.get_ref());
         let key = match &self.key {
             None => None,
-            Some(text) => match key(text.get_ref()) {
-                Some(bytes) if bytes.len() >= LEAST_KEY => Some(hmac::Key::new(hmac::HMAC_SHA256, &bytes)),
+            Some(text) => match parse_key(text.get_ref()) {
+                Some(bytes) if bytes.len() >= MIN_KEY_BYTES => Some(hmac::Key::new(hmac::HMAC_SHA256, &bytes)),
                 Some(bytes) => {
                     let message =
-                        format!("`fleet.key` has {} bytes; it has to have {LEAST_KEY} at least", bytes.len());
+                        format!("`fleet.key` has {} bytes; it must have at least {MIN_KEY_BYTES}", bytes.len());
                     return Err(validator.error_at(text, message));
                 }
                 None => {
                     return Err(
-                        validator.error_at(text, "`fleet.key` has to be hexadecimal digits, two for a byte")
+                        validator.error_at(text, "`fleet.key` must be hexadecimal digits, two per byte")
                     )
                 }
             },
@@ -112,19 +113,19 @@
         let confirm = self.confirm.as_ref().map_or(1, |c| *c.get_ref());
         if let Some(at) = self.confirm.as_ref().filter(|_| confirm >= roster.len()) {
             let message =
-                format!("`fleet.confirm` is {confirm}, where there are {} others", roster.len() - 1);
+                format!("`fleet.confirm` is {confirm}, but there are only {} other members", roster.len() - 1);
             return Err(validator.error_at(at, message));
         }
-        if !here(listen.ip()) {
+        if !is_local_address(listen.ip()) {
             let at = self.listen.as_ref().map_or(self.name.span().start, |l| l.span().start);
             return Err(
-                validator.error(Some(at), format!("`fleet.listen`: {listen} is no address of this machine"))
+                validator.error(Some(at), format!("`fleet.listen`: {listen} is not an address of this machine"))
             );
         }
         Ok(FleetConfig {
             site: self.site.into_inner(),
             roster,
-            me,
+            own_seat,
             addresses,
             listen,
             key,
@@ -134,8 +135,8 @@
     }
 }
 
-/// Whether this machine has an address: only then can a socket be bound to it.
-fn here(ip: IpAddr) -> bool {
+/// Whether the address belongs to this machine, checked by binding a socket to it.
+fn is_local_address(ip: IpAddr) -> bool {
     std::net::UdpSocket::bind((ip, 0)).is_ok()
 }
 
@@ -147,28 +148,28 @@
         [[fleet.member]]\nname = \"b\"\naddress = \"127.0.0.1:2\"\n[[fleet.member]]\nname = \"a\"\naddress = \"127.0.0.1:1\"\n";
 
     #[test]
-    fn a_fleet_is_read_in_the_order_of_its_names() {
+    fn members_are_ordered_by_name() {
         let fleet = Site::parse("s", FLEET, None).unwrap().fleet.unwrap();
-        assert_eq!((fleet.me, fleet.roster.name(1)), (0, "b"));
+        assert_eq!((fleet.own_seat, fleet.roster.name(1)), (0, "b"));
         assert_eq!(fleet.addresses[0].port(), 1);
         assert_eq!(fleet.listen.port(), 1);
     }
 
     #[test]
-    fn errors_name_key_and_line() {
+    fn errors_name_the_key_and_the_line() {
         for (from, to, message) in [
-            ("\"b\"", "\"a\"", "s, line 9: the member `a` stands twice"),
+            ("\"b\"", "\"a\"", "s, line 9: the member `a` is listed twice"),
             (":2\"", ":1\"", "s, line 10: `a` has the address of `b`: 127.0.0.1:1"),
-            ("name = \"a\"\nkey", "name = \"c\"\nkey", "s, line 3: `fleet.name` is `c`, which is no"),
+            ("name = \"a\"\nkey", "name = \"c\"\nkey", "s, line 3: `fleet.name` is `c`, which is not a `[[fleet.member]]`"),
             ("0e0f", "", "s, line 4: `fleet.key` has 14 bytes"),
-            ("0e0f", "0e0", "s, line 4: `fleet.key` has to be hexadecimal"),
-            ("\"perth\"", "\"\"", "s, line 2: `fleet.site` has no text"),
+            ("0e0f", "0e0", "s, line 4: `fleet.key` must be hexadecimal"),
+            ("\"perth\"", "\"\"", "s, line 2: `fleet.site` must not be empty"),
             (
                 "key =",
                 "listen = \"192.0.2.1:9\"\nkey =",
-                "s, line 4: `fleet.listen`: 192.0.2.1:9 is no address",
+                "s, line 4: `fleet.listen`: 192.0.2.1:9 is not an address",
             ),
-            ("127.0.0.1:2", "127.0.0.1:0", "s, line 7: nobody can send to 127.0.0.1:0"),
+            ("127.0.0.1:2", "127.0.0.1:0", "s, line 7: 127.0.0.1:0 is not a usable destination address"),
             ("key =", "kay =", "unknown field `kay`"),
         ] {
             let text = FLEET.replacen(from, to, 1);
--- a/crates/node/src/levels.rs
+++ b/crates/node/src/levels.rs
@@ -366,7 +366,7 @@
         let by_services = "[forward]\nplanners = [\"127.0.0.1:1\"]\nservices = true\n";
         assert_eq!(
             with(&format!("{by_services}service = \"path\"\n")),
-            "s, line 10: `forward.service` has to be \"host\" or { header = \"NAME\" }"
+            "s, line 10: `forward.service` must be \"host\" or { header = \"NAME\" }"
         );
         assert_eq!(
             with(&format!("{by_services}most_services = 0\n")),
@@ -374,11 +374,11 @@
         );
         assert_eq!(
             with("[forward]\nplanners = [\"127.0.0.1:1\"]\nservice = \"host\"\n"),
-            "s, line 9: `forward.service` counts only with `services = true`"
+            "s, line 9: `forward.service` applies only with `services = true`"
         );
         assert_eq!(
             with("[plan]\nlisten = \"127.0.0.1:1\"\nupdate_bytes = 1\n"),
-            "s, line 9: `plan.update_bytes` counts only with `services = true`"
+            "s, line 9: `plan.update_bytes` applies only with `services = true`"
         );
         assert_eq!(
             with("[plan]\nlisten = \"127.0.0.1:1\"\nservices = true\nmax_connections = 4\n"),
--- a/crates/node/src/services/directory.rs
+++ b/crates/node/src/services/directory.rs
@@ -1,8 +1,8 @@
-//! The services that a forwarder's requests name, each with its gateway.
+//! The services that a forwarder's requests name, each with a gateway of its own.
 //!
-//! What is known of services is the subscriber's; here each that is held gets a gateway as its servers come, and loses it
-//! as it is dropped. A gateway at rest costs its memory and nothing else: its timers sleep, and its connections are looked
-//! at only while it may have any.
+//! The subscriber holds the services' state. Each service that it holds gets a gateway when its servers arrive and loses it
+//! when the service is dropped. An idle gateway costs only memory: its timers sleep, and its connections are swept only while
+//! it may have any.
 
 use crate::source;
 use laurelroute_core::gateway::Gateway;
@@ -21,120 +21,122 @@
 use tokio::sync::Notify;
 use tokio::task::{spawn_local, AbortHandle};
 
-/// Services whose servers are reported on at once: a report takes those that were in use since it was last their turn.
-const REPORTED: usize = 8;
-/// A gateway without requests is looked at for so long beyond the time that its connections may stand idle.
-const STILL_SWEPT: Nanos = 2_000_000_000;
-/// What others have met of servers counts for so long without a planner: nobody takes it back.
-const HINTS_LAST: Nanos = 30_000_000_000;
-/// How often the service without a name is asked for, where it is always in use.
-const KEPT: Duration = Duration::from_secs(1);
+/// Services per report. Reports go round robin over the services in use.
+const SERVICES_PER_REPORT: usize = 8;
+/// How long a gateway without requests is swept beyond the idle timeout of its connections.
+const SWEEP_MARGIN: Nanos = 2_000_000_000;
+/// How long hints about servers from other nodes apply without a planner: no one could withdraw them.
+const HINT_TTL: Nanos = 30_000_000_000;
+/// Interval at which the unnamed service is requested where it is always in use.
+const UNNAMED_REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
-struct Carried {
+/// A named service's gateway and the task that runs its timers.
+struct ServiceGateway {
     gateway: Rc<Gateway>,
-    timers: AbortHandle,
+    timer_task: AbortHandle,
 }
 
-/// Who waits for which service to change.
-type Waiting = Rc<RefCell<HashMap<String, Rc<Notify>>>>;
+/// Notifies the requests that wait for a service to change, by service.
+type Waiters = Rc<RefCell<HashMap<String, Rc<Notify>>>>;
 
-/// Waits once, and leaves no trace of it.
+/// One wait for a service; removes the service's entry with the last of its waits.
 struct Waiter {
-    waiting: Waiting,
+    waiters: Waiters,
     service: String,
     notify: Rc<Notify>,
 }
 
 impl Drop for Waiter {
     fn drop(&mut self) {
-        // Of the table's and this one.
+        // The references left are the map's and this one.
         if Rc::strong_count(&self.notify) <= 2 {
-            self.waiting.borrow_mut().remove(&self.service);
+            self.waiters.borrow_mut().remove(&self.service);
         }
     }
 }
 
-/// See the module's documentation.
+/// The forwarder's services and their gateways.
 pub(crate) struct Directory {
-    /// The process's first gateway, which carries the service without a name.
-    first: Rc<Gateway>,
+    /// The process's first gateway, which serves the unnamed service.
+    unnamed_gateway: Rc<Gateway>,
     pub(crate) subscriber: RefCell<Subscriber>,
-    /// Something is wanted that the planner has not heard of.
+    /// Notified when a service is wanted that has not been requested from the planner yet.
     pub(crate) wanted: Notify,
-    /// Bounded by the subscriber: one for each service that it holds.
-    carried: RefCell<HashMap<String, Carried>>,
-    /// Bounded by the requests that wait.
-    waiting: Waiting,
-    /// Services in use lately, and when; one that is not carried goes with the next look.
-    used: RefCell<BTreeMap<String, Nanos>>,
-    /// What counts of others' word on servers, by service; none where nothing is said.
+    /// Gateways of the named services. Bounded by the subscriber: one for each service that it holds.
+    gateways: RefCell<HashMap<String, ServiceGateway>>,
+    /// Bounded by the number of waiting requests.
+    waiters: Waiters,
+    /// Recently used services, and when each was last used; the next sweep removes those without a gateway.
+    last_used: RefCell<BTreeMap<String, Nanos>>,
+    /// Guidance from other nodes' hints about servers, by service; no entry where there are no hints.
     guides: RefCell<BTreeMap<String, NodePlan>>,
-    /// Since when there is no planner, where what others said counts still.
-    alone_since: Cell<Option<Nanos>>,
-    /// Without a planner for too long: others' word does not count.
-    mistrusts: Cell<bool>,
-    /// The service whose turn in reports is over.
-    reported: RefCell<String>,
-    /// Where servers speak Thrift whose entry does not say.
+    /// Since when there has been no planner.
+    no_planner_since: Cell<Option<Nanos>>,
+    /// There has been no planner for longer than [`HINT_TTL`], and hints no longer apply.
+    hints_expired: Cell<bool>,
+    /// The last service of the previous report.
+    last_reported: RefCell<String>,
+    /// Thrift port of servers whose list entry names none.
     thrift_port: Option<u16>,
-    refused: Cell<bool>,
+    /// The error that no gateway can be created has been logged.
+    gateway_error_logged: Cell<bool>,
 }
 
 impl Directory {
     pub(crate) fn new(
-        first: Rc<Gateway>,
+        unnamed_gateway: Rc<Gateway>,
         settings: subscriber::Settings,
         thrift_port: Option<u16>,
     ) -> Rc<Self> {
-        first.with_services();
-        let subscriber = Subscriber::new(first.clock.now(), settings);
+        unnamed_gateway.with_services();
+        let subscriber = Subscriber::new(unnamed_gateway.clock.now(), settings);
         Rc::new(Directory {
-            first,
+            unnamed_gateway,
             subscriber: RefCell::new(subscriber),
             wanted: Notify::new(),
-            carried: RefCell::default(),
-            waiting: Waiting::default(),
-            used: RefCell::default(),
+            gateways: RefCell::default(),
+            waiters: Waiters::default(),
+            last_used: RefCell::default(),
             guides: RefCell::default(),
-            alone_since: Cell::new(None),
-            mistrusts: Cell::new(false),
-            reported: RefCell::default(),
+            no_planner_since: Cell::new(None),
+            hints_expired: Cell::new(false),
+            last_reported: RefCell::default(),
             thrift_port,
-            refused: Cell::new(false),
+            gateway_error_logged: Cell::new(false),
         })
     }
 
     pub(crate) fn now(&self) -> Nanos {
-        self.first.clock.now()
+        self.unnamed_gateway.clock.now()
     }
 
-    /// The service's gateway, made where there is none.
+    /// Returns the service's gateway, creating it if necessary.
     fn gateway(&self, service: &str) -> Option<Rc<Gateway>> {
         if service.is_empty() {
-            return Some(self.first.clone());
+            return Some(self.unnamed_gateway.clone());
         }
-        if let Some(carried) = self.carried.borrow().get(service) {
-            return Some(carried.gateway.clone());
+        if let Some(existing) = self.gateways.borrow().get(service) {
+            return Some(existing.gateway.clone());
         }
-        match self.first.beside(service) {
+        match self.unnamed_gateway.beside(service) {
             Ok(gateway) => {
-                let timers = spawn_local(gateway.clone().run_timers()).abort_handle();
-                let carried = Carried { gateway: gateway.clone(), timers };
-                self.carried.borrow_mut().insert(service.to_owned(), carried);
+                let timer_task = spawn_local(gateway.clone().run_timers()).abort_handle();
+                let entry = ServiceGateway { gateway: gateway.clone(), timer_task };
+                self.gateways.borrow_mut().insert(service.to_owned(), entry);
                 Some(gateway)
             }
-            // The first gateway goes by the same settings.
+            // Not expected: the first gateway was created with the same settings.
             Err(error) => {
-                if !self.refused.replace(true) {
-                    tracing::error!("no gateway for a service: {error}");
+                if !self.gateway_error_logged.replace(true) {
+                    tracing::error!("cannot create a gateway for a service: {error}");
                 }
                 None
             }
         }
     }
 
-    /// Hands what has changed to the gateways, and wakes who waits for it.
-    pub(crate) fn take_changes(&self) {
+    /// Applies the subscriber's changes to the gateways and wakes the requests that wait for them.
+    pub(crate) fn apply_changes(&self) {
         let changes = self.subscriber.borrow_mut().changes();
         for change in changes {
             match change {
@@ -155,42 +157,43 @@
                     let view = View { words, trust: 1.0, ..View::default() };
                     let known = |name: &str| gateway.fleet(|f| f.known(name));
                     let guide = lead::guide(&view, known, &[], std::iter::empty());
-                    gateway.guide(self.weighed(&guide));
+                    gateway.guide(self.effective_guide(&guide));
                     self.guides.borrow_mut().insert(service, guide);
                 }
                 Change::Unknown(service) | Change::Dropped(service) => self.drop_service(&service),
             }
         }
-        // Those whose servers are known now, also where there are none.
+        // Services whose members are known now, even if there are none.
         let known = |service: &&String| self.subscriber.borrow().members_of(service).is_some();
-        let came: Vec<String> = self.waiting.borrow().keys().filter(known).cloned().collect();
-        came.iter().for_each(|service| self.wake(service));
+        let arrived: Vec<String> = self.waiters.borrow().keys().filter(known).cloned().collect();
+        arrived.iter().for_each(|service| self.wake(service));
     }
 
-    /// A guide as far as it counts now.
-    fn weighed(&self, guide: &NodePlan) -> NodePlan {
-        let trust = if self.mistrusts.get() { 0.0 } else { guide.trust };
+    /// The guide with no trust once hints have expired.
+    fn effective_guide(&self, guide: &NodePlan) -> NodePlan {
+        let trust = if self.hints_expired.get() { 0.0 } else { guide.trust };
         NodePlan { trust, ..guide.clone() }
     }
 
-    /// What others said of servers counts no longer where no planner has been there for long, and again with the next one.
-    fn look_at_trust(&self) {
+    /// Expires hints after [`HINT_TTL`] without a planner and restores them with the next planner.
+    fn update_hint_trust(&self) {
         let now = self.now();
-        let alone = self.subscriber.borrow().planner().is_none();
-        let since = alone.then(|| self.alone_since.get().unwrap_or(now));
-        self.alone_since.set(since);
-        let mistrusts = since.is_some_and(|at| now.saturating_sub(at) >= HINTS_LAST);
-        if self.mistrusts.replace(mistrusts) != mistrusts {
+        let no_planner = self.subscriber.borrow().planner().is_none();
+        let since = no_planner.then(|| self.no_planner_since.get().unwrap_or(now));
+        self.no_planner_since.set(since);
+        let hints_expired = since.is_some_and(|at| now.saturating_sub(at) >= HINT_TTL);
+        if self.hints_expired.replace(hints_expired) != hints_expired {
             for (service, guide) in &*self.guides.borrow() {
                 if let Some(gateway) = self.gateway(service) {
-                    gateway.guide(self.weighed(guide));
+                    gateway.guide(self.effective_guide(guide));
                 }
             }
         }
     }
 
+    /// Wakes the requests that wait for this service.
     fn wake(&self, service: &str) {
-        if let Some(notify) = self.waiting.borrow().get(service) {
+        if let Some(notify) = self.waiters.borrow().get(service) {
             notify.notify_waiters();
         }
     }
@@ -198,59 +201,59 @@
     fn drop_service(&self, service: &str) {
         self.guides.borrow_mut().remove(service);
         if service.is_empty() {
-            self.first.list(ListKind::Full, Vec::new());
-        } else if let Some(carried) = self.carried.borrow_mut().remove(service) {
-            carried.timers.abort();
-            // Kept connections are closed; an attempt that was given up may still be under way.
-            carried.gateway.list(ListKind::Full, Vec::new());
-            spawn_local(carried.gateway.run_timers_to_rest());
+            self.unnamed_gateway.list(ListKind::Full, Vec::new());
+        } else if let Some(removed) = self.gateways.borrow_mut().remove(service) {
+            removed.timer_task.abort();
+            // Pooled connections are closed; an abandoned attempt may still be in flight.
+            removed.gateway.list(ListKind::Full, Vec::new());
+            spawn_local(removed.gateway.run_timers_to_rest());
         }
         self.wake(service);
     }
 
-    /// Closes kept connections that are too old, in the services that may have any.
+    /// Closes expired pooled connections of the services that may have any, and updates the trust in hints.
     pub(crate) fn sweep(&self) {
-        self.look_at_trust();
+        self.update_hint_trust();
         let now = self.now();
-        let swept = self.first.site.conn_idle + STILL_SWEPT;
-        let carried = self.carried.borrow();
-        self.used.borrow_mut().retain(|service, at| {
-            let Some(carried) = carried.get(service) else { return false };
-            carried.gateway.sweep_servers();
-            now.saturating_sub(*at) < swept
+        let sweep_for = self.unnamed_gateway.site.conn_idle + SWEEP_MARGIN;
+        let gateways = self.gateways.borrow();
+        self.last_used.borrow_mut().retain(|service, used_at| {
+            let Some(entry) = gateways.get(service) else { return false };
+            entry.gateway.sweep_servers();
+            now.saturating_sub(*used_at) < sweep_for
         });
     }
 
-    /// What was met in some of the services that are in use.
+    /// Builds the next report of observations: the unnamed service's and those of the next few services in use.
     pub(crate) fn report(&self, now: Nanos) -> Option<Report> {
         let mut observed: Vec<(String, ServerObservation)> = Vec::new();
         {
-            let (used, mut reported) = (self.used.borrow(), self.reported.borrow_mut());
-            let after = used
-                .range::<str, _>((std::ops::Bound::Excluded(reported.as_str()), std::ops::Bound::Unbounded));
-            let turn: Vec<String> = after.take(REPORTED).map(|(service, _)| service.clone()).collect();
-            // From the first one on, where the last one has had its turn.
-            *reported = if turn.len() < REPORTED { String::new() } else { turn[REPORTED - 1].clone() };
-            let carried = self.carried.borrow();
-            let gateways = turn.iter().filter_map(|service| Some(&carried.get(service)?.gateway));
-            gateways.for_each(|gateway| observed.append(&mut gateway.observed()));
+            let (last_used, mut last_reported) = (self.last_used.borrow(), self.last_reported.borrow_mut());
+            let after = last_used
+                .range::<str, _>((std::ops::Bound::Excluded(last_reported.as_str()), std::ops::Bound::Unbounded));
+            let selected: Vec<String> = after.take(SERVICES_PER_REPORT).map(|(service, _)| service.clone()).collect();
+            // Starts over after the last service.
+            *last_reported = if selected.len() < SERVICES_PER_REPORT { String::new() } else { selected[SERVICES_PER_REPORT - 1].clone() };
+            let gateways = self.gateways.borrow();
+            let reporting = selected.iter().filter_map(|service| Some(&gateways.get(service)?.gateway));
+            reporting.for_each(|gateway| observed.append(&mut gateway.observed()));
         }
-        observed.append(&mut self.first.observed());
+        observed.append(&mut self.unnamed_gateway.observed());
         let mut rows = observed.iter().map(|(name, o)| (name.as_str(), *o));
         self.subscriber.borrow_mut().next_report(now, &mut rows)
     }
 
-    /// The service without a name is in use for good: some requests come without one.
-    pub(crate) async fn keep_nameless(self: Rc<Self>) {
+    /// Keeps the unnamed service in use for good: some requests name no service.
+    pub(crate) async fn keep_unnamed_service(self: Rc<Self>) {
         let mut pinned = false;
         loop {
-            // What turns out not to be there is asked for again, and pinned as it comes.
+            // An unknown service is requested again, and pinned when it becomes available.
             let held = matches!(self.want(""), Standing::Held(_));
             if held && !pinned {
                 self.began("");
             }
             pinned = held;
-            tokio::time::sleep(KEPT).await;
+            tokio::time::sleep(UNNAMED_REFRESH_INTERVAL).await;
         }
     }
 }
@@ -279,17 +282,17 @@
         if service.is_empty() {
             return;
         }
-        let mut used = self.used.borrow_mut();
-        if let Some(at) = used.get_mut(service) {
-            *at = now;
-        } else if self.carried.borrow().contains_key(service) {
-            used.insert(service.to_owned(), now);
+        let mut last_used = self.last_used.borrow_mut();
+        if let Some(used_at) = last_used.get_mut(service) {
+            *used_at = now;
+        } else if self.gateways.borrow().contains_key(service) {
+            last_used.insert(service.to_owned(), now);
         }
     }
 
     fn changed(&self, service: &str) -> Pin<Box<dyn Future<Output = ()>>> {
-        let notify = self.waiting.borrow_mut().entry(service.to_owned()).or_default().clone();
-        let waiter = Waiter { waiting: self.waiting.clone(), service: service.to_owned(), notify };
+        let notify = self.waiters.borrow_mut().entry(service.to_owned()).or_default().clone();
+        let waiter = Waiter { waiters: self.waiters.clone(), service: service.to_owned(), notify };
         Box::pin(async move { waiter.notify.notified().await })
     }
 }
--- a/crates/node/src/services/forwarder.rs
+++ b/crates/node/src/services/forwarder.rs
@@ -1,4 +1,4 @@
-//! The forwarder's role by services: a connection to one planner at a time, and the directory that it feeds.
+//! The forwarder's role with services: keeps a connection to one planner at a time and feeds the directory from it.
 
 use super::directory::Directory;
 use super::table::ForwarderServices;
@@ -22,41 +22,41 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// A planner that does not take a connection by then is not there.
-const CONNECT: Duration = Duration::from_millis(500);
+/// How long a planner may take to accept a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Starts to follow the planners; where requests name services, and who knows these.
+/// Starts the subscription to the planners; returns where requests name their service and the directory that resolves it.
 pub(crate) fn start(
     gateway: &Rc<Gateway>,
     site: &Site,
     forward: &ForwarderSettings,
     peers: &PeerSettings,
     tls: &Tls,
-    own: &ForwarderServices,
+    services: &ForwarderServices,
 ) -> Routing {
     let now = gateway.clock.now();
     let settings = subscriber::Settings {
         name: peers.name.clone(),
         site: peers.site.clone(),
         planners: forward.planners.iter().map(SocketAddr::to_string).collect(),
-        most_services: own.max_services,
-        most_bytes: own.max_service_bytes,
-        unused_after: own.unused_timeout,
-        unknown_for: own.unknown_ttl,
-        bytes_per_second: own.report_bytes.into(),
-        burst: own.report_burst.into(),
-        takes_per_second: own.update_bytes.into(),
-        takes_burst: own.update_burst.into(),
+        most_services: services.max_services,
+        most_bytes: services.max_service_bytes,
+        unused_after: services.unused_timeout,
+        unknown_for: services.unknown_ttl,
+        bytes_per_second: services.report_bytes.into(),
+        burst: services.report_burst.into(),
+        takes_per_second: services.update_bytes.into(),
+        takes_burst: services.update_burst.into(),
         seed: gateway.site.seed ^ laurelroute_core::mix(peers.name.as_bytes()) ^ now,
     };
-    if !gateway.site.settings.tenant_quota.is_empty() && own.place != Place::Nowhere {
-        tracing::warn!("tenants' shares count for the service without a name only");
+    if !gateway.site.settings.tenant_quota.is_empty() && services.name_source != Place::Nowhere {
+        tracing::warn!("tenant quotas apply only to the unnamed service");
     }
     let thrift = site.thrift.as_ref();
     let directory = Directory::new(gateway.clone(), settings, thrift.and_then(|t| t.port));
-    // Thrift calls name none.
-    if thrift.is_some() || own.place == Place::Nowhere {
-        spawn_local(directory.clone().keep_nameless());
+    // Thrift calls do not name a service.
+    if thrift.is_some() || services.name_source == Place::Nowhere {
+        spawn_local(directory.clone().keep_unnamed_service());
     }
     let identity = Identity {
         role: Role::Forwarder,
@@ -66,46 +66,47 @@
         zone: gateway.site.settings.zone,
         services: true,
     };
-    spawn_local(keep(directory.clone(), gateway.clone(), identity, forward.planners.clone(), tls.clone()));
-    let swept = directory.clone();
+    spawn_local(subscribe(directory.clone(), gateway.clone(), identity, forward.planners.clone(), tls.clone()));
+    let sweeping = directory.clone();
     spawn_local(async move {
         loop {
             tokio::time::sleep(SWEEP).await;
-            swept.sweep();
+            sweeping.sweep();
         }
     });
-    Routing { place: own.place.clone(), services: directory }
+    Routing { place: services.name_source.clone(), services: directory }
 }
 
-async fn keep(
+/// Keeps a subscription to one of the planners, for good.
+async fn subscribe(
     directory: Rc<Directory>,
     gateway: Rc<Gateway>,
     identity: Identity,
     planners: Vec<SocketAddr>,
     tls: Tls,
 ) {
-    let seldom = RefCell::new(RateLimitedWarning::default());
-    let noted = |place: usize, word: Result<&Hello, &SessionError>| match word {
+    let warnings = RefCell::new(RateLimitedWarning::default());
+    let on_session_change = |index: usize, outcome: Result<&Hello, &SessionError>| match outcome {
         Ok(planner) => {
-            tracing::info!("planner {}: `{}` is there", planners[place], planner.name.escape_debug());
+            tracing::info!("planner {}: connected to `{}`", planners[index], planner.name.escape_debug());
             gateway.set_ready();
         }
         Err(error) => {
-            seldom.borrow_mut().warn(|more| format!("planner {}: {error}{more}", planners[place]));
+            warnings.borrow_mut().warn(|more| format!("planner {}: {error}{more}", planners[index]));
         }
     };
-    let (now, changed) = (|| directory.now(), || directory.take_changes());
+    let (now, changed) = (|| directory.now(), || directory.apply_changes());
     let subscribing = Subscribing {
         subscriber: &directory.subscriber,
         now: &now,
         wanted: &directory.wanted,
         changed: &changed,
         report: &|now| directory.report(now),
-        noted: &noted,
+        noted: &on_session_change,
     };
     let (planners, tls) = (&planners, &tls);
-    let connect = |place: usize| async move {
-        let stream = timeout(CONNECT, establish(planners[place])).await??;
+    let connect = |index: usize| async move {
+        let stream = timeout(CONNECT_TIMEOUT, establish(planners[index])).await??;
         stream.set_nodelay(true)?;
         tls.connect(Retried::new(stream)).await
     };
--- a/crates/node/src/services/mod.rs
+++ b/crates/node/src/services/mod.rs
@@ -1,5 +1,5 @@
-//! Services by subscription, for the two roles: who holds all services ([`planner`]) and who holds those that its requests
-//! name ([`forwarder`], [`directory`]). What the operator's file says of it is read in [`table`].
+//! Service discovery by subscription. Planners hold all services ([`planner`]); forwarders subscribe to the services that
+//! their requests name ([`forwarder`], [`directory`]). The settings are in [`table`].
 
 pub(crate) mod directory;
 pub(crate) mod forwarder;
--- a/crates/node/src/services/planner.rs
+++ b/crates/node/src/services/planner.rs
@@ -1,7 +1,7 @@
-//! The planner's role by services: discovery's list in, changes of services out to those who subscribe to them.
+//! The planner's role with services: takes discovery's list and publishes changes of services to their subscribers.
 //!
-//! One thread, no disk. A peer that does not prove itself gets nothing; one that does is bounded in messages (the
-//! channel), in what it asks for (the publisher) and in time.
+//! Runs on one thread without disk access. A peer that does not authenticate gets nothing; one that does is limited in message
+//! size (by the channel), in its subscriptions (by the publisher) and in time.
 
 use super::table::PlannerServices;
 use crate::discovery::{Sink, Watcher};
@@ -26,37 +26,38 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// Where nothing can be accepted, as descriptors are used up.
-const EXHAUSTED: Duration = Duration::from_millis(50);
-/// TLS and the first word. Where another planner has died, hundreds of forwarders come in the same second.
-const HANDSHAKE: Duration = Duration::from_secs(5);
-/// Connections beyond those of forwarders: who is being replaced, who is turned away, and who asks.
-const OTHERS: usize = 2_000;
+/// Pause after a failed accept, for example when descriptors are exhausted.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// Limit for TLS and the hello. After another planner has failed, hundreds of forwarders connect within a second.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Connections beyond the maximum number of forwarders: replaced forwarders, rejected peers and operators' queries.
+const EXTRA_CONNECTIONS: usize = 2_000;
 
-struct Desk {
+/// The publishing planner and its connections.
+struct PublishingServer {
     publishing: Rc<Publishing>,
     identity: Identity,
     tls: Tls,
-    most_peers: usize,
-    peers: Cell<usize>,
-    log: RefCell<RateLimitedWarning>,
-    dropped: RefCell<RateLimitedWarning>,
+    max_connections: usize,
+    connections: Cell<usize>,
+    warnings: RefCell<RateLimitedWarning>,
+    dropped_warnings: RefCell<RateLimitedWarning>,
 }
 
-/// Counts a peer for as long as it lives.
-struct Seat(Rc<Desk>);
+/// Counts a connection while it is open.
+struct ConnectionGuard(Rc<PublishingServer>);
 
-impl Drop for Seat {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        self.0.peers.set(self.0.peers.get() - 1);
+        self.0.connections.set(self.0.connections.get() - 1);
     }
 }
 
-/// Starts to publish; `watch` makes a watcher of discovery that tells a sink.
+/// Starts publishing; `watch` creates the watcher that passes discovery's list to a sink.
 pub(crate) fn start(
     peers: &PeerSettings,
     plan: &PlannerSettings,
-    own: &PlannerServices,
+    services: &PlannerServices,
     watch: impl FnOnce(Sink) -> Watcher,
 ) -> Result<(), StartError> {
     let tls = peers.tls().map_err(RoleError::from)?;
@@ -66,15 +67,15 @@
         site: peers.site.clone(),
         life,
         planners: plan.planners,
-        most_forwarders: own.max_forwarders,
-        bytes_per_second: own.update_bytes.into(),
-        burst: own.update_burst.into(),
-        drain_bytes_per_second: own.drain_bytes.into(),
-        drain_burst: own.drain_burst.into(),
+        most_forwarders: services.max_forwarders,
+        bytes_per_second: services.update_bytes.into(),
+        burst: services.update_burst.into(),
+        drain_bytes_per_second: services.drain_bytes.into(),
+        drain_burst: services.drain_burst.into(),
     };
     let listener = listen(plan.listen)?;
     let publisher = Publisher::new(clock.now(), settings);
-    let desk = Rc::new(Desk {
+    let server = Rc::new(PublishingServer {
         publishing: Rc::new(Publishing::new(publisher, Box::new(move || clock.now()))),
         identity: Identity {
             role: Role::Planner,
@@ -85,23 +86,24 @@
             services: true,
         },
         tls,
-        most_peers: own.max_forwarders + OTHERS,
-        peers: Cell::new(0),
-        log: RefCell::default(),
-        dropped: RefCell::default(),
+        max_connections: services.max_forwarders + EXTRA_CONNECTIONS,
+        connections: Cell::new(0),
+        warnings: RefCell::default(),
+        dropped_warnings: RefCell::default(),
     });
-    spawn_local(watch(desk.sink()).with_all_addresses().with_services().follow());
-    let publishing = desk.publishing.clone();
+    spawn_local(watch(server.sink()).with_all_addresses().with_services().follow());
+    let publishing = server.publishing.clone();
     spawn_local(async move { publishing.tick().await });
-    spawn_local(desk.accept(listener));
+    spawn_local(server.accept(listener));
     Ok(())
 }
 
-impl Desk {
+impl PublishingServer {
+    /// A sink that publishes discovery's list.
     fn sink(self: &Rc<Self>) -> Sink {
-        let desk = self.clone();
+        let server = self.clone();
         Box::new(move |kind, version, entries| {
-            // The configuration's list may be hours old: forwarders with a better one must not hear of it.
+            // The configuration's list may be hours old and must not reach forwarders that have a newer one.
             if matches!(kind, ListKind::Failed | ListKind::Cached) {
                 return;
             }
@@ -110,13 +112,13 @@
                 Listed { services, member: source::to_member(entry) }
             });
             let listed = listed.collect();
-            let whole = kind == ListKind::Full;
-            let dropped = desk.publishing.with(|p, now| p.list(now, version, whole, listed));
+            let full = kind == ListKind::Full;
+            let dropped = server.publishing.with(|p, now| p.list(now, version, full, listed));
             if dropped != Dropped::default() {
                 let Dropped { servers, services, names } = dropped;
-                desk.dropped.borrow_mut().warn(|more| {
+                server.dropped_warnings.borrow_mut().warn(|more| {
                     format!(
-                        "list {version}: not taken in: {servers} servers and {services} services beyond the \
+                        "list {version}: ignored {servers} servers and {services} services beyond the \
                          limits, {names} names that are empty or too long{more}"
                     )
                 });
@@ -124,53 +126,56 @@
         })
     }
 
+    /// Accepts peers for good.
     async fn accept(self: Rc<Self>, listener: TcpListener) {
         loop {
             let (stream, address) = match listener.accept().await {
                 Ok(accepted) => accepted,
                 Err(error) => {
-                    self.log.borrow_mut().warn(|more| format!("cannot accept: {error}{more}"));
-                    tokio::time::sleep(EXHAUSTED).await;
+                    self.warnings.borrow_mut().warn(|more| format!("cannot accept: {error}{more}"));
+                    tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await;
                     continue;
                 }
             };
-            let most = self.most_peers;
-            if self.peers.get() >= most {
-                self.log.borrow_mut().warn(|more| format!("{address}: {most} peers are here already{more}"));
+            let max = self.max_connections;
+            if self.connections.get() >= max {
+                self.warnings.borrow_mut().warn(|more| format!("{address}: rejected, {max} peers are connected already{more}"));
                 continue;
             }
-            self.peers.set(self.peers.get() + 1);
-            let seat = Seat(self.clone());
+            self.connections.set(self.connections.get() + 1);
+            let guard = ConnectionGuard(self.clone());
             spawn_local(async move {
-                if let Err(error) = seat.0.serve(stream).await {
-                    seat.0.log.borrow_mut().warn(|more| format!("{address}: {error}{more}"));
+                if let Err(error) = guard.0.serve(stream).await {
+                    guard.0.warnings.borrow_mut().warn(|more| format!("{address}: {error}{more}"));
                 }
             });
         }
     }
 
+    /// Serves one peer: a forwarder's subscription or an operator's query.
     async fn serve(&self, stream: TcpStream) -> Result<(), SessionError> {
         stream.set_nodelay(true)?;
-        let greeted = async {
+        let handshake = async {
             let mut stream = self.tls.accept(Retried::new(stream)).await?;
             let roles = [Role::Forwarder, Role::Asker];
             let peer = hello::heard(&mut stream, &self.identity, &roles).await?;
             Ok::<_, SessionError>((stream, peer))
         };
-        let (mut stream, peer) = timeout(HANDSHAKE, greeted).await.map_err(|_| SessionError::Silent)??;
+        let (mut stream, peer) = timeout(HANDSHAKE_TIMEOUT, handshake).await.map_err(|_| SessionError::Silent)??;
         match peer.role() {
             Role::Asker => {
-                let told = async {
+                let explanation = async {
                     hello::answered(&mut stream, &self.identity).await?;
-                    Ok(self.tell(&mut stream).await?)
+                    Ok(self.answer_query(&mut stream).await?)
                 };
-                timeout(HANDSHAKE, told).await.map_err(|_| SessionError::Silent)?
+                timeout(HANDSHAKE_TIMEOUT, explanation).await.map_err(|_| SessionError::Silent)?
             }
             _ => self.publishing.lead(stream, &self.identity, &peer).await,
         }
     }
 
-    async fn tell<S: AsyncRead + AsyncWrite + Unpin>(&self, stream: &mut S) -> Result<(), FrameError> {
+    /// Answers an operator's query.
+    async fn answer_query<S: AsyncRead + AsyncWrite + Unpin>(&self, stream: &mut S) -> Result<(), FrameError> {
         if let Some(Body::Ask(ask)) = frames::read(stream).await? {
             let text = self.publishing.with(|publisher, now| publisher.explain(now, &ask));
             frames::write(stream, Body::Told(Told { text })).await?;
--- a/crates/node/src/services/table.rs
+++ b/crates/node/src/services/table.rs
@@ -1,4 +1,5 @@
-//! The operator's file on services by subscription: keys of `[forward]` and `[plan]` that count with `services = true`.
+//! The service subscription keys of the operator's file: the keys of `[forward]` and `[plan]` that apply with
+//! `services = true`.
 
 use crate::site::{SiteError, Validator};
 use hyper::header::HeaderName;
@@ -7,15 +8,19 @@
 use toml::{Spanned, Value};
 
 const SECOND: Nanos = 1_000_000_000;
-const MOST_SECONDS: u64 = 86_400;
-/// Bytes a second, or at once, to or from one forwarder.
-const MOST_BYTES: u32 = 10_000_000;
-/// A forwarder holds what its requests name; one that should hold all would be better off as a one-level node.
-const MOST_SERVICES: u32 = 10_000;
-const MOST_SERVICE_BYTES: u32 = 1 << 30;
-const MOST_FORWARDERS: u32 = 100_000;
+/// Upper bound of the durations: one day.
+const MAX_SECONDS: u64 = 86_400;
+/// Upper bound of the traffic to or from one forwarder, in bytes per second or as a burst.
+const MAX_TRAFFIC_BYTES: u32 = 10_000_000;
+/// Upper bound of the services that a forwarder holds. A forwarder holds those that its requests name; where it would have to
+/// hold all, a node without planners fits better.
+const MAX_SERVICES: u32 = 10_000;
+/// Upper bound of the memory for services, in bytes.
+const MAX_SERVICE_BYTES: u32 = 1 << 30;
+/// Upper bound of the forwarders of one planner.
+const MAX_FORWARDERS: u32 = 100_000;
 
-/// Keys of `[forward]`.
+/// The service keys of `[forward]`, not yet validated.
 #[derive(Debug)]
 pub(crate) struct ForwarderServicesTable {
     pub(crate) services: Option<Spanned<bool>>,
@@ -29,7 +34,7 @@
     pub(crate) update_burst: Option<Spanned<u32>>,
 }
 
-/// Keys of `[plan]`.
+/// The service keys of `[plan]`, not yet validated.
 #[derive(Debug)]
 pub(crate) struct PlannerServicesTable {
     pub(crate) services: Option<Spanned<bool>>,
@@ -40,60 +45,61 @@
     pub(crate) drain_burst: Option<Spanned<u32>>,
 }
 
-/// How a forwarder uses services.
+/// Service settings of a forwarder.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ForwarderServices {
-    /// Where a request's service stands.
-    pub place: Place,
-    /// Services held at most.
+    /// Where a request names its service.
+    pub name_source: Place,
+    /// Maximum number of services held.
     pub max_services: usize,
-    /// Bytes that they may take at most.
+    /// Maximum memory for the services held, in bytes.
     pub max_service_bytes: usize,
-    /// A service that no request has named for so long is dropped.
+    /// A service is dropped after this time without a request that names it.
     pub unused_timeout: Nanos,
-    /// That a service does not exist is remembered for so long.
+    /// How long an unknown service is remembered as such.
     pub unknown_ttl: Nanos,
-    /// Bytes a second that it says to its planner.
+    /// Rate limit for reports to the planner, in bytes per second.
     pub report_bytes: u32,
-    /// Bytes beyond that at once.
+    /// Burst allowed beyond `report_bytes`, in bytes.
     pub report_burst: u32,
-    /// Bytes a second that it takes, over all planners.
+    /// Rate limit for updates from all planners, in bytes per second.
     pub update_bytes: u32,
-    /// Bytes beyond that at once.
+    /// Burst allowed beyond `update_bytes`, in bytes.
     pub update_burst: u32,
 }
 
-/// What a planner publishes.
+/// Service settings of a planner.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannerServices {
-    /// Forwarders that it takes at most.
+    /// Maximum number of forwarders.
     pub max_forwarders: usize,
-    /// Bytes a second to one forwarder.
+    /// Rate limit for updates to one forwarder, in bytes per second.
     pub update_bytes: u32,
-    /// Bytes beyond that at once.
+    /// Burst allowed beyond `update_bytes`, in bytes.
     pub update_burst: u32,
-    /// The same for drains and leavings.
+    /// Separate rate limit for drains and removals of servers, in bytes per second.
     pub drain_bytes: u32,
-    /// See `drain_bytes`.
+    /// Burst allowed beyond `drain_bytes`, in bytes.
     pub drain_burst: u32,
 }
 
-/// Refuses keys that count only with services, where there are none.
-fn unused(
+/// Rejects keys that require `services = true` where it is not set.
+fn reject_unused(
     validator: &Validator<'_>,
-    part: &str,
+    section: &str,
     keys: impl IntoIterator<Item = (&'static str, Option<usize>)>,
 ) -> Result<(), SiteError> {
     match keys.into_iter().find_map(|(key, at)| Some((key, at?))) {
         Some((key, at)) => {
-            let message = format!("`{part}.{key}` counts only with `services = true`");
+            let message = format!("`{section}.{key}` applies only with `services = true`");
             Err(validator.error(Some(at), message))
         }
         None => Ok(()),
     }
 }
 
-fn start<T>(value: &Option<Spanned<T>>) -> Option<usize> {
+/// Position of a value in the file.
+fn position<T>(value: &Option<Spanned<T>>) -> Option<usize> {
     value.as_ref().map(|v| v.span().start)
 }
 
@@ -105,39 +111,39 @@
     ) -> Result<Option<ForwarderServices>, SiteError> {
         if !self.services.is_some_and(Spanned::into_inner) {
             let keys = [
-                ("service", start(&self.service)),
-                ("most_services", start(&self.most_services)),
-                ("most_service_bytes", start(&self.most_service_bytes)),
-                ("unused_seconds", start(&self.unused_seconds)),
-                ("unknown_seconds", start(&self.unknown_seconds)),
-                ("report_burst", start(&self.report_burst)),
-                ("update_bytes", start(&self.update_bytes)),
-                ("update_burst", start(&self.update_burst)),
+                ("service", position(&self.service)),
+                ("most_services", position(&self.most_services)),
+                ("most_service_bytes", position(&self.most_service_bytes)),
+                ("unused_seconds", position(&self.unused_seconds)),
+                ("unknown_seconds", position(&self.unknown_seconds)),
+                ("report_burst", position(&self.report_burst)),
+                ("update_bytes", position(&self.update_bytes)),
+                ("update_burst", position(&self.update_burst)),
             ];
-            return unused(validator, "forward", keys).map(|()| None);
+            return reject_unused(validator, "forward", keys).map(|()| None);
         }
         let number =
-            |key: &str, value, most, or| validator.bounded_number(&format!("forward.{key}"), value, most, or);
-        let seconds = |key: &str, value, or| {
-            validator.bounded_number(&format!("forward.{key}"), value, MOST_SECONDS, or).map(|s| s * SECOND)
+            |key: &str, value, max, default| validator.bounded_number(&format!("forward.{key}"), value, max, default);
+        let seconds = |key: &str, value, default| {
+            validator.bounded_number(&format!("forward.{key}"), value, MAX_SECONDS, default).map(|s| s * SECOND)
         };
         Ok(Some(ForwarderServices {
-            place: self.service.map_or(Ok(Place::Nowhere), |value| place(validator, &value))?,
-            max_services: number("most_services", self.most_services, MOST_SERVICES, 1_000)? as usize,
-            max_service_bytes: number("most_service_bytes", self.most_service_bytes, MOST_SERVICE_BYTES, 16 << 20)?
+            name_source: self.service.map_or(Ok(Place::Nowhere), |value| name_source(validator, &value))?,
+            max_services: number("most_services", self.most_services, MAX_SERVICES, 1_000)? as usize,
+            max_service_bytes: number("most_service_bytes", self.most_service_bytes, MAX_SERVICE_BYTES, 16 << 20)?
                 as usize,
             unused_timeout: seconds("unused_seconds", self.unused_seconds, 600)?,
             unknown_ttl: seconds("unknown_seconds", self.unknown_seconds, 10)?,
-            report_bytes: number("report_bytes", report_bytes, MOST_BYTES, 1_500)?,
-            report_burst: number("report_burst", self.report_burst, MOST_BYTES, 8_000)?,
-            update_bytes: number("update_bytes", self.update_bytes, MOST_BYTES, 7_000)?,
-            update_burst: number("update_burst", self.update_burst, MOST_BYTES, 36_000)?,
+            report_bytes: number("report_bytes", report_bytes, MAX_TRAFFIC_BYTES, 1_500)?,
+            report_burst: number("report_burst", self.report_burst, MAX_TRAFFIC_BYTES, 8_000)?,
+            update_bytes: number("update_bytes", self.update_bytes, MAX_TRAFFIC_BYTES, 7_000)?,
+            update_burst: number("update_burst", self.update_burst, MAX_TRAFFIC_BYTES, 36_000)?,
         }))
     }
 }
 
-/// `"host"` or `{ header = "NAME" }`.
-fn place(validator: &Validator<'_>, value: &Spanned<Value>) -> Result<Place, SiteError> {
+/// Parses `"host"` or `{ header = "NAME" }`.
+fn name_source(validator: &Validator<'_>, value: &Spanned<Value>) -> Result<Place, SiteError> {
     let header = |table: &toml::Table| match table.get("header") {
         Some(Value::String(name)) if table.len() == 1 => HeaderName::try_from(name.as_str()).ok(),
         _ => None,
@@ -147,7 +153,7 @@
         Value::Table(table) => header(table).map(Place::Header),
         _ => None,
     }
-    .ok_or_else(|| validator.error_at(value, "`forward.service` has to be \"host\" or { header = \"NAME\" }"))
+    .ok_or_else(|| validator.error_at(value, "`forward.service` must be \"host\" or { header = \"NAME\" }"))
 }
 
 impl PlannerServicesTable {
@@ -158,23 +164,23 @@
     pub(crate) fn validate(self, validator: &Validator<'_>) -> Result<Option<PlannerServices>, SiteError> {
         if !self.enabled() {
             let keys = [
-                ("most_forwarders", start(&self.most_forwarders)),
-                ("update_bytes", start(&self.update_bytes)),
-                ("update_burst", start(&self.update_burst)),
-                ("drain_bytes", start(&self.drain_bytes)),
-                ("drain_burst", start(&self.drain_burst)),
+                ("most_forwarders", position(&self.most_forwarders)),
+                ("update_bytes", position(&self.update_bytes)),
+                ("update_burst", position(&self.update_burst)),
+                ("drain_bytes", position(&self.drain_bytes)),
+                ("drain_burst", position(&self.drain_burst)),
             ];
-            return unused(validator, "plan", keys).map(|()| None);
+            return reject_unused(validator, "plan", keys).map(|()| None);
         }
         let number =
-            |key: &str, value, most, or| validator.bounded_number(&format!("plan.{key}"), value, most, or);
+            |key: &str, value, max, default| validator.bounded_number(&format!("plan.{key}"), value, max, default);
         Ok(Some(PlannerServices {
-            max_forwarders: number("most_forwarders", self.most_forwarders, MOST_FORWARDERS, 10_000)?
+            max_forwarders: number("most_forwarders", self.most_forwarders, MAX_FORWARDERS, 10_000)?
                 as usize,
-            update_bytes: number("update_bytes", self.update_bytes, MOST_BYTES, 7_000)?,
-            update_burst: number("update_burst", self.update_burst, MOST_BYTES, 36_000)?,
-            drain_bytes: number("drain_bytes", self.drain_bytes, MOST_BYTES, 1_500)?,
-            drain_burst: number("drain_burst", self.drain_burst, MOST_BYTES, 4_000)?,
+            update_bytes: number("update_bytes", self.update_bytes, MAX_TRAFFIC_BYTES, 7_000)?,
+            update_burst: number("update_burst", self.update_burst, MAX_TRAFFIC_BYTES, 36_000)?,
+            drain_bytes: number("drain_bytes", self.drain_bytes, MAX_TRAFFIC_BYTES, 1_500)?,
+            drain_burst: number("drain_burst", self.drain_burst, MAX_TRAFFIC_BYTES, 4_000)?,
         }))
     }
 }
--- a/crates/node/src/shift/api.rs
+++ b/crates/node/src/shift/api.rs
@@ -1,4 +1,4 @@
-//! The shift at the second address: `GET /_shift`, `POST /_shift/VERB/WHO/WHY`, and `POST /_shift/insist/VERB/WHO/WHY`.
+//! The shift's calls at the management address: `GET /_shift`, `POST /_shift/VERB/WHO/WHY`, and `POST /_shift/insist/VERB/WHO/WHY`.
 
 use crate::management::percent_encode;
 use hyper::StatusCode;
@@ -7,8 +7,9 @@
 use laurelroute_shift::explain;
 use std::rc::Rc;
 
-/// Letters of who and why at most.
-const MOST_TEXT: usize = 256;
+/// Maximum length of an operator's name and of a reason, in characters.
+const MAX_TEXT_CHARS: usize = 256;
+/// Names of the verbs in paths.
 const VERBS: [(&str, Verb); 6] = [
     ("start", Verb::Start),
     ("hold", Verb::Hold),
@@ -17,39 +18,40 @@
     ("finish", Verb::Finish),
     ("abandon", Verb::Abandon),
 ];
-const NONE: &str = "the operator's file names no shift";
+const NO_SHIFT: &str = "the operator's file names no shift";
 
-/// What is to be said of the shift, as JSON.
+/// Reports the shift's status as JSON.
 pub(crate) fn status(gateway: &Rc<Gateway>) -> (StatusCode, String) {
     let now = gateway.clock.now();
-    let status = gateway.shift(|f| serde_json::to_string(&explain::status(&f.course, now)));
+    let status = gateway.shift(|follower| serde_json::to_string(&explain::status(&follower.course, now)));
     match status {
         Some(Ok(json)) => (StatusCode::OK, json),
         Some(Err(error)) => (StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
-        None => (StatusCode::NOT_FOUND, NONE.to_owned()),
+        None => (StatusCode::NOT_FOUND, NO_SHIFT.to_owned()),
     }
 }
 
-/// An operator's word, from the rest of the path.
+/// Applies an operator's command, given by the rest of the path.
 pub(crate) fn apply_command(
     gateway: &Rc<Gateway>,
     rest: &str,
     decode: fn(&str) -> Option<String>,
 ) -> (StatusCode, String) {
-    let Some(word) = word(rest, decode) else {
+    let Some(command) = parse_command(rest, decode) else {
         return (StatusCode::BAD_REQUEST, "that is no word on a shift".to_owned());
     };
-    match gateway.say_to_shift(&word) {
-        None => (StatusCode::NOT_FOUND, NONE.to_owned()),
+    match gateway.say_to_shift(&command) {
+        None => (StatusCode::NOT_FOUND, NO_SHIFT.to_owned()),
         Some(Err(refused)) => (StatusCode::CONFLICT, refused.to_string()),
         Some(Ok(_)) => {
-            let name = gateway.shift(|f| f.course.state_name()).unwrap_or_default();
+            let name = gateway.shift(|follower| follower.course.state_name()).unwrap_or_default();
             (StatusCode::OK, format!("the shift is {name}"))
         }
     }
 }
 
-fn word(rest: &str, decode: fn(&str) -> Option<String>) -> Option<Word> {
+/// Parses `VERB/WHO/WHY` or `insist/VERB/WHO/WHY`.
+fn parse_command(rest: &str, decode: fn(&str) -> Option<String>) -> Option<Word> {
     let (insist, rest) = match rest.strip_prefix("insist/") {
         Some(rest) => (true, rest),
         None => (false, rest),
@@ -57,14 +59,14 @@
     let mut parts = rest.split('/');
     let name = parts.next()?;
     let (_, verb) = *VERBS.iter().find(|(n, _)| *n == name)?;
-    let text = |part: Option<&str>| decode(part?).filter(|t| t.chars().count() <= MOST_TEXT);
+    let text = |part: Option<&str>| decode(part?).filter(|t| t.chars().count() <= MAX_TEXT_CHARS);
     let (who, why) = (text(parts.next())?, text(parts.next())?);
     parts.next().is_none().then_some(Word { verb, who, why, insist })
 }
 
-/// The path of a word.
-pub(crate) fn command_path(word: &Word) -> String {
-    let name = VERBS.iter().find(|(_, v)| *v == word.verb).map_or("", |(n, _)| n);
-    let insist = if word.insist { "insist/" } else { "" };
-    format!("/_shift/{insist}{name}/{}/{}", percent_encode(&word.who), percent_encode(&word.why))
+/// The request path of a command.
+pub(crate) fn command_path(command: &Word) -> String {
+    let name = VERBS.iter().find(|(_, v)| *v == command.verb).map_or("", |(n, _)| n);
+    let insist = if command.insist { "insist/" } else { "" };
+    format!("/_shift/{insist}{name}/{}/{}", percent_encode(&command.who), percent_encode(&command.why))
 }
--- a/crates/node/src/shift/cli.rs
+++ b/crates/node/src/shift/cli.rs
@@ -1,4 +1,4 @@
-//! `laurelroute shift`.
+//! The `laurelroute shift` subcommands: control a running node's traffic shift and print its status.
 
 use crate::management_client::{request, ManagementError, ManagementRequest};
 use clap::{Args, Subcommand};
@@ -6,100 +6,102 @@
 use laurelroute_shift::explain::Status;
 use std::net::SocketAddr;
 
-/// Rows of a status for people.
-const ROWS: usize = 12;
+/// Comparison rows in the text form of the status.
+const STATUS_ROWS: usize = 12;
 
+/// Subcommands of `laurelroute shift`.
 #[derive(Debug, Subcommand)]
 pub(crate) enum ShiftCommand {
-    /// Begins the shift, or begins it again after an undo.
-    Start(Say),
-    /// Stands still where it is; what alarms is taken back all the same.
-    Hold(Say),
-    /// Goes on where it was held, or climbs a step whatever the evidence.
-    Advance(Say),
-    /// Takes everything back to the old pool.
-    Undo(Say),
-    /// Gives everything to the new pool.
-    Finish(Say),
-    /// Forgets the shift: pools are no longer told apart.
-    Abandon(Say),
-    /// Where it is, why it stands there, and the most doubtful comparisons.
+    /// Starts the shift, or restarts it after an undo.
+    Start(CommandOptions),
+    /// Holds the shift at its current step; an alarm still takes traffic back.
+    Hold(CommandOptions),
+    /// Resumes a held shift, or advances by one step regardless of the evidence.
+    Advance(CommandOptions),
+    /// Moves all traffic back to the old pool.
+    Undo(CommandOptions),
+    /// Moves all traffic to the new pool.
+    Finish(CommandOptions),
+    /// Ends the shift: requests are balanced without regard to the pools.
+    Abandon(CommandOptions),
+    /// Prints the current step, the reason for it and the most suspicious comparisons.
     Status {
-        /// As JSON.
+        /// Print JSON.
         #[arg(long)]
         json: bool,
     },
-    /// The status and how it came about: who changed what, and by what evidence.
+    /// Prints the status and its history: who changed what, and on what evidence.
     Explain {
-        /// As JSON.
+        /// Print JSON.
         #[arg(long)]
         json: bool,
     },
-    /// The status, live; plain lines where there is no terminal.
+    /// Shows the status live; prints plain lines where there is no terminal.
     Watch {
-        /// Seconds between two looks.
+        /// Seconds between two updates.
         #[arg(long, default_value_t = 1.0)]
         every: f64,
     },
 }
 
+/// Options of the subcommands that change the shift.
 #[derive(Debug, Args)]
-pub(crate) struct Say {
-    /// Why; kept in the journal.
+pub(crate) struct CommandOptions {
+    /// Reason for the change, recorded in the journal.
     #[arg(long, default_value = "")]
     why: String,
-    /// Who; else the user of this process.
+    /// Operator's name; defaults to the user of this process.
     #[arg(long)]
     who: Option<String>,
-    /// Whatever speaks against it.
+    /// Apply the change despite objections.
     #[arg(long)]
     insist: bool,
 }
 
-/// Why a call on a shift came to nothing.
+/// Why a `laurelroute shift` subcommand failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ShiftCommandError {
     #[error("{0}")]
     Call(#[from] ManagementError),
-    #[error("the node's answer cannot be read: {0}")]
-    Odd(#[from] serde_json::Error),
+    #[error("invalid response from the node: {0}")]
+    InvalidResponse(#[from] serde_json::Error),
     #[error("terminal: {0}")]
     Terminal(#[from] std::io::Error),
 }
 
-pub(crate) fn run(call: &ShiftCommand, at: Option<SocketAddr>) -> Result<(), ShiftCommandError> {
-    let (verb, say) = match call {
-        ShiftCommand::Start(say) => (Verb::Start, say),
-        ShiftCommand::Hold(say) => (Verb::Hold, say),
-        ShiftCommand::Advance(say) => (Verb::Advance, say),
-        ShiftCommand::Undo(say) => (Verb::Undo, say),
-        ShiftCommand::Finish(say) => (Verb::Finish, say),
-        ShiftCommand::Abandon(say) => (Verb::Abandon, say),
-        ShiftCommand::Status { json } => return show(at, *json, false),
-        ShiftCommand::Explain { json } => return show(at, *json, true),
+pub(crate) fn run(command: &ShiftCommand, at: Option<SocketAddr>) -> Result<(), ShiftCommandError> {
+    let (verb, options) = match command {
+        ShiftCommand::Start(options) => (Verb::Start, options),
+        ShiftCommand::Hold(options) => (Verb::Hold, options),
+        ShiftCommand::Advance(options) => (Verb::Advance, options),
+        ShiftCommand::Undo(options) => (Verb::Undo, options),
+        ShiftCommand::Finish(options) => (Verb::Finish, options),
+        ShiftCommand::Abandon(options) => (Verb::Abandon, options),
+        ShiftCommand::Status { json } => return print_status(at, *json, false),
+        ShiftCommand::Explain { json } => return print_status(at, *json, true),
         ShiftCommand::Watch { every } => return super::watch::run(at, *every),
     };
-    let user = || std::env::var("USER").unwrap_or_else(|_| "operator".to_owned());
-    let who = say.who.clone().unwrap_or_else(user);
-    let word = Word { verb, who, why: say.why.clone(), insist: say.insist };
+    let default_who = || std::env::var("USER").unwrap_or_else(|_| "operator".to_owned());
+    let who = options.who.clone().unwrap_or_else(default_who);
+    let word = Word { verb, who, why: options.why.clone(), insist: options.insist };
     println!("{}", request(&ManagementRequest::ShiftCommand(word), at)?);
     Ok(())
 }
 
-/// The status of a running node's shift.
-pub(super) fn status(at: Option<SocketAddr>) -> Result<Status, ShiftCommandError> {
+/// Fetches the status of a running node's shift.
+pub(super) fn fetch_status(at: Option<SocketAddr>) -> Result<Status, ShiftCommandError> {
     Ok(serde_json::from_str(&request(&ManagementRequest::ShiftStatus, at)?)?)
 }
 
-fn show(at: Option<SocketAddr>, json: bool, history: bool) -> Result<(), ShiftCommandError> {
-    let status = status(at)?;
+fn print_status(at: Option<SocketAddr>, json: bool, history: bool) -> Result<(), ShiftCommandError> {
+    let status = fetch_status(at)?;
     if json {
         println!("{}", serde_json::to_string_pretty(&status)?);
         return Ok(());
     }
-    print!("{}", status.plain(if history { usize::MAX } else { ROWS }));
+    print!("{}", status.plain(if history { usize::MAX } else { STATUS_ROWS }));
     if history {
-        println!("\nhow it came about:\n{}", status.history());
+        println!("\nhistory:\n{}", status.history());
     }
     Ok(())
 }
--- a/crates/node/src/shift/mod.rs
+++ b/crates/node/src/shift/mod.rs
@@ -1,4 +1,4 @@
-//! A shift in a running node: looked at four times a second, kept in its journal, told to operators.
+//! Runs a traffic shift in a node: evaluates it four times a second, writes its journal and logs its changes.
 
 pub(crate) mod cli;
 pub(crate) mod api;
@@ -19,95 +19,96 @@
 use table::ShiftConfig;
 use tokio::sync::mpsc;
 
-/// Evidence is kept every so many looks: 10 s of it are lost when a process is killed.
-const KEEP: u32 = 40;
-/// Lines that wait for a disk that hangs; with more, evidence is not kept for now, and changes are.
-const MOST_WAITING: usize = 256;
+/// Evaluations between two writes of the evidence: up to 10 s of it are lost when the process is killed.
+const EVIDENCE_EVERY: u32 = 40;
+/// Writes queued for the disk. Once half of them are in use, evidence is no longer queued, so that changes still are when the
+/// disk hangs.
+const MAX_QUEUED_WRITES: usize = 256;
 
-/// Why a node does not start with a shift.
+/// Why a node cannot start with the configured shift.
 #[derive(Debug, thiserror::Error)]
 pub enum ShiftStartError {
-    /// Its cells cannot be made.
+    /// The cells to compare cannot be built.
     #[error("`shift`: {0}")]
     Cells(#[from] CellsError),
-    /// Its journal cannot be read or written.
+    /// The journal cannot be read or written.
     #[error("`shift.journal`: {0}: {1}")]
     Io(PathBuf, io::Error),
-    /// Its journal is not to be gone on from.
+    /// The journal cannot be replayed.
     #[error("`shift.journal`: {0}: {1}")]
     Journal(PathBuf, JournalError),
 }
 
-/// Has the gateway follow a shift, from where its journal ends.
+/// Starts the configured shift in the gateway, resuming from the journal.
 pub(crate) fn start(gateway: &Rc<Gateway>, config: &Config, shift: &ShiftConfig) -> Result<(), ShiftStartError> {
     let mut settings = shift.settings.clone();
     settings.classes = config.site.classes.clone();
     settings.behind.resize(settings.classes.len(), 0);
     settings.zones = config.zones.clone();
     let mut course = Course::new(settings)?;
-    let lines = match &shift.journal {
-        Some(path) => Some(write_to(path.clone(), open(path, &mut course)?)),
+    let writes = match &shift.journal {
+        Some(path) => Some(spawn_writer(path.clone(), open_journal(path, &mut course)?)),
         None => None,
     };
     gateway.follow_shift(Follower::new(course, &config.site.settings, config.site.tenants.iter()));
-    tokio::task::spawn_local(look(gateway.clone(), lines));
+    tokio::task::spawn_local(run(gateway.clone(), writes));
     Ok(())
 }
 
-/// Reads a journal, cuts off what was only half written, and leaves it open for more.
-fn open(path: &Path, course: &mut Course) -> Result<File, ShiftStartError> {
+/// Replays a journal, truncates a half-written last record, and opens the file for appending.
+fn open_journal(path: &Path, course: &mut Course) -> Result<File, ShiftStartError> {
     let io = |e| ShiftStartError::Io(path.to_owned(), e);
     let mut file =
         OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path).map_err(io)?;
     let mut bytes = Vec::new();
     Read::by_ref(&mut file).take(journal::MOST_BYTES as u64 + 1).read_to_end(&mut bytes).map_err(io)?;
-    let read = journal::replay(&bytes, course).map_err(|e| ShiftStartError::Journal(path.to_owned(), e))?;
-    if !read.whole {
+    let replayed = journal::replay(&bytes, course).map_err(|e| ShiftStartError::Journal(path.to_owned(), e))?;
+    if !replayed.whole {
         tracing::warn!(
-            "{}: its last record was half written and is cut off; the shift is held",
+            "{}: the last record was incomplete and has been removed; the shift is held",
             path.display()
         );
     }
-    file.set_len(read.sound as u64).map_err(io)?;
+    file.set_len(replayed.sound as u64).map_err(io)?;
     let mut file = OpenOptions::new().append(true).open(path).map_err(io)?;
-    if read.lines == 0 {
+    if replayed.lines == 0 {
         file.write_all(journal::begin(course).as_bytes()).map_err(io)?;
     } else {
-        tracing::info!("shift {}: goes on as {}", course.settings.name, course.state_name());
+        tracing::info!("shift {}: resumed as {}", course.settings.name, course.state_name());
     }
     Ok(file)
 }
 
-/// What a journal is given.
+/// A write to the journal.
 #[derive(Debug)]
-enum Write {
-    /// Lines more.
-    Add(String),
-    /// All that it is to hold, in place of what it holds.
-    Anew(String),
+enum JournalWrite {
+    /// Appends lines.
+    Append(String),
+    /// Replaces the journal's contents.
+    Replace(String),
 }
 
-/// Where a journal's lines go: a thread of its own, as a disk that hangs must not hold up requests.
-fn write_to(path: PathBuf, mut file: File) -> mpsc::Sender<Write> {
-    let (lines, mut waiting) = mpsc::channel::<Write>(MOST_WAITING);
+/// Writes the journal on a thread of its own, as a disk that hangs must not hold up requests.
+fn spawn_writer(path: PathBuf, mut file: File) -> mpsc::Sender<JournalWrite> {
+    let (writes, mut queue) = mpsc::channel::<JournalWrite>(MAX_QUEUED_WRITES);
     std::thread::spawn(move || {
-        while let Some(write) = waiting.blocking_recv() {
-            if let Err(error) = keep(&path, &mut file, &write) {
-                tracing::warn!("{}: {error}; the shift is not kept", path.display());
+        while let Some(write) = queue.blocking_recv() {
+            if let Err(error) = write_journal(&path, &mut file, &write) {
+                tracing::warn!("{}: {error}; the shift's journal is not written", path.display());
             }
         }
     });
-    lines
+    writes
 }
 
-fn keep(path: &Path, file: &mut File, write: &Write) -> io::Result<()> {
+fn write_journal(path: &Path, file: &mut File, write: &JournalWrite) -> io::Result<()> {
     match write {
-        Write::Add(lines) => {
+        JournalWrite::Append(lines) => {
             file.write_all(lines.as_bytes())?;
             file.sync_data()
         }
-        Write::Anew(text) => {
-            // Renamed into place: a process that ends meanwhile leaves the one or the other.
+        JournalWrite::Replace(text) => {
+            // Renamed into place: a process that ends meanwhile leaves either the old or the new journal.
             let draft = path.with_extension("new");
             let mut new = File::create(&draft)?;
             new.write_all(text.as_bytes())?;
@@ -119,53 +120,53 @@
     }
 }
 
-async fn look(gateway: Rc<Gateway>, lines: Option<mpsc::Sender<Write>>) {
-    let mut looks = 0;
-    let (mut told, mut written) = (0, 0);
+async fn run(gateway: Rc<Gateway>, writes: Option<mpsc::Sender<JournalWrite>>) {
+    let mut evaluations = 0;
+    let (mut logged, mut bytes_since_compaction) = (0, 0);
     loop {
         tokio::time::sleep(Duration::from_nanos(LOOK)).await;
-        looks += 1;
+        evaluations += 1;
         gateway.look_at_shift(false);
-        // Words of operators have changed it as well: all that is new is told here, once and in order.
-        let Some(new) = gateway.shift(|f| news(f, &mut told)) else { return };
-        for change in &new {
-            tell(&gateway, change);
+        // Operators' commands change the shift as well: every new change is logged here, once and in order.
+        let Some(changes) = gateway.shift(|follower| new_changes(follower, &mut logged)) else { return };
+        for change in &changes {
+            log_change(&gateway, change);
         }
-        let Some(lines) = &lines else { continue };
-        let mut text: String = new.iter().map(journal::change).collect();
-        if (looks % KEEP == 0 && lines.capacity() > MOST_WAITING / 2) || !new.is_empty() {
-            text += &gateway.shift(|f| journal::evidence(&f.course)).unwrap_or_default();
+        let Some(writes) = &writes else { continue };
+        let mut text: String = changes.iter().map(journal::change).collect();
+        if (evaluations % EVIDENCE_EVERY == 0 && writes.capacity() > MAX_QUEUED_WRITES / 2) || !changes.is_empty() {
+            text += &gateway.shift(|follower| journal::evidence(&follower.course)).unwrap_or_default();
         }
         if text.is_empty() {
             continue;
         }
-        written += text.len();
-        let write = if written > journal::COMPACT_AT {
-            written = 0;
-            Write::Anew(gateway.shift(|f| journal::compacted(&f.course)).unwrap_or_default())
+        bytes_since_compaction += text.len();
+        let write = if bytes_since_compaction > journal::COMPACT_AT {
+            bytes_since_compaction = 0;
+            JournalWrite::Replace(gateway.shift(|follower| journal::compacted(&follower.course)).unwrap_or_default())
         } else {
-            Write::Add(text)
+            JournalWrite::Append(text)
         };
-        if lines.try_send(write).is_err() {
-            tracing::warn!("the shift's journal does not take any more: the disk does not answer");
+        if writes.try_send(write).is_err() {
+            tracing::warn!("the queue of the shift's journal is full: the disk does not respond");
         }
     }
 }
 
-/// The changes since those that were told, by their number.
-fn news(follower: &Follower, told: &mut u64) -> Vec<Change> {
+/// Returns the changes after the first `logged` ones and advances `logged` past them.
+fn new_changes(follower: &Follower, logged: &mut u64) -> Vec<Change> {
     let count = follower.course.changed();
-    let new = (count - *told) as usize;
-    *told = count;
-    let known = follower.course.changes().count();
-    follower.course.changes().skip(known.saturating_sub(new)).cloned().collect()
+    let new = (count - *logged) as usize;
+    *logged = count;
+    let retained = follower.course.changes().count();
+    follower.course.changes().skip(retained.saturating_sub(new)).cloned().collect()
 }
 
-/// One structured line for each change of state.
-fn tell(gateway: &Gateway, change: &Change) {
-    let blamed = change.alarm.as_ref().and_then(|(_, alarm)| match &alarm.blame {
-        laurelroute_shift::judge::Blame::Boxes(boxes) => gateway.shift(|f| {
-            let names: Vec<&str> = boxes.iter().filter_map(|b| f.name(*b)).collect();
+/// Logs a change of state as one structured line.
+fn log_change(gateway: &Gateway, change: &Change) {
+    let blamed_servers = change.alarm.as_ref().and_then(|(_, alarm)| match &alarm.blame {
+        laurelroute_shift::judge::Blame::Boxes(servers) => gateway.shift(|follower| {
+            let names: Vec<&str> = servers.iter().filter_map(|server| follower.name(*server)).collect();
             names.join(" ")
         }),
         _ => None,
@@ -175,7 +176,7 @@
         shares = ?change.shares,
         who = %change.who,
         why = %change.why,
-        boxes = blamed.as_deref().unwrap_or(""),
+        boxes = blamed_servers.as_deref().unwrap_or(""),
         "shift: {:?}",
         change.state
     );
@@ -196,26 +197,26 @@
     }
 
     #[test]
-    fn a_journal_written_anew_is_short_and_goes_on() {
+    fn a_compacted_journal_is_shorter_and_can_be_resumed() {
         let folder = std::env::temp_dir().join(format!("laurelroute-journal-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let path = folder.join("j");
         let mut course = course();
-        let mut file = open(&path, &mut course).unwrap();
-        let word = |verb| Word { verb, who: "kim".into(), why: "x".into(), insist: false };
-        let started = course.say(1, &word(Verb::Start)).unwrap();
+        let mut file = open_journal(&path, &mut course).unwrap();
+        let command = |verb| Word { verb, who: "kim".into(), why: "x".into(), insist: false };
+        let started = course.say(1, &command(Verb::Start)).unwrap();
         for _ in 0..100 {
-            keep(&path, &mut file, &Write::Add(journal::evidence(&course))).unwrap();
+            write_journal(&path, &mut file, &JournalWrite::Append(journal::evidence(&course))).unwrap();
         }
-        let long = std::fs::metadata(&path).unwrap().len();
-        keep(&path, &mut file, &Write::Anew(journal::compacted(&course))).unwrap();
-        assert!(std::fs::metadata(&path).unwrap().len() < long, "it is no shorter");
-        let ended = course.say(2, &word(Verb::Abandon)).unwrap();
-        keep(&path, &mut file, &Write::Add(journal::change(&ended))).unwrap();
-        let mut again = self::course();
-        open(&path, &mut again).unwrap();
-        assert_eq!(again.state(), &State::Abandoned);
-        assert_eq!(again.changes().next(), Some(&started));
+        let length_before = std::fs::metadata(&path).unwrap().len();
+        write_journal(&path, &mut file, &JournalWrite::Replace(journal::compacted(&course))).unwrap();
+        assert!(std::fs::metadata(&path).unwrap().len() < length_before, "compaction did not shorten the journal");
+        let ended = course.say(2, &command(Verb::Abandon)).unwrap();
+        write_journal(&path, &mut file, &JournalWrite::Append(journal::change(&ended))).unwrap();
+        let mut resumed = self::course();
+        open_journal(&path, &mut resumed).unwrap();
+        assert_eq!(resumed.state(), &State::Abandoned);
+        assert_eq!(resumed.changes().next(), Some(&started));
         std::fs::remove_dir_all(&folder).unwrap();
     }
 }
--- a/crates/node/src/shift/table.rs
+++ b/crates/node/src/shift/table.rs
@@ -1,4 +1,4 @@
-//! `[shift]` in the operator's file.
+//! The `[shift]` section of the operator's file: the settings of a traffic shift between two pools of servers.
 
 use crate::site::{Classes, SiteError, Validator};
 use ipnet::IpNet;
@@ -11,8 +11,8 @@
 use toml::Spanned;
 use wildmatch::WildMatch;
 
-/// A day.
-const MOST_SECONDS: f64 = 86_400.0;
+/// Upper bound of the durations: one day.
+const MAX_SECONDS: f64 = 86_400.0;
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -69,27 +69,27 @@
     groups: toml::Table,
 }
 
-/// A shift that the file names, checked but for what only the platform's configuration holds.
+/// The validated settings of a shift, except for those that only the platform's configuration holds.
 #[derive(Clone, Debug)]
 pub struct ShiftConfig {
-    /// Its settings.
+    /// Settings of the shift.
     pub settings: ShiftSettings,
-    /// Where its journal is, meant from where the file is.
+    /// Path of the journal; relative paths are resolved against the folder of the operator's file.
     pub journal: Option<PathBuf>,
 }
 
 impl ShiftConfig {
-    /// What it will do, in some lines.
+    /// Describes the shift's steps and statistical bounds in a few lines.
     pub(crate) fn summary(&self) -> String {
         let settings = &self.settings;
         let steps: Vec<String> = settings.steps.iter().map(|s| format!("{}%", 100.0 * s)).collect();
         let mut text = format!("shift {}: {}", settings.name, steps.join(", "));
         if let Ok(cells) = settings.cells() {
             let judge = Judge::new(cells, settings.bounds);
-            let needs = judge.needed(0, 0.001, settings.least_fault);
+            let requests = judge.needed(0, 0.001, settings.least_fault);
             text += &format!(
-                "; {} cells, a sound pool is halted with a probability of {} at most; for a fault of {}% a step wants \
-                 some {needs} requests of the new pool",
+                "; {} cells, a healthy pool is halted with a probability of at most {}; to detect a fault of {}% a step needs \
+                 about {requests} requests of the new pool",
                 judge.cells.len(),
                 settings.bounds.false_alarms,
                 100.0 * settings.least_fault,
@@ -108,7 +108,7 @@
         let network = |text: &Spanned<String>| {
             text.get_ref().parse::<IpNet>().map_err(|_| {
                 let message =
-                    format!("`shift.{key}.network`: `{}` is no network, such as 10.2.0.0/16", text.get_ref());
+                    format!("`shift.{key}.network`: `{}` is not a network, such as 10.2.0.0/16", text.get_ref());
                 validator.error_at(text, message)
             })
         };
@@ -131,21 +131,21 @@
         };
         let names = match classes {
             Some((names, _)) => names.to_vec(),
-            // Checked alone, the classes that the file names are all that is known.
+            // Without the platform's configuration only the classes named in the file are known.
             None => self.classes.iter().map(|c| c.name.get_ref().clone()).collect(),
         };
         let mut settings = ShiftSettings::new(self.name.get_ref(), pools, names, vec!["any".to_owned()]);
         if let Some(steps) = &self.steps {
             settings.steps = steps.get_ref().iter().map(|s| s / 100.0).collect();
         }
-        let percent = |v: &Option<Spanned<f64>>, or: f64| v.as_ref().map_or(or, |v| v.get_ref() / 100.0);
+        let percent = |v: &Option<Spanned<f64>>, default: f64| v.as_ref().map_or(default, |v| v.get_ref() / 100.0);
         settings.keep_back = percent(&self.keep_back, settings.keep_back);
         settings.bounds.tolerance = percent(&self.tolerance, settings.bounds.tolerance);
         settings.least_fault = percent(&self.least_fault, settings.least_fault);
         settings.bounds.false_alarms =
             self.false_halts.as_ref().map_or(settings.bounds.false_alarms, |v| *v.get_ref());
         settings.box_rate = self.box_rate.as_ref().map(|v| *v.get_ref());
-        for (key, value, place) in [
+        for (key, value, target) in [
             ("least_seconds", &self.least_seconds, &mut settings.least_time),
             ("watch_seconds", &self.watch_seconds, &mut settings.watch),
             ("settle_seconds", &self.settle_seconds, &mut settings.settle),
@@ -153,61 +153,62 @@
         ] {
             let Some(value) = value else { continue };
             let seconds = *value.get_ref();
-            if !(0.0..=MOST_SECONDS).contains(&seconds) {
-                let message = format!("`shift.{key}` is {seconds}; it has to be from 0 to {MOST_SECONDS}");
+            if !(0.0..=MAX_SECONDS).contains(&seconds) {
+                let message = format!("`shift.{key}` is {seconds}; it must be from 0 to {MAX_SECONDS}");
                 return Err(validator.error_at(value, message));
             }
-            *place = (seconds * 1e9) as u64;
+            *target = (seconds * 1e9) as u64;
         }
         settings.on_alarm = match self.on_alarm.as_ref().map(|v| (v, v.get_ref().as_str())) {
             None | Some((_, "undo")) => OnAlarm::Undo,
             Some((_, "hold")) => OnAlarm::Hold,
             Some((value, other)) => {
                 return Err(
-                    validator.error_at(value, format!("`shift.on_alarm` is `{other}`; known are undo, hold"))
+                    validator.error_at(value, format!("`shift.on_alarm` is `{other}`; allowed values are undo, hold"))
                 );
             }
         };
-        self.behind(validator, &mut settings)?;
+        self.apply_classes(validator, &mut settings)?;
         for split in &self.splits {
             settings.splits.push(split.validate(validator)?);
         }
-        settings.validate().map_err(|e| self.blamed(validator, &e))?;
+        settings.validate().map_err(|e| self.locate_error(validator, &e))?;
         let folder = Path::new(validator.file).parent().unwrap_or(Path::new(""));
         Ok(ShiftConfig { settings, journal: self.journal.as_ref().map(|j| folder.join(j)) })
     }
 
-    fn behind(&self, validator: &Validator<'_>, settings: &mut ShiftSettings) -> Result<(), SiteError> {
+    /// Sets how many steps each listed class stays behind.
+    fn apply_classes(&self, validator: &Validator<'_>, settings: &mut ShiftSettings) -> Result<(), SiteError> {
         let mut seen = Vec::new();
         for class in &self.classes {
             let name = class.name.get_ref();
-            let Some(at) = settings.classes.iter().position(|c| c == name) else {
+            let Some(index) = settings.classes.iter().position(|c| c == name) else {
                 let known = settings.classes.join(", ");
                 return Err(validator
-                    .error_at(&class.name, format!("`shift.class` is `{name}`; the settings have {known}")));
+                    .error_at(&class.name, format!("`shift.class` is `{name}`; the configured classes are {known}")));
             };
-            if seen.contains(&at) {
-                return Err(validator.error_at(&class.name, format!("`shift.class` has `{name}` twice")));
+            if seen.contains(&index) {
+                return Err(validator.error_at(&class.name, format!("`shift.class` lists `{name}` twice")));
             }
-            seen.push(at);
-            settings.behind[at] = *class.behind.get_ref();
+            seen.push(index);
+            settings.behind[index] = *class.behind.get_ref();
         }
         Ok(())
     }
 
-    /// The place of what was found wrong with the settings as a whole.
-    fn blamed(&self, validator: &Validator<'_>, error: &ShiftError) -> SiteError {
+    /// Adds the position of the key that is the cause of an error found in the settings as a whole.
+    fn locate_error(&self, validator: &Validator<'_>, error: &ShiftError) -> SiteError {
         let message = format!("`shift`: {error}");
-        let at = |value: &Option<Spanned<f64>>| value.as_ref().map(|v| v.span().start);
+        let start_of = |value: &Option<Spanned<f64>>| value.as_ref().map(|v| v.span().start);
         let start = match error {
             ShiftError::Everything("old") => Some(self.old.span().start),
             ShiftError::Everything(_) | ShiftError::Same => Some(self.new.span().start),
             ShiftError::Steps => self.steps.as_ref().map(|s| s.span().start),
-            ShiftError::Range("false_halts", _) => at(&self.false_halts),
-            ShiftError::Range("tolerance", _) => at(&self.tolerance),
-            ShiftError::Range("least_fault", _) => at(&self.least_fault),
-            ShiftError::Range("keep_back", _) => at(&self.keep_back),
-            ShiftError::Range("box_rate", _) => at(&self.box_rate),
+            ShiftError::Range("false_halts", _) => start_of(&self.false_halts),
+            ShiftError::Range("tolerance", _) => start_of(&self.tolerance),
+            ShiftError::Range("least_fault", _) => start_of(&self.least_fault),
+            ShiftError::Range("keep_back", _) => start_of(&self.keep_back),
+            ShiftError::Range("box_rate", _) => start_of(&self.box_rate),
             ShiftError::Range(..) => self.classes.first().map(|c| c.behind.span().start),
             ShiftError::Cells(_) => self.splits.first().map(|s| s.name.span().start),
             ShiftError::Name => None,
@@ -219,21 +220,21 @@
 impl SplitTable {
     fn validate(&self, validator: &Validator<'_>) -> Result<Split, SiteError> {
         let name = self.name.get_ref();
-        let wrong = |group: &str| {
+        let not_a_list = |group: &str| {
             validator.error_at(
                 &self.name,
-                format!("`shift.split.groups.{group}` of `{name}` has to be a list of patterns"),
+                format!("`shift.split.groups.{group}` of `{name}` must be a list of patterns"),
             )
         };
         let mut groups = Vec::new();
         for (group, value) in &self.groups {
-            let list = value.as_array().ok_or_else(|| wrong(group))?;
+            let list = value.as_array().ok_or_else(|| not_a_list(group))?;
             let texts: Option<Vec<String>> = list.iter().map(|v| v.as_str().map(str::to_owned)).collect();
-            groups.push((group.clone(), patterns(&texts.ok_or_else(|| wrong(group))?)));
+            groups.push((group.clone(), patterns(&texts.ok_or_else(|| not_a_list(group))?)));
         }
         if ["class", "zone", "repeat"].contains(&name.as_str()) {
             return Err(
-                validator.error_at(&self.name, format!("`shift.split`: `{name}` is told apart already"))
+                validator.error_at(&self.name, format!("`shift.split`: `{name}` is always split on and cannot be redefined"))
             );
         }
         Ok(Split { name: name.clone(), groups })
@@ -244,7 +245,7 @@
 mod tests {
     use crate::site::Site;
 
-    const SOUND: &str = r#"
+    const VALID: &str = r#"
 [shift]
 name = "release-42"
 old = { version = ["41"] }
@@ -262,15 +263,15 @@
 "#;
 
     #[test]
-    fn a_shift_is_read_and_errors_name_key_and_line() {
-        let shift = Site::parse("deploy/site.toml", SOUND, None).unwrap().shift.unwrap();
+    fn a_shift_is_parsed_and_errors_name_the_key_and_the_line() {
+        let shift = Site::parse("deploy/site.toml", VALID, None).unwrap().shift.unwrap();
         assert_eq!(shift.settings.steps, [0.01, 0.1, 1.0]);
         assert_eq!(shift.settings.behind, [1]);
         assert_eq!(shift.settings.splits[0].group("broome-town"), 0);
         assert_eq!(shift.settings.splits[0].group("perth"), 2);
         assert_eq!(shift.journal.unwrap().to_str(), Some("deploy/release-42.journal"));
         for (from, to, line, message) in [
-            ("10.2.0.0/16", "10.2.0.0/99", 5, "`shift.new.network`: `10.2.0.0/99` is no network"),
+            ("10.2.0.0/16", "10.2.0.0/99", 5, "`shift.new.network`: `10.2.0.0/99` is not a network"),
             ("old = { version = [\"41\"] }", "old = {}", 4, "`old` names no condition"),
             ("steps = [1, 10, 100]", "steps = [10, 1, 100]", 6, "`steps` have to rise"),
             ("steps = [1, 10, 100]", "steps = [1, 10]", 6, "`steps` have to rise"),
@@ -278,12 +279,12 @@
             ("steps = [1, 10, 100]", "on_alarm = \"sleep\"", 6, "`shift.on_alarm` is `sleep`"),
             ("steps = [1, 10, 100]", "watch_seconds = -1", 6, "`shift.watch_seconds` is -1"),
             ("name = \"release-42\"", "name = \"a/b\"", 3, "`name` has to have 1 to 64"),
-            ("\"shire\"", "\"zone\"", 14, "`zone` is told apart already"),
-            ("[\"albany\"]", "\"albany\"", 14, "has to be a list of patterns"),
+            ("\"shire\"", "\"zone\"", 14, "`zone` is always split on and cannot be redefined"),
+            ("[\"albany\"]", "\"albany\"", 14, "must be a list of patterns"),
             ("behind = 1", "behind = 99", 11, "`behind` has to be 32 steps at most"),
         ] {
-            let text = SOUND.replacen(from, to, 1);
-            assert_ne!(text, SOUND, "{from}");
+            let text = VALID.replacen(from, to, 1);
+            assert_ne!(text, VALID, "{from}");
             let error = Site::parse("f", &text, None).unwrap_err();
             assert_eq!(error.line, Some(line), "{error}");
             assert!(error.message.contains(message), "{error}");
--- a/crates/node/src/shift/watch.rs
+++ b/crates/node/src/shift/watch.rs
@@ -1,6 +1,6 @@
-//! `laurelroute shift watch`: a live view for a terminal of 80 by 24, that says everything without colour as well.
+//! `laurelroute shift watch`: a live view of the shift's status for a terminal of 80 by 24, readable without colour as well.
 
-use super::cli::{status, ShiftCommandError};
+use super::cli::{fetch_status, ShiftCommandError};
 use laurelroute_shift::explain::{Row, Status};
 use ratatui::crossterm::event::{self, Event, KeyCode};
 use ratatui::layout::{Constraint, Layout, Rect};
@@ -11,53 +11,54 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The least and the most time between two looks, in seconds.
-const EVERY: (f64, f64) = (0.2, 3600.0);
+/// Minimum and maximum interval between two updates, in seconds.
+const INTERVAL_SECONDS: (f64, f64) = (0.2, 3600.0);
 
 pub(super) fn run(at: Option<SocketAddr>, every: f64) -> Result<(), ShiftCommandError> {
-    let pause =
-        Duration::from_secs_f64(if every.is_finite() { every.clamp(EVERY.0, EVERY.1) } else { EVERY.0 });
+    let interval =
+        Duration::from_secs_f64(if every.is_finite() { every.clamp(INTERVAL_SECONDS.0, INTERVAL_SECONDS.1) } else { INTERVAL_SECONDS.0 });
     if !std::io::stdout().is_terminal() {
-        return plain(at, pause);
+        return print_changes(at, interval);
     }
-    // What cannot be had at all is said before the screen is taken.
-    let mut shown = status(at)?;
+    // Fetched before the screen is switched, so that a failure is reported as an ordinary error.
+    let mut shown = fetch_status(at)?;
     let mut terminal = ratatui::init();
     let outcome = loop {
         if let Err(error) = terminal.draw(|frame| draw(frame, &shown)) {
             break Err(error.into());
         }
-        match quits(pause) {
+        match quit_requested(interval) {
             Ok(true) => break Ok(()),
             Ok(false) => {}
             Err(error) => break Err(error.into()),
         }
-        match status(at) {
+        match fetch_status(at) {
             Ok(status) => shown = status,
-            // A node that is restarted is back soon.
-            Err(error) => shown.why = format!("no answer: {error}"),
+            // The node may be restarting: keep trying.
+            Err(error) => shown.why = format!("no response: {error}"),
         }
     };
     ratatui::restore();
     outcome
 }
 
-fn quits(within: Duration) -> std::io::Result<bool> {
+/// Waits up to `within` for a key; true where it ends the view.
+fn quit_requested(within: Duration) -> std::io::Result<bool> {
     if !event::poll(within)? {
         return Ok(false);
     }
     Ok(matches!(event::read()?, Event::Key(key) if matches!(key.code, KeyCode::Char('q') | KeyCode::Esc)))
 }
 
-/// One line a change, for files and pipes; ends with the shift.
-fn plain(at: Option<SocketAddr>, pause: Duration) -> Result<(), ShiftCommandError> {
+/// Prints one line per change, for files and pipes; returns when the shift ends.
+fn print_changes(at: Option<SocketAddr>, interval: Duration) -> Result<(), ShiftCommandError> {
     let mut last = String::new();
     loop {
-        let status = status(at)?;
+        let status = fetch_status(at)?;
         let shares: Vec<String> =
             status.shares.iter().map(|(n, s, _)| format!("{n}={:.1}%", 100.0 * s)).collect();
         let line = format!(
-            "{} {} rung {}/{}: {}",
+            "{} {} step {}/{}: {}",
             status.state,
             shares.join(" "),
             status.rung.0,
@@ -71,7 +72,7 @@
         if ["undone", "finished", "abandoned"].contains(&status.state.as_str()) {
             return Ok(());
         }
-        std::thread::sleep(pause);
+        std::thread::sleep(interval);
     }
 }
 
@@ -85,8 +86,8 @@
         Constraint::Length(1),
     ])
     .split(frame.area());
-    let head = format!(
-        "shift {}: {} for {:.0} s, rung {} of {}\nboxes that take work: {} old, {} new\nwhy: {}",
+    let header = format!(
+        "shift {}: {} for {:.0} s, step {} of {}\nservers in use: {} old, {} new\nreason: {}",
         status.name,
         status.state,
         status.seconds,
@@ -96,42 +97,44 @@
         status.boxes.1,
         status.why
     );
-    frame.render_widget(Paragraph::new(head).wrap(Wrap { trim: true }), areas[0]);
-    shares(frame, areas[1], status);
-    frame.render_widget(cells(status), areas[2]);
+    frame.render_widget(Paragraph::new(header).wrap(Wrap { trim: true }), areas[0]);
+    draw_shares(frame, areas[1], status);
+    frame.render_widget(comparison_table(status), areas[2]);
     let changes: Vec<String> =
         status.changes.iter().rev().take(3).map(|c| format!("{}: {}", c.who, c.why)).collect();
     let block = Block::new().title("last changes");
     frame.render_widget(Paragraph::new(changes.join("\n")).block(block), areas[3]);
-    frame.render_widget(Paragraph::new("q ends this view; the shift goes on"), areas[4]);
+    frame.render_widget(Paragraph::new("q closes this view; the shift continues"), areas[4]);
 }
 
-fn shares(frame: &mut Frame<'_>, area: Rect, status: &Status) {
-    for (k, (name, now, wanted)) in status.shares.iter().enumerate().take(usize::from(area.height)) {
-        let line = Rect { y: area.y + k as u16, height: 1, ..area };
+/// Draws a gauge per class: the new pool's share now, of the wanted share.
+fn draw_shares(frame: &mut Frame<'_>, area: Rect, status: &Status) {
+    for (index, (name, now, wanted)) in status.shares.iter().enumerate().take(usize::from(area.height)) {
+        let line = Rect { y: area.y + index as u16, height: 1, ..area };
         let label = format!("{name} {:.1}% of {:.0}%", 100.0 * now, 100.0 * wanted);
         frame.render_widget(Gauge::default().ratio(now.clamp(0.0, 1.0)).label(label), line);
     }
 }
 
-fn cells(status: &Status) -> Table<'_> {
-    let part = |t: laurelroute_shift::judge::Tally| format!("{}/{}", t.bad, t.of);
+/// The comparisons of the two pools, the most suspicious first.
+fn comparison_table(status: &Status) -> Table<'_> {
+    let ratio = |tally: laurelroute_shift::judge::Tally| format!("{}/{}", tally.bad, tally.of);
     let line = |row: &Row| {
         let signal = format!("{:?}", row.signal).to_lowercase();
-        let least = row.least_fault.map_or("-".to_owned(), |l| format!("{:.1}%", 100.0 * l));
+        let detectable = row.least_fault.map_or("-".to_owned(), |l| format!("{:.1}%", 100.0 * l));
         let doubt = format!("{:.0}%", 100.0 * row.doubt.max(-9.99));
-        // Told by a mark as well as by its weight: not everybody sees either.
+        // Marked by a character as well as by its weight, for readers who cannot see one of them.
         let (mark, style) = match row.doubt {
             d if d >= 1.0 => ("!", Style::new().add_modifier(Modifier::BOLD | Modifier::REVERSED)),
             d if d >= 0.5 => ("?", Style::new().add_modifier(Modifier::BOLD)),
             _ => (" ", Style::new()),
         };
-        let cells = [format!("{mark} {}", row.cell), signal, part(row.old), part(row.new), doubt, least];
+        let cells = [format!("{mark} {}", row.cell), signal, ratio(row.old), ratio(row.new), doubt, detectable];
         Line::new(cells.map(Cell::from)).style(style)
     };
     let widths = [34, 8, 12, 11, 6, 6].map(Constraint::Length);
-    let head = Line::new(["  cell", "signal", "old", "new", "doubt", "sees"]);
-    Table::new(status.rows.iter().map(line), widths).header(head).column_spacing(0)
+    let header = Line::new(["  cell", "signal", "old", "new", "doubt", "sees"]);
+    Table::new(status.rows.iter().map(line), widths).header(header).column_spacing(0)
 }
 
 #[cfg(test)]
@@ -142,7 +145,7 @@
     use ratatui::Terminal;
 
     #[test]
-    fn everything_is_readable_at_80_by_24_without_colour() {
+    fn the_view_is_complete_at_80_by_24_without_colour() {
         let row = Row {
             cell: "class=acknowledge".into(),
             signal: Signal::Failed,
@@ -168,9 +171,9 @@
         terminal.draw(|frame| draw(frame, &status)).unwrap();
         let buffer = terminal.backend().buffer();
         let text: String = buffer.content().iter().map(|c| c.symbol()).collect();
-        for said in [
+        for expected in [
             "release-42: stepping",
-            "rung 2 of 5",
+            "step 2 of 5",
             "acknowledge 1.0% of 5%",
             "! class=acknowledge",
             "12/100000",
@@ -179,7 +182,7 @@
             "1.3%",
             "1.0% of acknowledge now",
         ] {
-            assert!(text.contains(said), "{said} is not to be seen in {text}");
+            assert!(text.contains(expected), "`{expected}` is missing in {text}");
         }
     }
 }
--- a/crates/node/src/upgrade/link.rs
+++ b/crates/node/src/upgrade/link.rs
@@ -1,4 +1,4 @@
-//! The Unix socket between the two processes of a node: packets with descriptors, and where they find each other.
+//! The Unix socket between the old and the new process of a node: packets with descriptors, and the path of the socket.
 
 use laurelroute_core::retry_io::retried;
 use laurelroute_handover::message::{Message, MessageError, MOST_DESCRIPTORS, MOST_PACKET};
@@ -14,17 +14,17 @@
 use tokio::io::Interest;
 use tokio::net::{UnixDatagram, UnixListener};
 
-/// The kind of the file where heirs find the process that serves.
+/// File kind of the socket on which the serving process awaits takeover requests.
 pub(super) const SOCKET: &str = "sock";
 
-/// Why the two processes do not speak.
+/// Why communication between the two processes failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum LinkError {
     #[error("{0}")]
     Io(#[from] io::Error),
-    #[error("a packet that cannot be read: {0}")]
+    #[error("invalid packet: {0}")]
     Packet(#[from] MessageError),
-    #[error("the other process has closed")]
+    #[error("the other process has closed the connection")]
     Closed,
 }
 
@@ -34,8 +34,8 @@
     }
 }
 
-/// A connection between the two. SOCK_SEQPACKET keeps packets and their descriptors together; the library, which has
-/// no type for it, waits for it as it does for a datagram socket.
+/// A connection between the two processes. SOCK_SEQPACKET keeps packets and their descriptors together; tokio has no type for
+/// it and polls it as a datagram socket.
 pub(crate) struct Link(UnixDatagram);
 
 impl Link {
@@ -43,7 +43,7 @@
         Ok(Link(UnixDatagram::from_std(socket.into())?))
     }
 
-    /// Sends a packet now; false where the other side has no room for it.
+    /// Sends a packet without waiting; false where the socket's buffer is full.
     pub(super) fn try_send(
         &self,
         message: &Message,
@@ -77,20 +77,21 @@
         Ok(())
     }
 
-    /// The next packet with its descriptors.
+    /// Receives the next packet with its descriptors.
     pub(super) async fn receive(&self) -> Result<(Message, Vec<OwnedFd>), LinkError> {
         let read = || retried(|| read_packet(&self.0));
         let (packet, descriptors) = self.0.async_io(Interest::READABLE, read).await?;
-        read_message(packet, descriptors)
+        decode_packet(packet, descriptors)
     }
 
-    /// The process on the other side, where this machine names it.
-    pub(super) fn peer(&self) -> Option<u32> {
+    /// Process id of the peer, where the kernel reports one.
+    pub(super) fn peer_pid(&self) -> Option<u32> {
         let credentials = net::sockopt::socket_peercred(&self.0).ok()?;
         u32::try_from(credentials.pid.as_raw_nonzero().get()).ok()
     }
 }
 
+/// Reads one packet and its descriptors without waiting.
 fn read_packet(socket: impl AsFd) -> io::Result<(Vec<u8>, Vec<OwnedFd>)> {
     let mut packet = vec![0; MOST_PACKET + 1];
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_DESCRIPTORS))];
@@ -106,65 +107,69 @@
     Ok((packet, descriptors))
 }
 
-fn read_message(packet: Vec<u8>, descriptors: Vec<OwnedFd>) -> Result<(Message, Vec<OwnedFd>), LinkError> {
+/// Decodes a packet; an empty one means that the peer has closed.
+fn decode_packet(packet: Vec<u8>, descriptors: Vec<OwnedFd>) -> Result<(Message, Vec<OwnedFd>), LinkError> {
     match packet.len() {
         0 => Err(LinkError::Closed),
         _ => Ok((Message::decode(&packet)?, descriptors)),
     }
 }
 
-/// Where an elder puts down clients at rest, and both processes can pick them up: the kernel gives each to exactly one.
-pub(super) struct Rest {
-    put: Link,
-    /// Also the heir's.
-    pub(super) taken_from: OwnedFd,
+/// Queue on which the old process puts idle clients' connections and from which both processes can take them: the kernel gives
+/// each to exactly one.
+pub(super) struct IdleQueue {
+    sender: Link,
+    /// Receiving end, shared with the new process.
+    pub(super) receiver: OwnedFd,
 }
 
-impl Rest {
-    pub(super) fn new() -> Result<Rest, LinkError> {
+impl IdleQueue {
+    pub(super) fn new() -> Result<IdleQueue, LinkError> {
         let flags = SocketFlags::CLOEXEC | SocketFlags::NONBLOCK;
-        let (put, taken_from) = net::socketpair(AddressFamily::UNIX, SocketType::SEQPACKET, flags, None)?;
-        Ok(Rest { put: Link::new(put)?, taken_from })
+        let (sender, receiver) = net::socketpair(AddressFamily::UNIX, SocketType::SEQPACKET, flags, None)?;
+        Ok(IdleQueue { sender: Link::new(sender)?, receiver })
     }
 
-    /// Puts a client down; false where there is no room.
-    pub(super) fn put(&self, client: &Message, connection: BorrowedFd<'_>) -> bool {
-        self.put.try_send(client, &[connection]).unwrap_or(false)
+    /// Queues a client's connection; false where the queue is full.
+    pub(super) fn push(&self, client: &Message, connection: BorrowedFd<'_>) -> bool {
+        self.sender.try_send(client, &[connection]).unwrap_or(false)
     }
 
-    /// Those that the heir has not picked up.
+    /// Takes back the connections that the new process has not taken.
     pub(super) fn reclaim(&self) -> Vec<(Message, Vec<OwnedFd>)> {
-        let next = || read_packet(&self.taken_from).ok();
-        std::iter::from_fn(next).filter_map(|(packet, clients)| read_message(packet, clients).ok()).collect()
+        let next = || read_packet(&self.receiver).ok();
+        std::iter::from_fn(next).filter_map(|(packet, clients)| decode_packet(packet, clients).ok()).collect()
     }
 }
 
-/// A file that the processes of the node that listens there share, in the folder that they share. Without one there is
-/// no such place.
+/// Path of a file shared by the processes of the node that listens on this address, in the folder that TMPDIR names; `None`
+/// without such a folder.
 pub(crate) fn runtime_path(listen: SocketAddr, kind: &str) -> Option<PathBuf> {
     let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty())?;
     let name = format!("laurelroute-{:016x}.{kind}", laurelroute_core::mix(listen.to_string().as_bytes()));
     Some(Path::new(&folder).join(name))
 }
 
-/// The folder is opened, and the place named through its descriptor: a socket's address has room for 107 bytes.
-pub(super) fn socket_address(place: &Path) -> Result<(std::fs::File, SocketAddrUnix), LinkError> {
-    let folder = std::fs::File::open(place.parent().unwrap_or(Path::new("/")))?;
-    let name = place.file_name().unwrap_or_default().to_string_lossy().into_owned();
+/// The address of the socket file at `path`. The folder is opened and addressed through its descriptor, as a socket address has
+/// room for only 107 bytes; it has to stay open while the address is used.
+pub(super) fn socket_address(path: &Path) -> Result<(std::fs::File, SocketAddrUnix), LinkError> {
+    let folder = std::fs::File::open(path.parent().unwrap_or(Path::new("/")))?;
+    let name = path.file_name().unwrap_or_default().to_string_lossy().into_owned();
     let descriptor = std::os::fd::AsRawFd::as_raw_fd(&folder);
-    let short = format!("/proc/self/fd/{descriptor}/{name}");
-    Ok((folder, SocketAddrUnix::new(short.as_str())?))
+    let short_path = format!("/proc/self/fd/{descriptor}/{name}");
+    Ok((folder, SocketAddrUnix::new(short_path.as_str())?))
 }
 
+/// Creates an unconnected SOCK_SEQPACKET socket.
 pub(super) fn socket() -> Result<OwnedFd, LinkError> {
     let flags = SocketFlags::CLOEXEC | SocketFlags::NONBLOCK;
     Ok(net::socket_with(AddressFamily::UNIX, SocketType::SEQPACKET, flags, None)?)
 }
 
-/// Waits for heirs at that place, in the stead of whoever did so before.
-pub(super) fn bind(place: &Path) -> Result<UnixListener, LinkError> {
-    let (_folder, address) = socket_address(place)?;
-    match std::fs::remove_file(place) {
+/// Listens for takeover requests at `path`, replacing a socket file that is already there.
+pub(super) fn bind(path: &Path) -> Result<UnixListener, LinkError> {
+    let (_folder, address) = socket_address(path)?;
+    match std::fs::remove_file(path) {
         Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e.into()),
         _ => {}
     }
--- a/crates/node/src/upgrade/mod.rs
+++ b/crates/node/src/upgrade/mod.rs
@@ -1,6 +1,6 @@
-//! One process takes over from another: the Unix socket between them, and what passes over it.
+//! Takeover of a node by a new process: the Unix socket between the old and the new process and the exchange over it.
 //!
-//! What the two sides decide stands in `laurelroute-handover`.
+//! The decisions of both sides are made by the state machines in `laurelroute-handover`.
 
 pub(crate) mod predecessor;
 pub(crate) mod link;
