--- a/crates/node/src/upgrade/predecessor.rs
+++ b/crates/node/src/upgrade/predecessor.rs
@@ -1,4 +1,4 @@
-//! What a process that starts gets from the one that serves, if there is one.
+//! Requests a takeover from the process that already serves at the address and receives its offer.
 
 use super::link::{runtime_path, socket_address, socket, Link, LinkError, SOCKET};
 use laurelroute_handover::bans::Word;
@@ -10,54 +10,54 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// An elder that runs offers at once. One that does not is not waited for any longer: clients are.
-const OFFER: Duration = Duration::from_millis(120);
+/// How long the old process's offer is waited for. A running one sends it at once; clients must not wait for a stopped one.
+const OFFER_TIMEOUT: Duration = Duration::from_millis(120);
 
-/// Who else serves at the address.
+/// Result of requesting a takeover from the process that already serves at the address.
 pub(crate) enum PredecessorReply {
-    /// Nobody that can be spoken to.
+    /// There is no such process, or it cannot be contacted.
     None,
-    /// A process that hands over what it has.
+    /// It hands over its sockets and state.
     Offered(Link, Offer),
-    /// One that is there and says nothing. It may yet.
+    /// It accepted the connection but has not answered in time. It may answer later.
     Silent(Link),
 }
 
-/// What a process has from the one that it takes over from.
+/// What the old process hands over.
 pub(crate) struct Offer {
     doors: Vec<(Door, OwnedFd)>,
-    /// Descriptors that this process may hold.
+    /// Number of descriptors that this process may hold.
     pub(super) part: usize,
-    /// The elder says that it is there, and expects the same.
+    /// The old process sends heartbeats and expects them.
     pub(super) beats: bool,
-    /// Servers that operators have taken out or put back.
+    /// Bans of servers, and lifted bans, by operators.
     pub(super) words: Vec<Word>,
     pub(super) learnt: LearnedState,
 }
 
 impl PredecessorReply {
-    /// Asks the process that serves at that address for all that it has.
+    /// Requests a takeover from the process that serves at `listen`.
     pub(crate) async fn request(listen: SocketAddr) -> PredecessorReply {
-        let Some(place) = runtime_path(listen, SOCKET).filter(|place| place.exists()) else { return PredecessorReply::None };
-        let claimed = async {
-            let link = ask(&place).await?;
-            match tokio::time::timeout(OFFER, offer(&link)).await {
+        let Some(path) = runtime_path(listen, SOCKET).filter(|path| path.exists()) else { return PredecessorReply::None };
+        let request = async {
+            let link = connect(&path).await?;
+            match tokio::time::timeout(OFFER_TIMEOUT, receive_offer(&link)).await {
                 Ok(offer) => Ok(PredecessorReply::Offered(link, offer?)),
                 Err(_) => Ok(PredecessorReply::Silent(link)),
             }
         };
-        let claim: Result<PredecessorReply, LinkError> = claimed.await;
-        match &claim {
-            Err(error) => tracing::warn!("takeover: {error}; the address is shared without it"),
+        let reply: Result<PredecessorReply, LinkError> = request.await;
+        match &reply {
+            Err(error) => tracing::warn!("takeover: {error}; sharing the address without a handover"),
             Ok(PredecessorReply::Silent(_)) => {
-                tracing::warn!("takeover: no offer in time; new clients come here as soon as there is a list")
+                tracing::warn!("takeover: the old process did not answer in time; new connections are routed here once there is a list")
             }
             Ok(_) => {}
         }
-        claim.unwrap_or(PredecessorReply::None)
+        reply.unwrap_or(PredecessorReply::None)
     }
 
-    /// The elder's listening sockets of this kind, where it has offered any.
+    /// The offered listening sockets of this kind that are bound to `address`.
     pub(crate) fn listeners(&mut self, door: Door, address: SocketAddr) -> Vec<TcpListener> {
         match self {
             PredecessorReply::Offered(_, offer) => offer.listeners(door, address),
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Words on servers that came with the offer.
+    /// The ban records received with the offer.
     pub(crate) fn take_ban_updates(&mut self) -> Vec<Word> {
         match self {
             PredecessorReply::Offered(_, offer) => std::mem::take(&mut offer.words),
@@ -74,8 +74,9 @@
     }
 }
 
-async fn ask(place: &Path) -> Result<Link, LinkError> {
-    let (_folder, address) = socket_address(place)?;
+/// Connects to the old process's socket and sends the takeover request.
+async fn connect(path: &Path) -> Result<Link, LinkError> {
+    let (_folder, address) = socket_address(path)?;
     let socket = socket()?;
     rustix::net::connect(&socket, &address)?;
     let link = Link::new(socket)?;
@@ -83,8 +84,8 @@
     Ok(link)
 }
 
-/// The elder's offer, whenever it comes.
-pub(super) async fn offer(link: &Link) -> Result<Offer, LinkError> {
+/// Receives the old process's offer, however long it takes.
+pub(super) async fn receive_offer(link: &Link) -> Result<Offer, LinkError> {
     let (mut words, mut learnt) = (Vec::new(), LearnedState::default());
     loop {
         match link.receive().await? {
@@ -100,24 +101,25 @@
 }
 
 impl Offer {
+    /// Takes the offered descriptors of this kind.
     fn take(&mut self, door: Door) -> Vec<OwnedFd> {
-        let (these, rest) = std::mem::take(&mut self.doors).into_iter().partition(|(d, _)| *d == door);
-        self.doors = rest;
-        Vec::into_iter(these).map(|(_, descriptor)| descriptor).collect()
+        let (matching, others) = std::mem::take(&mut self.doors).into_iter().partition(|(d, _)| *d == door);
+        self.doors = others;
+        Vec::into_iter(matching).map(|(_, descriptor)| descriptor).collect()
     }
 
-    /// The elder's listening sockets of this kind, if it listens there too.
+    /// Takes the listening sockets of this kind that are bound to `address`.
     pub(super) fn listeners(&mut self, door: Door, address: SocketAddr) -> Vec<TcpListener> {
-        let there = |fd| {
+        let at_address = |fd| {
             let listener = std::net::TcpListener::from(fd);
             (listener.local_addr().ok()? == address).then_some(())?;
             TcpListener::from_std(listener).ok()
         };
-        self.take(door).into_iter().filter_map(there).collect()
+        self.take(door).into_iter().filter_map(at_address).collect()
     }
 
-    /// Where the elder puts down clients at rest.
-    pub(super) fn rest(&mut self) -> Option<Link> {
+    /// Takes the queue on which the old process passes idle clients' connections.
+    pub(super) fn idle_queue(&mut self) -> Option<Link> {
         self.take(Door::Rest).pop().and_then(|fd| Link::new(fd).ok())
     }
 }
--- a/crates/node/src/upgrade/takeover.rs
+++ b/crates/node/src/upgrade/takeover.rs
@@ -1,7 +1,7 @@
-//! This process's place between the one that it takes over from and the one that takes over from it.
+//! This process's part in takeovers: it takes over from the old process at its start and later hands over to a new one.
 
-use super::predecessor::{offer, PredecessorReply, Offer};
-use super::link::{bind, runtime_path, Link, LinkError, Rest, SOCKET};
+use super::predecessor::{receive_offer, PredecessorReply, Offer};
+use super::link::{bind, runtime_path, Link, LinkError, IdleQueue, SOCKET};
 use super::reuseport;
 use crate::ledger::BanLedger;
 use laurelroute_core::accept::Gate;
@@ -21,259 +21,265 @@
 use tokio::sync::{watch, Notify};
 use tokio::task::{spawn_local, JoinHandle};
 
-/// How often the elder looks for connections at rest, for descriptors that it no longer holds, and for its heir.
-const TICK: Duration = Duration::from_millis(5);
-/// The folder may be full or gone for a while.
-const BIND_AGAIN: Duration = Duration::from_secs(5);
-/// Words that wait for the other process; beyond it the oldest call is answered without its word.
-const MOST_WAITING: usize = 64;
+/// Interval at which the old process checks for idle connections, released descriptors and the new process.
+const TICK_INTERVAL: Duration = Duration::from_millis(5);
+/// Delay before creating the socket file is retried: the folder may be full or missing for a while.
+const BIND_RETRY_INTERVAL: Duration = Duration::from_secs(5);
+/// Ban updates that await the other process's acknowledgement; with more, the oldest call is answered without it.
+const MAX_PENDING_ACKS: usize = 64;
 
-/// How clients come in by one door.
+/// How connections of one kind are accepted.
 pub(crate) enum ClientListener {
-    /// By sockets that listen already.
+    /// On sockets that already listen.
     Open(Vec<TcpListener>),
-    /// By one that will listen once this process serves: until then all connections go to the process that has not
-    /// answered.
+    /// On a bound socket that listens only once this process serves: until then all connections go to the old process, which
+    /// has not answered.
     Bound(TcpSocket, SocketAddr),
 }
 
-/// Starts to accept by a listening socket of a door.
+/// Starts accepting connections of this kind on a listening socket.
 pub(crate) type AcceptFn = Box<dyn Fn(Door, Rc<TcpListener>) -> JoinHandle<()>>;
 
-/// This process's place in the line of those that serve at the address: after an elder, before an heir, both or none.
+/// This process's part in takeovers of the address: it may have an old process before it, a new one after it, both or neither.
 pub(crate) struct Takeover {
     gate: watch::Sender<Gate>,
     clients: RefCell<Option<Rc<Clients>>>,
-    take: RefCell<Option<AcceptFn>>,
+    accept: RefCell<Option<AcceptFn>>,
     listeners: RefCell<Vec<(Door, Rc<TcpListener>)>>,
-    accepting: RefCell<Vec<JoinHandle<()>>>,
-    /// For clients at rest, while an heir that beats is there.
-    rest: RefCell<Option<Rest>>,
+    accept_tasks: RefCell<Vec<JoinHandle<()>>>,
+    /// Queue for idle clients, while there is a new process that sends heartbeats.
+    idle_queue: RefCell<Option<IdleQueue>>,
     elder: RefCell<Elder>,
     links: RefCell<Vec<Rc<Link>>>,
-    marks: Cell<u64>,
-    /// Words of which the other process has not said yet that it has them.
-    waiting: RefCell<VecDeque<u64>>,
-    noted: Notify,
-    sockets: usize,
+    /// Number of the next batch of ban updates.
+    next_batch: Cell<u64>,
+    /// Batches of ban updates that the other process has not acknowledged yet.
+    pending_acks: RefCell<VecDeque<u64>>,
+    /// Notified when a batch is acknowledged or no longer awaited.
+    ack_received: Notify,
+    /// Number of descriptors that the node may hold.
+    descriptor_limit: usize,
     ledger: Rc<BanLedger>,
 }
 
 impl Takeover {
-    pub(crate) fn new(sockets: usize, ledger: Rc<BanLedger>) -> Rc<Takeover> {
+    pub(crate) fn new(descriptor_limit: usize, ledger: Rc<BanLedger>) -> Rc<Takeover> {
         Rc::new(Takeover {
             gate: watch::Sender::new(Gate::Held),
             clients: RefCell::default(),
-            take: RefCell::default(),
+            accept: RefCell::default(),
             listeners: RefCell::default(),
-            accepting: RefCell::default(),
-            rest: RefCell::default(),
-            elder: RefCell::new(Elder::new(sockets)),
+            accept_tasks: RefCell::default(),
+            idle_queue: RefCell::default(),
+            elder: RefCell::new(Elder::new(descriptor_limit)),
             links: RefCell::default(),
-            marks: Cell::new(1),
-            waiting: RefCell::default(),
-            noted: Notify::new(),
-            sockets,
+            next_batch: Cell::new(1),
+            pending_acks: RefCell::default(),
+            ack_received: Notify::new(),
+            descriptor_limit,
             ledger,
         })
     }
 
-    /// Whether clients are accepted, for those who accept.
+    /// Whether new connections are accepted, for the accept loops.
     pub(crate) fn gate(&self) -> watch::Receiver<Gate> {
         self.gate.subscribe()
     }
 
-    /// Whether this process takes clients.
+    /// Whether this process accepts clients and is ready to serve them.
     pub(crate) fn is_serving(&self, gateway: &Gateway) -> bool {
         gateway.ready.get() && !gateway.leaving() && *self.gate.borrow() == Gate::Open
     }
 
-    /// An heir is there, whether it takes clients by now or not.
+    /// Whether a new process is connected, serving or not.
     pub(crate) fn has_successor(&self) -> bool {
         !self.elder.borrow().alone()
     }
 
-    /// An heir takes all new clients now.
+    /// Whether the new process accepts all new connections.
     pub(crate) fn successor_serves(&self) -> bool {
         let elder = self.elder.borrow();
         elder.yielded() && !elder.covering()
     }
 
-    /// No more clients: what waits is still taken, unless an heir takes it. Over once that has been done.
+    /// Stops accepting: connections in the backlog are still accepted unless the new process accepts them. Returns when that is
+    /// done.
     pub(crate) async fn stop_accepting(&self) {
         if self.successor_serves() {
             return;
         }
         self.gate.send_replace(Gate::Shut);
-        let accepting = std::mem::take(&mut *self.accepting.borrow_mut());
-        for task in accepting {
+        let accept_tasks = std::mem::take(&mut *self.accept_tasks.borrow_mut());
+        for task in accept_tasks {
             let _ = task.await;
         }
     }
 
-    /// Takes clients by this socket too, whenever the gate is open.
-    fn enter(&self, door: Door, listener: TcpListener) {
+    /// Accepts connections on this socket too, whenever the gate is open.
+    fn add_listener(&self, door: Door, listener: TcpListener) {
         let listener = Rc::new(listener);
-        if let Some(take) = &*self.take.borrow() {
-            self.accepting.borrow_mut().push(take(door, listener.clone()));
+        if let Some(accept) = &*self.accept.borrow() {
+            self.accept_tasks.borrow_mut().push(accept(door, listener.clone()));
             self.listeners.borrow_mut().push((door, listener));
         }
     }
 
-    /// Listens where only an address was kept so far, and has the kernel bring all new connections here.
-    fn open_bound(&self, bound: Vec<(Door, TcpSocket, SocketAddr)>) {
+    /// Listens on the sockets that were only bound so far and has the kernel route all new connections here.
+    fn listen_on_bound(&self, bound: Vec<(Door, TcpSocket, SocketAddr)>) {
         for (door, socket, address) in bound {
             match socket.listen(crate::run::LISTEN_BACKLOG) {
                 Ok(listener) => {
                     if let Err(error) = reuseport::route_to_newest(&listener, address) {
-                        tracing::warn!("takeover: connections go to both processes: {error}");
+                        tracing::warn!("takeover: new connections go to both processes: {error}");
                     }
-                    self.enter(door, listener);
+                    self.add_listener(door, listener);
                 }
-                Err(error) => tracing::error!("takeover: {address} cannot be listened at: {error}"),
+                Err(error) => tracing::error!("takeover: cannot listen on {address}: {error}"),
             }
         }
     }
 
-    /// Serves by these client_listeners: after a process that serves now once there is a list, else at once. From then on others
+    /// Starts serving on these listeners: at once, or once there is a list if an old process serves. From then on a new process
     /// may take over from this one.
     pub(crate) async fn serve(
         self: Rc<Self>,
         gateway: Rc<Gateway>,
         clients: Rc<Clients>,
-        take: AcceptFn,
+        accept: AcceptFn,
         client_listeners: Vec<(Door, ClientListener)>,
-        claim: PredecessorReply,
+        predecessor: PredecessorReply,
         listen: SocketAddr,
     ) {
         *self.clients.borrow_mut() = Some(clients);
-        *self.take.borrow_mut() = Some(take);
+        *self.accept.borrow_mut() = Some(accept);
         let mut bound = Vec::new();
         for (door, client_listener) in client_listeners {
             match client_listener {
-                ClientListener::Listening(listeners) => listeners.into_iter().for_each(|l| self.enter(door, l)),
+                ClientListener::Listening(listeners) => listeners.into_iter().for_each(|l| self.add_listener(door, l)),
                 ClientListener::Bound(socket, address) => bound.push((door, socket, address)),
             }
         }
-        match claim {
+        match predecessor {
             PredecessorReply::None => {
                 self.gate.send_replace(Gate::Open);
             }
             PredecessorReply::Offered(link, offer) => self.take_over(&gateway, link, offer).await,
             PredecessorReply::Silent(link) => {
-                // Both keep within the limit also before the elder has said what it holds.
-                let held = link.peer().and_then(descriptors);
-                gateway.resize(share::beside(self.sockets, held));
+                // Keeps both processes within the limit even before the old process has reported what it holds.
+                let held = link.peer_pid().and_then(open_descriptors);
+                gateway.resize(share::beside(self.descriptor_limit, held));
                 gateway.listed().await;
-                self.open_bound(bound);
+                self.listen_on_bound(bound);
                 self.gate.send_replace(Gate::Open);
                 spawn_local(self.clone().await_offer(gateway.clone(), link));
             }
         }
-        let Some(place) = runtime_path(listen, SOCKET) else { return };
-        // Anew after each heir that has gone: it may have waited there for an heir of its own.
+        let Some(path) = runtime_path(listen, SOCKET) else { return };
+        // Bound again after each new process has ended: it may have bound the path itself, to await the next takeover.
         loop {
-            match bind(&place) {
-                Ok(door) => self.await_heir(&gateway, door).await,
+            match bind(&path) {
+                Ok(listener) => self.await_successor(&gateway, listener).await,
                 Err(error) => {
-                    tracing::warn!("nobody can take over from this process: {error}");
-                    tokio::time::sleep(BIND_AGAIN).await;
+                    tracing::warn!("takeover: no other process can take over from this one: {error}");
+                    tokio::time::sleep(BIND_RETRY_INTERVAL).await;
                 }
             }
         }
     }
 
-    /// Has what the elder has offered, and says so once there is a list.
+    /// Applies the old process's offer and reports this process ready once there is a list.
     async fn take_over(self: &Rc<Self>, gateway: &Rc<Gateway>, link: Link, mut offer: Offer) {
-        let (heir, effects) = Heir::new(self.sockets, offer.part, offer.beats, gateway.clock.now());
-        let rest = offer.rest();
+        let (heir, effects) = Heir::new(self.descriptor_limit, offer.part, offer.beats, gateway.clock.now());
+        let idle_queue = offer.idle_queue();
         let link = Rc::new(link);
-        self.carry_out(gateway, &link, effects);
+        self.apply_effects(gateway, &link, effects);
         self.links.borrow_mut().push(link.clone());
-        spawn_local(self.clone().follow_elder(gateway.clone(), link.clone(), rest, heir));
+        spawn_local(self.clone().follow_predecessor(gateway.clone(), link.clone(), idle_queue, heir));
         gateway.listed().await;
-        // Of the servers in the list, and no others.
+        // After the list has arrived: learnt state is applied only to listed servers.
         gateway.take_over(offer.learnt);
         self.gate.send_replace(Gate::Open);
         let _ = link.send(&Message::Ready, &[]).await;
     }
 
-    /// An elder that said nothing when this process started runs again: its queues are served, and it hands over as ever.
+    /// Waits for an old process that did not answer when this one started. When it runs again, its listening sockets are
+    /// served and it hands over as usual.
     async fn await_offer(self: Rc<Self>, gateway: Rc<Gateway>, link: Link) {
-        match offer(&link).await {
+        match receive_offer(&link).await {
             Ok(mut offer) => {
-                tracing::info!("takeover: the other process answers now");
+                tracing::info!("takeover: the old process has answered now");
                 gateway.merge_bans(std::mem::take(&mut offer.words));
-                let doors: Vec<_> = {
+                let addresses: Vec<_> = {
                     let listeners = self.listeners.borrow();
                     listeners.iter().filter_map(|(d, l)| Some((*d, l.local_addr().ok()?))).collect()
                 };
-                for (door, address) in doors {
-                    offer.listeners(door, address).into_iter().for_each(|l| self.enter(door, l));
+                for (door, address) in addresses {
+                    offer.listeners(door, address).into_iter().for_each(|l| self.add_listener(door, l));
                 }
                 self.take_over(&gateway, link, offer).await;
             }
             Err(error) => {
-                tracing::info!("takeover: {error}: this process has all that the node may hold");
-                gateway.resize(self.sockets);
+                tracing::info!("takeover: {error}: this process now has the node's full descriptor limit");
+                gateway.resize(self.descriptor_limit);
             }
         }
     }
 
-    /// Follows an elder to its end, and picks up the clients at rest that it puts down; over once none is left.
-    async fn follow_elder(
+    /// Follows the old process until it ends and takes the idle clients that it queues; returns when none is left.
+    async fn follow_predecessor(
         self: Rc<Self>,
         gateway: Rc<Gateway>,
         link: Rc<Link>,
-        mut rest: Option<Link>,
+        mut idle_queue: Option<Link>,
         mut heir: Heir,
     ) {
-        let mut beat = tokio::time::interval(Duration::from_nanos(BEAT));
-        beat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut heartbeat = tokio::time::interval(Duration::from_nanos(BEAT));
+        heartbeat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 packet = link.receive() => match packet {
                     Ok((Message::Client { door: Door::Http, used }, descriptors)) => {
                         let effects = heir.pick_up(self.take_clients(descriptors, used));
-                        self.carry_out(&gateway, &link, effects);
+                        self.apply_effects(&gateway, &link, effects);
                     }
                     Ok((message, _)) => {
                         let effects = heir.hear(message, gateway.clock.now(), gateway.budget.held());
-                        self.carry_out(&gateway, &link, effects);
+                        self.apply_effects(&gateway, &link, effects);
                     }
                     Err(error) => {
-                        tracing::info!("takeover: {error}: this process has all that the node may hold");
+                        tracing::info!("takeover: {error}: this process now has the node's full descriptor limit");
                         break;
                     }
                 },
-                picked = put_down(rest.as_ref()) => match picked {
+                received = receive_idle_client(idle_queue.as_ref()) => match received {
                     Ok((client, connections)) => {
                         let effects = heir.pick_up(self.take_clients(connections, client.used()));
-                        self.carry_out(&gateway, &link, effects);
+                        self.apply_effects(&gateway, &link, effects);
                     }
-                    Err(_) => rest = None,
+                    Err(_) => idle_queue = None,
                 },
-                _ = beat.tick() => {
+                _ = heartbeat.tick() => {
                     let effects = heir.tick(gateway.clock.now(), gateway.budget.held());
-                    self.carry_out(&gateway, &link, effects);
+                    self.apply_effects(&gateway, &link, effects);
                 }
             }
         }
-        self.carry_out(&gateway, &link, heir.lost());
+        self.apply_effects(&gateway, &link, heir.lost());
         self.drop_link(&link);
-        let Some(rest) = rest else { return };
-        while let Ok((client, connections)) = rest.receive().await {
+        let Some(idle_queue) = idle_queue else { return };
+        while let Ok((client, connections)) = idle_queue.receive().await {
             self.take_clients(connections, client.used());
         }
     }
 
-    /// Takes these clients' connections, which have carried requests or not; how many.
+    /// Serves these clients' connections, which have carried requests or not; returns their number.
     fn take_clients(&self, connections: Vec<OwnedFd>, used: bool) -> usize {
-        let number = connections.len();
+        let count = connections.len();
         connections.into_iter().for_each(|connection| self.take_client(connection, used));
-        number
+        count
     }
 
+    /// Serves a client's connection.
     fn take_client(&self, connection: OwnedFd, used: bool) {
         let stream = TcpStream::from_std(std::net::TcpStream::from(connection));
         if let (Ok(stream), Some(clients)) = (stream, &*self.clients.borrow()) {
@@ -281,56 +287,57 @@
         }
     }
 
-    /// One heir from its coming to its going. A second one at the same time hears nothing, and shares the address without
-    /// help.
-    async fn await_heir(&self, gateway: &Rc<Gateway>, door: UnixListener) {
-        let accepted = door.accept().await.and_then(|(stream, _)| Link::new(stream.into_std()?.into()));
-        let Ok(link) = accepted.map(Rc::new) else { return tokio::time::sleep(TICK).await };
+    /// Serves one new process from its connection to its end. A second one at the same time gets no answer and shares the
+    /// address without a handover.
+    async fn await_successor(&self, gateway: &Rc<Gateway>, listener: UnixListener) {
+        let accepted = listener.accept().await.and_then(|(stream, _)| Link::new(stream.into_std()?.into()));
+        let Ok(link) = accepted.map(Rc::new) else { return tokio::time::sleep(TICK_INTERVAL).await };
         self.links.borrow_mut().push(link.clone());
-        let error = self.follow_heir(gateway, &link).await;
+        let error = self.follow_successor(gateway, &link).await;
         tracing::info!("takeover: {error}");
         self.drop_link(&link);
         if !gateway.leaving() {
             let effects = self.elder.borrow_mut().lost();
-            self.carry_out(gateway, &link, effects);
+            self.apply_effects(gateway, &link, effects);
         }
-        *self.rest.borrow_mut() = None;
+        *self.idle_queue.borrow_mut() = None;
     }
 
-    async fn follow_heir(&self, gateway: &Rc<Gateway>, link: &Rc<Link>) -> LinkError {
-        let mut tick = tokio::time::interval(TICK);
+    /// Exchanges messages with the new process and hands idle clients over until the link ends.
+    async fn follow_successor(&self, gateway: &Rc<Gateway>, link: &Rc<Link>) -> LinkError {
+        let mut tick = tokio::time::interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 packet = link.receive() => match packet {
                     Ok((message, _)) => {
                         let effects = self.elder.borrow_mut().hear(message, gateway.budget.held());
-                        self.carry_out(gateway, link, effects);
+                        self.apply_effects(gateway, link, effects);
                     }
                     Err(error) => return error,
                 },
                 _ = tick.tick(), if !self.elder.borrow().alone() => {
                     let covering = self.elder.borrow().covering();
                     let effects = self.elder.borrow_mut().tick(gateway.clock.now(), gateway.budget.held());
-                    self.carry_out(gateway, link, effects);
+                    self.apply_effects(gateway, link, effects);
                     if !covering && self.elder.borrow().covering() {
-                        tracing::warn!("takeover: the new process is silent; this one accepts beside it");
+                        tracing::warn!("takeover: the new process does not respond; this one accepts connections as well");
                     }
                     if self.successor_serves() {
                         self.hand_over(gateway, link);
                     }
                 }
-                _ = self.rested(), if self.successor_serves() => {
+                _ = self.client_idle(), if self.successor_serves() => {
                     self.hand_over(gateway, link);
-                    // What went is closed here before more of them go.
+                    // Lets the connections handed over be closed here before more of them are.
                     tokio::task::yield_now().await;
                 }
             }
         }
     }
 
-    /// A client's connection has come to rest.
-    async fn rested(&self) {
+    /// Waits until a client's connection becomes idle.
+    async fn client_idle(&self) {
         let clients = self.clients.borrow().clone();
         match clients {
             Some(clients) => clients.rested().await,
@@ -338,43 +345,45 @@
         }
     }
 
+    /// Hands idle clients over to the new process.
     fn hand_over(&self, gateway: &Rc<Gateway>, link: &Rc<Link>) {
-        let (clients, rest) = (self.clients.borrow(), self.rest.borrow());
+        let (clients, idle_queue) = (self.clients.borrow(), self.idle_queue.borrow());
         let Some(clients) = &*clients else { return };
-        let given = clients.hand_over(|connection, used| {
+        let handed_over = clients.hand_over(|connection, used| {
             let client = Message::Client { door: Door::Http, used };
-            match &*rest {
-                Some(rest) => rest.put(&client, connection),
+            match &*idle_queue {
+                Some(queue) => queue.push(&client, connection),
                 None => link.try_send(&client, &[connection]).unwrap_or(false),
             }
         });
-        if given > 0 {
-            let effects = self.elder.borrow_mut().gave(given);
-            self.carry_out(gateway, link, effects);
+        if handed_over > 0 {
+            let effects = self.elder.borrow_mut().gave(handed_over);
+            self.apply_effects(gateway, link, effects);
         }
     }
 
-    fn carry_out(&self, gateway: &Rc<Gateway>, link: &Rc<Link>, effects: Vec<Effect>) {
-        effects.into_iter().for_each(|effect| self.carry_out_one(gateway, link, effect));
+    /// Carries out the state machines' effects in order.
+    fn apply_effects(&self, gateway: &Rc<Gateway>, link: &Rc<Link>, effects: Vec<Effect>) {
+        effects.into_iter().for_each(|effect| self.apply_effect(gateway, link, effect));
     }
 
-    fn carry_out_one(&self, gateway: &Rc<Gateway>, link: &Rc<Link>, effect: Effect) {
+    fn apply_effect(&self, gateway: &Rc<Gateway>, link: &Rc<Link>, effect: Effect) {
         match effect {
-            Effect::Say(message) => self.post(link, message),
+            Effect::Say(message) => self.send_or_queue(link, message),
             Effect::Offer(part) => self.offer(gateway, link, part),
             Effect::Accept(open) => {
-                let wanted = if open { Gate::Open } else { Gate::Held };
-                // Once shut it stays so: this process is about to end.
+                let target = if open { Gate::Open } else { Gate::Held };
+                // A shut gate stays shut: this process is about to end.
                 let changed =
-                    |gate: &mut Gate| *gate != Gate::Shut && std::mem::replace(gate, wanted) != wanted;
+                    |gate: &mut Gate| *gate != Gate::Shut && std::mem::replace(gate, target) != target;
                 self.gate.send_if_modified(changed);
             }
             Effect::Hold(sockets) => gateway.resize(sockets),
             Effect::Reclaim => {
-                let clients = self.rest.borrow().as_ref().map_or_else(Vec::new, Rest::reclaim);
-                let number = clients.iter().map(|(_, connections)| connections.len()).sum();
-                let effects = self.elder.borrow_mut().took_back(number);
-                self.carry_out(gateway, link, effects);
+                let clients = self.idle_queue.borrow().as_ref().map_or_else(Vec::new, IdleQueue::reclaim);
+                let count = clients.iter().map(|(_, connections)| connections.len()).sum();
+                let effects = self.elder.borrow_mut().took_back(count);
+                self.apply_effects(gateway, link, effects);
                 for (client, connections) in clients {
                     self.take_clients(connections, client.used());
                 }
@@ -384,57 +393,57 @@
                 let (gateway, link, ledger) = (gateway.clone(), link.clone(), self.ledger.clone());
                 spawn_local(async move {
                     if let Err(error) = ledger.persist(&gateway).await {
-                        tracing::warn!("bans are not kept: {error}");
+                        tracing::warn!("takeover: received bans cannot be stored: {error}");
                     }
                     let _ = link.send(&Message::Noted { mark }, &[]).await;
                 });
             }
             Effect::Noted(mark) => {
-                self.waiting.borrow_mut().retain(|m| *m != mark);
-                self.noted.notify_waiters();
+                self.pending_acks.borrow_mut().retain(|m| *m != mark);
+                self.ack_received.notify_waiters();
             }
             Effect::Foreign => {
-                tracing::warn!("takeover: another process speaks a version that this one does not")
+                tracing::warn!("takeover: the other process uses an unsupported protocol version")
             }
         }
     }
 
-    /// Sends all that an heir needs, the listening sockets last. With many servers it does not fit into the socket at once,
-    /// and goes out as the heir reads.
+    /// Sends the new process what it needs, the listening sockets last. With many servers this exceeds the socket's buffer and is
+    /// sent as the new process reads.
     fn offer(&self, gateway: &Rc<Gateway>, link: &Rc<Link>, part: usize) {
         let words = gateway.fleet(|f| f.bans.words().cloned().collect());
         let lessons = Lesson::parts(&gateway.learnt());
-        let ahead: Vec<_> =
+        let state: Vec<_> =
             Message::of_words(0, words).chain(lessons.into_iter().map(Message::Learnt)).collect();
         let (link, listeners) = (link.clone(), self.listeners.borrow().clone());
         let beats = self.elder.borrow().beats();
-        let rest = beats.then(Rest::new).and_then(|rest| {
-            rest.inspect_err(|error| tracing::warn!("takeover: clients go over by the link: {error}")).ok()
+        let idle_queue = beats.then(IdleQueue::new).and_then(|queue| {
+            queue.inspect_err(|error| tracing::warn!("takeover: passing clients over the link instead of a queue: {error}")).ok()
         });
-        let picked = rest.as_ref().and_then(|rest| rest.taken_from.try_clone().ok());
-        *self.rest.borrow_mut() = rest.filter(|_| picked.is_some());
+        let receiver = idle_queue.as_ref().and_then(|queue| queue.receiver.try_clone().ok());
+        *self.idle_queue.borrow_mut() = idle_queue.filter(|_| receiver.is_some());
         spawn_local(async move {
             let sent = async {
-                for message in &ahead {
+                for message in &state {
                     link.send(message, &[]).await?;
                 }
-                let newest = listeners.iter().rev().take(MOST_DESCRIPTORS - 1).rev();
+                let newest_listeners = listeners.iter().rev().take(MOST_DESCRIPTORS - 1).rev();
                 let (mut doors, mut sockets): (Vec<_>, Vec<_>) =
-                    newest.map(|(door, listener)| (*door, listener.as_fd())).unzip();
-                if let Some(picked) = &picked {
+                    newest_listeners.map(|(door, listener)| (*door, listener.as_fd())).unzip();
+                if let Some(receiver) = &receiver {
                     doors.push(Door::Rest);
-                    sockets.push(picked.as_fd());
+                    sockets.push(receiver.as_fd());
                 }
                 link.send(&Message::Offer { version: VERSION, doors, part, beats }, &sockets).await
             };
             if let Err(error) = sent.await {
-                tracing::warn!("takeover: the offer does not go out: {error}");
+                tracing::warn!("takeover: the offer cannot be sent: {error}");
             }
         });
     }
 
-    /// Sends a packet in its turn; one that finds no room goes out later.
-    fn post(&self, link: &Rc<Link>, message: Message) {
+    /// Sends a packet, or queues it until the socket has room.
+    fn send_or_queue(&self, link: &Rc<Link>, message: Message) {
         match link.try_send(&message, &[]) {
             Ok(true) => {}
             Ok(false) => {
@@ -445,46 +454,47 @@
         }
     }
 
-    /// Tells the node's other process, and waits until it has noted it. At once where there is none.
+    /// Sends a ban update to the node's other process and waits for the acknowledgement. Returns at once where there is none.
     pub(crate) async fn send_ban_update(&self, word: Word) {
         let links = self.links.borrow().clone();
         for link in links {
-            let mark = self.marks.get();
-            self.marks.set(mark + 1);
+            let batch = self.next_batch.get();
+            self.next_batch.set(batch + 1);
             {
-                let mut waiting = self.waiting.borrow_mut();
-                waiting.push_back(mark);
-                let over = waiting.len().saturating_sub(MOST_WAITING);
-                waiting.drain(..over);
+                let mut pending = self.pending_acks.borrow_mut();
+                pending.push_back(batch);
+                let excess = pending.len().saturating_sub(MAX_PENDING_ACKS);
+                pending.drain(..excess);
             }
-            self.post(&link, Message::Bans { mark, words: vec![word.clone()] });
+            self.send_or_queue(&link, Message::Bans { mark: batch, words: vec![word.clone()] });
             loop {
-                let noted = self.noted.notified();
-                if !self.waiting.borrow().contains(&mark) {
+                let acked = self.ack_received.notified();
+                if !self.pending_acks.borrow().contains(&batch) {
                     break;
                 }
-                noted.await;
+                acked.await;
             }
         }
     }
 
+    /// Forgets a link that has ended.
     fn drop_link(&self, link: &Rc<Link>) {
         self.links.borrow_mut().retain(|l| !Rc::ptr_eq(l, link));
-        // Nobody is left to note anything.
-        self.waiting.borrow_mut().clear();
-        self.noted.notify_waiters();
+        // No acknowledgement can arrive any more.
+        self.pending_acks.borrow_mut().clear();
+        self.ack_received.notify_waiters();
     }
 }
 
-/// What the elder has put down, where it does so at a place for it; else nothing, ever.
-async fn put_down(rest: Option<&Link>) -> Result<(Message, Vec<OwnedFd>), LinkError> {
-    match rest {
-        Some(rest) => rest.receive().await,
+/// Receives the next idle client from the old process's queue; never returns where there is no queue.
+async fn receive_idle_client(queue: Option<&Link>) -> Result<(Message, Vec<OwnedFd>), LinkError> {
+    match queue {
+        Some(queue) => queue.receive().await,
         None => std::future::pending().await,
     }
 }
 
-/// Descriptors that another process of this user holds; `None` where the kernel does not say.
-fn descriptors(pid: u32) -> Option<usize> {
+/// Number of descriptors that another process of this user holds; `None` where the kernel does not report it.
+fn open_descriptors(pid: u32) -> Option<usize> {
     std::fs::read_dir(format!("/proc/{pid}/fd")).ok().map(Iterator::count)
 }
