--- a/crates/node/src/fleet/cli.rs
+++ b/crates/node/src/fleet/cli.rs
@@ -103,14 +103,20 @@
 fn state(replica: &Value) -> String {
     let record = |record: &Value| match record["version"].as_u64() {
         Some(version) => format!("list {version}"),
-        None => format!("{}#{}{}", text(&record["by"]), record["number"], if record["out"] == true { "" } else { " back" }),
+        None => format!(
+            "{}#{}{}",
+            text(&record["by"]),
+            record["number"],
+            if record["out"] == true { "" } else { " back" }
+        ),
     };
     let row = |entry: &Value| {
         let records: Vec<String> = entry["words"].as_array().into_iter().flatten().map(record).collect();
         let out = if entry["out"] == true { "out" } else { "in use" };
         format!("{:<6} {:<24} {out:<7} {}", text(&entry["kind"]), text(&entry["server"]), records.join(", "))
     };
-    let caught_up = if replica["caught_up"] == true { "" } else { "; not yet caught up with the other members" };
+    let caught_up =
+        if replica["caught_up"] == true { "" } else { "; not yet caught up with the other members" };
     let header = format!(
         "replica {} at {}, {} entries{caught_up}",
         text(&replica["copy"]),
@@ -170,8 +176,9 @@
     let header = format!("{:<24} {:<22} {:<4} {:>9}", "name", "address", "", "silent");
     let rows = rows(fleet).iter().map(row);
     let learnt = fleet["learnt"]["servers"].as_u64();
-    let learnt = learnt
-        .map(|n| format!("started with what {} had learnt about {n} servers", text(&fleet["learnt"]["from"])));
+    let learnt = learnt.map(|n| {
+        format!("started with what {} had learnt about {n} servers", text(&fleet["learnt"]["from"]))
+    });
     [view_summary(fleet), header].into_iter().chain(rows).chain(learnt).collect::<Vec<_>>().join("\n")
 }
 
@@ -218,7 +225,12 @@
         assert!(shown.lines().nth(3).unwrap().contains("out") && shown.contains("2300 ms"), "{shown}");
         assert!(shown.ends_with("\nstarted with what b had learnt about 7 servers"), "{shown}");
         let explanation = explain(&fleet, "b").unwrap();
-        assert!(explanation.contains("no member") && explanation.contains("for 2300 ms") && explanation.contains("by a"), "{explanation}");
+        assert!(
+            explanation.contains("no member")
+                && explanation.contains("for 2300 ms")
+                && explanation.contains("by a"),
+            "{explanation}"
+        );
         assert!(explain(&fleet, "c").is_err());
     }
 
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -4,16 +4,16 @@
 //! The membership protocol itself is in `laurelroute-membership`.
 
 pub(crate) mod cli;
-pub(crate) mod replica;
 mod history;
 mod learned_state;
+pub(crate) mod replica;
 pub mod table;
 
-use replica::LocalReplica;
 use history::History;
 use laurelroute_core::gateway::Gateway;
 use laurelroute_core::retry_io::retried;
 use laurelroute_membership::{Machine, Nanos, Output, Reason, Seat, View, MS, TICK};
+use replica::LocalReplica;
 use ring::hmac;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -82,11 +82,17 @@
     ring::rand::SecureRandom::fill(&ring::rand::SystemRandom::new(), &mut seed)
         .map_err(|_| FleetError::Random)?;
     let history = config.history.as_deref().map(History::open).transpose().map_err(FleetError::History)?;
-    let machine = Machine::new(&config.site, config.roster.clone(), config.own_seat, seed, gateway.clock.now());
-    let replica_machine = laurelroute_replica::Machine::new(&config.site, &config.roster, config.own_seat, machine.life());
+    let machine =
+        Machine::new(&config.site, config.roster.clone(), config.own_seat, seed, gateway.clock.now());
+    let replica_machine =
+        laurelroute_replica::Machine::new(&config.site, &config.roster, config.own_seat, machine.life());
     #[cfg(feature = "planted")]
     let (machine, replica_machine) = planted(machine, replica_machine);
-    let replica = LocalReplica::new(replica_machine, crate::upgrade::link::runtime_path(listen, "replica"), gateway.clock.now());
+    let replica = LocalReplica::new(
+        replica_machine,
+        crate::upgrade::link::runtime_path(listen, "replica"),
+        gateway.clock.now(),
+    );
     let member = Rc::new(FleetMember {
         config: config.clone(),
         machine: RefCell::new(machine),
@@ -140,8 +146,13 @@
         self.socket.replace(Some(socket.clone()));
         // The old process has ended and no longer writes the replica's file.
         self.restore_replica(&gateway);
-        let seats: BTreeMap<SocketAddr, Seat> =
-            self.config.addresses.iter().enumerate().map(|(seat, address)| (*address, seat as Seat)).collect();
+        let seats: BTreeMap<SocketAddr, Seat> = self
+            .config
+            .addresses
+            .iter()
+            .enumerate()
+            .map(|(seat, address)| (*address, seat as Seat))
+            .collect();
         let mut tick = tokio::time::interval(Duration::from_nanos(TICK));
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
@@ -238,7 +249,11 @@
         let (previous, _) = self.current_view.replace((Some(view.clone()), now));
         let old = previous.map(|v| v.members).unwrap_or_default();
         let missing_from = |members: &BTreeMap<Seat, u32>, other: &BTreeMap<Seat, u32>| -> Vec<String> {
-            members.iter().filter(|(seat, life)| other.get(seat) != Some(life)).map(|(seat, _)| name(seat)).collect()
+            members
+                .iter()
+                .filter(|(seat, life)| other.get(seat) != Some(life))
+                .map(|(seat, _)| name(seat))
+                .collect()
         };
         let (joined, removed) = (missing_from(&view.members, &old), missing_from(&old, &view.members));
         tracing::info!(
@@ -321,7 +336,7 @@
             "lease": machine.attached(now),
             "share": machine.share(now),
             "pauses": machine.pauses(),
-            "learnt": self.replica.learnt.borrow().as_ref().map(|(from, servers)| serde_json::json!({"from": from, "servers": servers})),
+            "learnt": self.replica.learnt_from.borrow().as_ref().map(|(from, servers)| serde_json::json!({"from": from, "servers": servers})),
             "members": rows,
         })
     }
--- a/crates/node/src/fleet/replica.rs
+++ b/crates/node/src/fleet/replica.rs
@@ -279,7 +279,9 @@
 
     /// Ends drains that other members reported and that this node's own list has not shown within [`REPORTED_DRAIN_TTL`].
     pub(super) fn expire_reported_drains(&self, gateway: &Rc<Gateway>, now: Nanos) {
-        let expired = |(host, since): (&String, &Nanos)| (now.saturating_sub(*since) >= REPORTED_DRAIN_TTL).then(|| host.clone());
+        let expired = |(host, since): (&String, &Nanos)| {
+            (now.saturating_sub(*since) >= REPORTED_DRAIN_TTL).then(|| host.clone())
+        };
         let expired: Vec<String> = self.replica.reported_drains.borrow().iter().filter_map(expired).collect();
         for host in expired {
             self.replica.reported_drains.borrow_mut().remove(&host);
@@ -326,10 +328,13 @@
             }
         }
         let changes = self.replica.changes.get();
-        let required = self.config.confirm.min(self.machine.borrow().view().map_or(0, |v| v.members.len() - 1));
+        let required =
+            self.config.confirm.min(self.machine.borrow().view().map_or(0, |v| v.members.len() - 1));
         let holders = || self.replica.machine.borrow().held_by(&key);
         let started_at = tokio::time::Instant::now();
-        while started_at.elapsed() < CONFIRM_TIMEOUT && (holders() < required || self.replica.on_disk(changes) == Ok(false)) {
+        while started_at.elapsed() < CONFIRM_TIMEOUT
+            && (holders() < required || self.replica.on_disk(changes) == Ok(false))
+        {
             tokio::time::sleep(POLL_INTERVAL).await;
         }
         let others = match holders() {
@@ -375,7 +380,8 @@
             }
         }
         let query = self.replica.query.borrow();
-        let answer = |seat: Seat| if seat == self.config.own_seat { Some(true) } else { query.1.get(&seat).copied() };
+        let answer =
+            |seat: Seat| if seat == self.config.own_seat { Some(true) } else { query.1.get(&seat).copied() };
         members.into_iter().map(|seat| (self.config.roster.name(seat).to_owned(), answer(seat))).collect()
     }
 
@@ -398,8 +404,12 @@
     pub(crate) fn state_json(&self, kind: Option<&str>) -> serde_json::Value {
         let machine = self.replica.machine.borrow();
         let selected = |(key, _): &(&Key, &Entry)| kind.is_none_or(|kind| key.kind() == kind);
-        let rows: Vec<_> =
-            machine.store().entries().filter(selected).map(|(key, entry)| self.entry_json(key, entry)).collect();
+        let rows: Vec<_> = machine
+            .store()
+            .entries()
+            .filter(selected)
+            .map(|(key, entry)| self.entry_json(key, entry))
+            .collect();
         serde_json::json!({
             "me": self.config.roster.name(self.config.own_seat),
             "caught_up": machine.caught_up(),
@@ -428,8 +438,11 @@
     fn banning_members(&self, key: &Key) -> String {
         let machine = self.replica.machine.borrow();
         let changes = machine.bans(key.host()).map_or(&[][..], |b| b.words());
-        let names: Vec<&str> =
-            changes.iter().filter(|change| change.out).map(|change| self.config.roster.name(change.dot.writer.seat)).collect();
+        let names: Vec<&str> = changes
+            .iter()
+            .filter(|change| change.out)
+            .map(|change| self.config.roster.name(change.dot.writer.seat))
+            .collect();
         names.join(" ")
     }
 
--- a/crates/node/src/fleet/table.rs
+++ b/crates/node/src/fleet/table.rs
@@ -78,7 +78,8 @@
                     .error_at(&member.address, format!("`{name}` has the address of `{other}`: {address}")));
             }
             if address.port() == 0 || address.ip().is_unspecified() {
-                return Err(validator.error_at(&member.address, format!("{address} is not a usable destination address")));
+                return Err(validator.error_at(&member.address, format!("{address} is not a usable destination address"))
+                );
             }
         }
         let names = self.members.iter().map(|m| m.name.get_ref().clone()).collect();
@@ -97,23 +98,27 @@
         let key = match &self.key {
             None => None,
             Some(text) => match parse_key(text.get_ref()) {
-                Some(bytes) if bytes.len() >= MIN_KEY_BYTES => Some(hmac::Key::new(hmac::HMAC_SHA256, &bytes)),
+                Some(bytes) if bytes.len() >= MIN_KEY_BYTES => {
+                    Some(hmac::Key::new(hmac::HMAC_SHA256, &bytes))
+                }
                 Some(bytes) => {
-                    let message =
-                        format!("`fleet.key` has {} bytes; it must have at least {MIN_KEY_BYTES}", bytes.len());
+                    let message = format!(
+                        "`fleet.key` has {} bytes; it must have at least {MIN_KEY_BYTES}",
+                        bytes.len()
+                    );
                     return Err(validator.error_at(text, message));
                 }
-                None => {
-                    return Err(
+                None => return Err(
                         validator.error_at(text, "`fleet.key` must be hexadecimal digits, two per byte")
-                    )
-                }
+                    ),
             },
         };
         let confirm = self.confirm.as_ref().map_or(1, |c| *c.get_ref());
         if let Some(at) = self.confirm.as_ref().filter(|_| confirm >= roster.len()) {
-            let message =
-                format!("`fleet.confirm` is {confirm}, but there are only {} other members", roster.len() - 1);
+            let message = format!(
+                "`fleet.confirm` is {confirm}, but there are only {} other members",
+                roster.len() - 1
+            );
             return Err(validator.error_at(at, message));
         }
         if !is_local_address(listen.ip()) {
@@ -160,7 +165,11 @@
         for (from, to, message) in [
             ("\"b\"", "\"a\"", "s, line 9: the member `a` is listed twice"),
             (":2\"", ":1\"", "s, line 10: `a` has the address of `b`: 127.0.0.1:1"),
-            ("name = \"a\"\nkey", "name = \"c\"\nkey", "s, line 3: `fleet.name` is `c`, which is not a `[[fleet.member]]`"),
+            (
+                "name = \"a\"\nkey",
+                "name = \"c\"\nkey",
+                "s, line 3: `fleet.name` is `c`, which is not a `[[fleet.member]]`",
+            ),
             ("0e0f", "", "s, line 4: `fleet.key` has 14 bytes"),
             ("0e0f", "0e0", "s, line 4: `fleet.key` must be hexadecimal"),
             ("\"perth\"", "\"\"", "s, line 2: `fleet.site` must not be empty"),
--- a/crates/node/src/levels.rs
+++ b/crates/node/src/levels.rs
@@ -1,7 +1,9 @@
 //! The operator's settings of a two-level installation: this peer's identity (`[peers]`) and its role as a forwarder
 //! (`[forward]`) or as a planner (`[plan]`).
 
-use crate::services::table::{PlannerServices, PlannerServicesTable, ForwarderServices, ForwarderServicesTable};
+use crate::services::table::{
+    ForwarderServices, ForwarderServicesTable, PlannerServices, PlannerServicesTable,
+};
 use crate::site::{Classes, SiteError, Validator};
 use laurelroute_channel::tls::{Tls, TlsError};
 use laurelroute_plan::member::LONGEST_NAME;
@@ -329,7 +331,7 @@
         let name_source = |settings: &str| {
             let text = format!("{PEERS}[forward]\nplanners = [\"127.0.0.1:1\"]\n{settings}");
             let forward = Site::parse("s", &text, None).unwrap().levels.forward.unwrap();
-            forward.services.map(|s| s.place)
+            forward.services.map(|s| s.name_source)
         };
         assert_eq!(name_source(""), None);
         assert_eq!(name_source("services = false\n"), None);
--- a/crates/node/src/management.rs
+++ b/crates/node/src/management.rs
@@ -159,7 +159,9 @@
                 (StatusCode::OK, member.state_json(Some(kind)).to_string())
             }
             Some(("held", id)) => match percent_decode(id) {
-                Some(host) => (StatusCode::OK, serde_json::json!(member.members_holding_ban(&host).await).to_string()),
+                Some(host) => {
+                    (StatusCode::OK, serde_json::json!(member.members_holding_ban(&host).await).to_string())
+                }
                 None => (StatusCode::BAD_REQUEST, "that is no server's name".to_owned()),
             },
             _ => (StatusCode::NOT_FOUND, "no such call".to_owned()),
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -9,7 +9,7 @@
 use crate::signals::Signal;
 use crate::site::{Site, SiteError};
 use crate::upgrade::predecessor::PredecessorReply;
-use crate::upgrade::takeover::{ClientListener, Takeover, AcceptFn};
+use crate::upgrade::takeover::{AcceptFn, ClientListener, Takeover};
 use crate::{plan, source};
 use laurelroute_core::accept::{accept, MakeRoom, Need};
 use laurelroute_core::gateway::Gateway;
@@ -178,7 +178,9 @@
         Ok::<_, StartError>(match predecessor {
             _ if !inherited.is_empty() => ClientListener::Listening(inherited),
             PredecessorReply::Silent(_) => ClientListener::Bound(bind(address)?, address),
-            PredecessorReply::None | PredecessorReply::Offered(..) => ClientListener::Listening(vec![listen(address)?]),
+            PredecessorReply::None | PredecessorReply::Offered(..) => {
+                ClientListener::Listening(vec![listen(address)?])
+            }
         })
     };
     let mut listeners = vec![(Door::Http, open_listener(Door::Http, config.listen)?)];
@@ -239,8 +241,13 @@
                 .accept(listener),
         );
     }
-    let serving =
-        takeover.clone().serve(gateway.clone(), clients.clone(), take, listeners, predecessor, config.listen);
+    let serving = takeover.clone().serve(
+        gateway.clone(),
+        clients.clone(),
+        take, listeners,
+        predecessor,
+        config.listen,
+    );
     spawn_local(serving);
     spawn_local(sweep(gateway.clone(), clients.clone(), front.clone()));
     spawn_local(reload(config, discovery, hangup));
--- a/crates/node/src/services/directory.rs
+++ b/crates/node/src/services/directory.rs
@@ -229,11 +229,18 @@
         let mut observed: Vec<(String, ServerObservation)> = Vec::new();
         {
             let (last_used, mut last_reported) = (self.last_used.borrow(), self.last_reported.borrow_mut());
-            let after = last_used
-                .range::<str, _>((std::ops::Bound::Excluded(last_reported.as_str()), std::ops::Bound::Unbounded));
-            let selected: Vec<String> = after.take(SERVICES_PER_REPORT).map(|(service, _)| service.clone()).collect();
+            let after = last_used.range::<str, _>((
+                std::ops::Bound::Excluded(last_reported.as_str()),
+                std::ops::Bound::Unbounded,
+            ));
+            let selected: Vec<String> =
+                after.take(SERVICES_PER_REPORT).map(|(service, _)| service.clone()).collect();
             // Starts over after the last service.
-            *last_reported = if selected.len() < SERVICES_PER_REPORT { String::new() } else { selected[SERVICES_PER_REPORT - 1].clone() };
+            *last_reported = if selected.len() < SERVICES_PER_REPORT {
+                String::new()
+            } else {
+                selected[SERVICES_PER_REPORT - 1].clone()
+            };
             let gateways = self.gateways.borrow();
             let reporting = selected.iter().filter_map(|service| Some(&gateways.get(service)?.gateway));
             reporting.for_each(|gateway| observed.append(&mut gateway.observed()));
--- a/crates/node/src/services/forwarder.rs
+++ b/crates/node/src/services/forwarder.rs
@@ -66,7 +66,13 @@
         zone: gateway.site.settings.zone,
         services: true,
     };
-    spawn_local(subscribe(directory.clone(), gateway.clone(), identity, forward.planners.clone(), tls.clone()));
+    spawn_local(subscribe(
+        directory.clone(),
+        gateway.clone(),
+        identity,
+        forward.planners.clone(),
+        tls.clone(),
+    ));
     let sweeping = directory.clone();
     spawn_local(async move {
         loop {
--- a/crates/node/src/services/planner.rs
+++ b/crates/node/src/services/planner.rs
@@ -139,7 +139,9 @@
             };
             let max = self.max_connections;
             if self.connections.get() >= max {
-                self.warnings.borrow_mut().warn(|more| format!("{address}: rejected, {max} peers are connected already{more}"));
+                self.warnings
+                    .borrow_mut()
+                    .warn(|more| format!("{address}: rejected, {max} peers are connected already{more}"));
                 continue;
             }
             self.connections.set(self.connections.get() + 1);
@@ -161,7 +163,8 @@
             let peer = hello::heard(&mut stream, &self.identity, &roles).await?;
             Ok::<_, SessionError>((stream, peer))
         };
-        let (mut stream, peer) = timeout(HANDSHAKE_TIMEOUT, handshake).await.map_err(|_| SessionError::Silent)??;
+        let (mut stream, peer) =
+            timeout(HANDSHAKE_TIMEOUT, handshake).await.map_err(|_| SessionError::Silent)??;
         match peer.role() {
             Role::Asker => {
                 let explanation = async {
@@ -175,7 +178,10 @@
     }
 
     /// Answers an operator's query.
-    async fn answer_query<S: AsyncRead + AsyncWrite + Unpin>(&self, stream: &mut S) -> Result<(), FrameError> {
+    async fn answer_query<S: AsyncRead + AsyncWrite + Unpin>(
+        &self,
+        stream: &mut S,
+    ) -> Result<(), FrameError> {
         if let Some(Body::Ask(ask)) = frames::read(stream).await? {
             let text = self.publishing.with(|publisher, now| publisher.explain(now, &ask));
             frames::write(stream, Body::Told(Told { text })).await?;
--- a/crates/node/src/services/table.rs
+++ b/crates/node/src/services/table.rs
@@ -130,8 +130,12 @@
         Ok(Some(ForwarderServices {
             name_source: self.service.map_or(Ok(Place::Nowhere), |value| name_source(validator, &value))?,
             max_services: number("most_services", self.most_services, MAX_SERVICES, 1_000)? as usize,
-            max_service_bytes: number("most_service_bytes", self.most_service_bytes, MAX_SERVICE_BYTES, 16 << 20)?
-                as usize,
+            max_service_bytes: number(
+                "most_service_bytes",
+                self.most_service_bytes,
+                MAX_SERVICE_BYTES,
+                16 << 20,
+            )? as usize,
             unused_timeout: seconds("unused_seconds", self.unused_seconds, 600)?,
             unknown_ttl: seconds("unknown_seconds", self.unknown_seconds, 10)?,
             report_bytes: number("report_bytes", report_bytes, MAX_TRAFFIC_BYTES, 1_500)?,
@@ -175,8 +179,7 @@
         let number =
             |key: &str, value, max, default| validator.bounded_number(&format!("plan.{key}"), value, max, default);
         Ok(Some(PlannerServices {
-            max_forwarders: number("most_forwarders", self.most_forwarders, MAX_FORWARDERS, 10_000)?
-                as usize,
+            max_forwarders: number("most_forwarders", self.most_forwarders, MAX_FORWARDERS, 10_000)? as usize,
             update_bytes: number("update_bytes", self.update_bytes, MAX_TRAFFIC_BYTES, 7_000)?,
             update_burst: number("update_burst", self.update_burst, MAX_TRAFFIC_BYTES, 36_000)?,
             drain_bytes: number("drain_bytes", self.drain_bytes, MAX_TRAFFIC_BYTES, 1_500)?,
--- a/crates/node/src/shift/mod.rs
+++ b/crates/node/src/shift/mod.rs
@@ -1,7 +1,7 @@
 //! Runs a traffic shift in a node: evaluates it four times a second, writes its journal and logs its changes.
 
-pub(crate) mod cli;
 pub(crate) mod api;
+pub(crate) mod cli;
 pub mod table;
 mod watch;
 
@@ -40,7 +40,11 @@
 }
 
 /// Starts the configured shift in the gateway, resuming from the journal.
-pub(crate) fn start(gateway: &Rc<Gateway>, config: &Config, shift: &ShiftConfig) -> Result<(), ShiftStartError> {
+pub(crate) fn start(
+    gateway: &Rc<Gateway>,
+    config: &Config,
+    shift: &ShiftConfig,
+) -> Result<(), ShiftStartError> {
     let mut settings = shift.settings.clone();
     settings.classes = config.site.classes.clone();
     settings.behind.resize(settings.classes.len(), 0);
@@ -62,7 +66,8 @@
         OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path).map_err(io)?;
     let mut bytes = Vec::new();
     Read::by_ref(&mut file).take(journal::MOST_BYTES as u64 + 1).read_to_end(&mut bytes).map_err(io)?;
-    let replayed = journal::replay(&bytes, course).map_err(|e| ShiftStartError::Journal(path.to_owned(), e))?;
+    let replayed =
+        journal::replay(&bytes, course).map_err(|e| ShiftStartError::Journal(path.to_owned(), e))?;
     if !replayed.whole {
         tracing::warn!(
             "{}: the last record was incomplete and has been removed; the shift is held",
@@ -134,7 +139,9 @@
         }
         let Some(writes) = &writes else { continue };
         let mut text: String = changes.iter().map(journal::change).collect();
-        if (evaluations % EVIDENCE_EVERY == 0 && writes.capacity() > MAX_QUEUED_WRITES / 2) || !changes.is_empty() {
+        if (evaluations % EVIDENCE_EVERY == 0 && writes.capacity() > MAX_QUEUED_WRITES / 2)
+            || !changes.is_empty()
+        {
             text += &gateway.shift(|follower| journal::evidence(&follower.course)).unwrap_or_default();
         }
         if text.is_empty() {
@@ -143,7 +150,9 @@
         bytes_since_compaction += text.len();
         let write = if bytes_since_compaction > journal::COMPACT_AT {
             bytes_since_compaction = 0;
-            JournalWrite::Replace(gateway.shift(|follower| journal::compacted(&follower.course)).unwrap_or_default())
+            JournalWrite::Replace(
+                gateway.shift(|follower| journal::compacted(&follower.course)).unwrap_or_default(),
+            )
         } else {
             JournalWrite::Append(text)
         };
@@ -210,7 +219,10 @@
         }
         let length_before = std::fs::metadata(&path).unwrap().len();
         write_journal(&path, &mut file, &JournalWrite::Replace(journal::compacted(&course))).unwrap();
-        assert!(std::fs::metadata(&path).unwrap().len() < length_before, "compaction did not shorten the journal");
+        assert!(
+            std::fs::metadata(&path).unwrap().len() < length_before,
+            "compaction did not shorten the journal"
+        );
         let ended = course.say(2, &command(Verb::Abandon)).unwrap();
         write_journal(&path, &mut file, &JournalWrite::Append(journal::change(&ended))).unwrap();
         let mut resumed = self::course();
--- a/crates/node/src/shift/table.rs
+++ b/crates/node/src/shift/table.rs
@@ -107,8 +107,10 @@
     fn predicate(&self, validator: &Validator<'_>, key: &str) -> Result<Predicate, SiteError> {
         let network = |text: &Spanned<String>| {
             text.get_ref().parse::<IpNet>().map_err(|_| {
-                let message =
-                    format!("`shift.{key}.network`: `{}` is not a network, such as 10.2.0.0/16", text.get_ref());
+                let message = format!(
+                    "`shift.{key}.network`: `{}` is not a network, such as 10.2.0.0/16",
+                    text.get_ref()
+                );
                 validator.error_at(text, message)
             })
         };
@@ -138,7 +140,8 @@
         if let Some(steps) = &self.steps {
             settings.steps = steps.get_ref().iter().map(|s| s / 100.0).collect();
         }
-        let percent = |v: &Option<Spanned<f64>>, default: f64| v.as_ref().map_or(default, |v| v.get_ref() / 100.0);
+        let percent =
+            |v: &Option<Spanned<f64>>, default: f64| v.as_ref().map_or(default, |v| v.get_ref() / 100.0);
         settings.keep_back = percent(&self.keep_back, settings.keep_back);
         settings.bounds.tolerance = percent(&self.tolerance, settings.bounds.tolerance);
         settings.least_fault = percent(&self.least_fault, settings.least_fault);
@@ -185,7 +188,9 @@
             let Some(index) = settings.classes.iter().position(|c| c == name) else {
                 let known = settings.classes.join(", ");
                 return Err(validator
-                    .error_at(&class.name, format!("`shift.class` is `{name}`; the configured classes are {known}")));
+                    .error_at(
+                    &class.name,
+                    format!("`shift.class` is `{name}`; the configured classes are {known}"))));
             };
             if seen.contains(&index) {
                 return Err(validator.error_at(&class.name, format!("`shift.class` lists `{name}` twice")));
@@ -234,7 +239,10 @@
         }
         if ["class", "zone", "repeat"].contains(&name.as_str()) {
             return Err(
-                validator.error_at(&self.name, format!("`shift.split`: `{name}` is always split on and cannot be redefined"))
+                validator.error_at(
+                &self.name,
+                format!("`shift.split`: `{name}` is always split on and cannot be redefined"),
+            )
             );
         }
         Ok(Split { name: name.clone(), groups })
--- a/crates/node/src/shift/watch.rs
+++ b/crates/node/src/shift/watch.rs
@@ -15,8 +15,11 @@
 const INTERVAL_SECONDS: (f64, f64) = (0.2, 3600.0);
 
 pub(super) fn run(at: Option<SocketAddr>, every: f64) -> Result<(), ShiftCommandError> {
-    let interval =
-        Duration::from_secs_f64(if every.is_finite() { every.clamp(INTERVAL_SECONDS.0, INTERVAL_SECONDS.1) } else { INTERVAL_SECONDS.0 });
+    let interval = Duration::from_secs_f64(if every.is_finite() {
+        every.clamp(INTERVAL_SECONDS.0, INTERVAL_SECONDS.1)
+    } else {
+        INTERVAL_SECONDS.0
+    });
     if !std::io::stdout().is_terminal() {
         return print_changes(at, interval);
     }
@@ -129,7 +132,8 @@
             d if d >= 0.5 => ("?", Style::new().add_modifier(Modifier::BOLD)),
             _ => (" ", Style::new()),
         };
-        let cells = [format!("{mark} {}", row.cell), signal, ratio(row.old), ratio(row.new), doubt, detectable];
+        let cells =
+            [format!("{mark} {}", row.cell), signal, ratio(row.old), ratio(row.new), doubt, detectable];
         Line::new(cells.map(Cell::from)).style(style)
     };
     let widths = [34, 8, 12, 11, 6, 6].map(Constraint::Length);
--- a/crates/node/src/upgrade/mod.rs
+++ b/crates/node/src/upgrade/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! The decisions of both sides are made by the state machines in `laurelroute-handover`.
 
-pub(crate) mod predecessor;
 pub(crate) mod link;
+pub(crate) mod predecessor;
 mod reuseport;
 pub(crate) mod takeover;
--- a/crates/node/src/upgrade/predecessor.rs
+++ b/crates/node/src/upgrade/predecessor.rs
@@ -1,6 +1,6 @@
 //! Requests a takeover from the process that already serves at the address and receives its offer.
 
-use super::link::{runtime_path, socket_address, socket, Link, LinkError, SOCKET};
+use super::link::{runtime_path, socket, socket_address, Link, LinkError, SOCKET};
 use laurelroute_handover::bans::Word;
 use laurelroute_handover::message::{Door, Message, VERSION};
 use laurelroute_policy::interface::LearnedState;
@@ -38,7 +38,9 @@
 impl PredecessorReply {
     /// Requests a takeover from the process that serves at `listen`.
     pub(crate) async fn request(listen: SocketAddr) -> PredecessorReply {
-        let Some(path) = runtime_path(listen, SOCKET).filter(|path| path.exists()) else { return PredecessorReply::None };
+        let Some(path) = runtime_path(listen, SOCKET).filter(|path| path.exists()) else {
+            return PredecessorReply::None;
+        };
         let request = async {
             let link = connect(&path).await?;
             match tokio::time::timeout(OFFER_TIMEOUT, receive_offer(&link)).await {
--- a/crates/node/src/upgrade/reuseport.rs
+++ b/crates/node/src/upgrade/reuseport.rs
@@ -29,7 +29,10 @@
 /// Counts the sockets that listen on the address, in a table in the format of proc(5): a header, then all listening sockets.
 /// The rest is not read: with tens of thousands of closed connections, reading it on a busy machine took longer than clients
 /// wait.
-fn count_listening(table: impl Iterator<Item = io::Result<String>>, address: SocketAddr) -> io::Result<usize> {
+fn count_listening(
+    table: impl Iterator<Item = io::Result<String>>,
+    address: SocketAddr,
+) -> io::Result<usize> {
     let ip_hex = match address.ip() {
         IpAddr::V4(ip) => format!("{:08X}", u32::from_ne_bytes(ip.octets())),
         IpAddr::V6(ip) => {
--- a/crates/node/src/upgrade/takeover.rs
+++ b/crates/node/src/upgrade/takeover.rs
@@ -1,7 +1,7 @@
 //! This process's part in takeovers: it takes over from the old process at its start and later hands over to a new one.
 
-use super::predecessor::{receive_offer, PredecessorReply, Offer};
-use super::link::{bind, runtime_path, Link, LinkError, IdleQueue, SOCKET};
+use super::link::{bind, runtime_path, IdleQueue, Link, LinkError, SOCKET};
+use super::predecessor::{receive_offer, Offer, PredecessorReply};
 use super::reuseport;
 use crate::ledger::BanLedger;
 use laurelroute_core::accept::Gate;
@@ -31,7 +31,7 @@
 /// How connections of one kind are accepted.
 pub(crate) enum ClientListener {
     /// On sockets that already listen.
-    Open(Vec<TcpListener>),
+    Listening(Vec<TcpListener>),
     /// On a bound socket that listens only once this process serves: until then all connections go to the old process, which
     /// has not answered.
     Bound(TcpSocket, SocketAddr),
@@ -155,7 +155,9 @@
         let mut bound = Vec::new();
         for (door, client_listener) in client_listeners {
             match client_listener {
-                ClientListener::Listening(listeners) => listeners.into_iter().for_each(|l| self.add_listener(door, l)),
+                ClientListener::Listening(listeners) => {
+                    listeners.into_iter().for_each(|l| self.add_listener(door, l))
+                }
                 ClientListener::Bound(socket, address) => bound.push((door, socket, address)),
             }
         }
@@ -418,7 +420,11 @@
         let (link, listeners) = (link.clone(), self.listeners.borrow().clone());
         let beats = self.elder.borrow().beats();
         let idle_queue = beats.then(IdleQueue::new).and_then(|queue| {
-            queue.inspect_err(|error| tracing::warn!("takeover: passing clients over the link instead of a queue: {error}")).ok()
+            queue
+                .inspect_err(|error| {
+                    tracing::warn!("takeover: passing clients over the link instead of a queue: {error}")
+                })
+                .ok()
         });
         let receiver = idle_queue.as_ref().and_then(|queue| queue.receiver.try_clone().ok());
         *self.idle_queue.borrow_mut() = idle_queue.filter(|_| receiver.is_some());
