--- a/crates/node/src/fleet/cli.rs
+++ b/crates/node/src/fleet/cli.rs
@@ -52,7 +52,9 @@
         FleetCommand::Explain { name } => {
             explain(&query(&ManagementRequest::Fleet, at)?, name).map_err(ManagementError::Refused)?
         }
-        FleetCommand::State { kind, json: true } => request(&ManagementRequest::FleetState(kind.clone()), at)?,
+        FleetCommand::State { kind, json: true } => {
+            request(&ManagementRequest::FleetState(kind.clone()), at)?
+        }
         FleetCommand::State { kind, json: false } => {
             state(&query(&ManagementRequest::FleetState(kind.clone()), at)?)
         }
@@ -77,7 +79,10 @@
 }
 
 /// Lists which members hold an operator's ban of `server`; an error where one does not hold it or does not answer.
-pub(crate) fn ban_replication_report(server: &str, at: Option<SocketAddr>) -> Result<String, ManagementError> {
+pub(crate) fn ban_replication_report(
+    server: &str,
+    at: Option<SocketAddr>,
+) -> Result<String, ManagementError> {
     let response = request(&ManagementRequest::FleetHeld(server.to_owned()), at)?;
     let rows: Vec<(String, Option<bool>)> = serde_json::from_str(&response)
         .map_err(|_| ManagementError::Refused(format!("invalid response from the node: {response}")))?;
--- a/crates/node/src/fleet/table.rs
+++ b/crates/node/src/fleet/table.rs
@@ -78,8 +78,8 @@
                     .error_at(&member.address, format!("`{name}` has the address of `{other}`: {address}")));
             }
             if address.port() == 0 || address.ip().is_unspecified() {
-                return Err(validator.error_at(&member.address, format!("{address} is not a usable destination address"))
-                );
+                return Err(validator
+                    .error_at(&member.address, format!("{address} is not a usable destination address")));
             }
         }
         let names = self.members.iter().map(|m| m.name.get_ref().clone()).collect();
@@ -87,8 +87,10 @@
             .map_err(|e| validator.error_at(&self.name, format!("`[[fleet.member]]`: {e}")))?;
         let own_name = self.name.get_ref();
         let Some(own_seat) = roster.seat(own_name) else {
-            return Err(validator
-                .error_at(&self.name, format!("`fleet.name` is `{own_name}`, which is not a `[[fleet.member]]`")));
+            return Err(validator.error_at(
+                &self.name,
+                format!("`fleet.name` is `{own_name}`, which is not a `[[fleet.member]]`"),
+            ));
         };
         let mut addresses: Vec<(&String, SocketAddr)> =
             self.members.iter().map(|m| (m.name.get_ref(), *m.address.get_ref())).collect();
@@ -108,9 +110,11 @@
                     );
                     return Err(validator.error_at(text, message));
                 }
-                None => return Err(
+                None => {
+                    return Err(
                         validator.error_at(text, "`fleet.key` must be hexadecimal digits, two per byte")
-                    ),
+                    )
+                }
             },
         };
         let confirm = self.confirm.as_ref().map_or(1, |c| *c.get_ref());
@@ -123,9 +127,8 @@
         }
         if !is_local_address(listen.ip()) {
             let at = self.listen.as_ref().map_or(self.name.span().start, |l| l.span().start);
-            return Err(
-                validator.error(Some(at), format!("`fleet.listen`: {listen} is not an address of this machine"))
-            );
+            return Err(validator
+                .error(Some(at), format!("`fleet.listen`: {listen} is not an address of this machine")));
         }
         Ok(FleetConfig {
             site: self.site.into_inner(),
--- a/crates/node/src/management_client.rs
+++ b/crates/node/src/management_client.rs
@@ -56,7 +56,9 @@
             }
             ManagementRequest::FleetHeld(id) => (Method::GET, format!("/_fleet/held/{}", percent_encode(id))),
             ManagementRequest::ShiftStatus => (Method::GET, "/_shift".to_owned()),
-            ManagementRequest::ShiftCommand(command) => (Method::POST, crate::shift::api::command_path(command)),
+            ManagementRequest::ShiftCommand(command) => {
+                (Method::POST, crate::shift::api::command_path(command))
+            }
             ManagementRequest::Attach(id) => {
                 (Method::POST, format!("/_servers/attach/{}", percent_encode(id)))
             }
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -237,17 +237,11 @@
     });
     if let Some(listener) = management {
         spawn_local(
-            ManagementServer::new(gateway.clone(), takeover.clone(), ledger.clone(), member)
-                .accept(listener),
+            ManagementServer::new(gateway.clone(), takeover.clone(), ledger.clone(), member).accept(listener),
         );
     }
-    let serving = takeover.clone().serve(
-        gateway.clone(),
-        clients.clone(),
-        take, listeners,
-        predecessor,
-        config.listen,
-    );
+    let serving =
+        takeover.clone().serve(gateway.clone(), clients.clone(), take, listeners, predecessor, config.listen);
     spawn_local(serving);
     spawn_local(sweep(gateway.clone(), clients.clone(), front.clone()));
     spawn_local(reload(config, discovery, hangup));
--- a/crates/node/src/services/table.rs
+++ b/crates/node/src/services/table.rs
@@ -122,10 +122,13 @@
             ];
             return reject_unused(validator, "forward", keys).map(|()| None);
         }
-        let number =
-            |key: &str, value, max, default| validator.bounded_number(&format!("forward.{key}"), value, max, default);
+        let number = |key: &str, value, max, default| {
+            validator.bounded_number(&format!("forward.{key}"), value, max, default)
+        };
         let seconds = |key: &str, value, default| {
-            validator.bounded_number(&format!("forward.{key}"), value, MAX_SECONDS, default).map(|s| s * SECOND)
+            validator
+                .bounded_number(&format!("forward.{key}"), value, MAX_SECONDS, default)
+                .map(|s| s * SECOND)
         };
         Ok(Some(ForwarderServices {
             name_source: self.service.map_or(Ok(Place::Nowhere), |value| name_source(validator, &value))?,
@@ -176,8 +179,9 @@
             ];
             return reject_unused(validator, "plan", keys).map(|()| None);
         }
-        let number =
-            |key: &str, value, max, default| validator.bounded_number(&format!("plan.{key}"), value, max, default);
+        let number = |key: &str, value, max, default| {
+            validator.bounded_number(&format!("plan.{key}"), value, max, default)
+        };
         Ok(Some(PlannerServices {
             max_forwarders: number("most_forwarders", self.most_forwarders, MAX_FORWARDERS, 10_000)? as usize,
             update_bytes: number("update_bytes", self.update_bytes, MAX_TRAFFIC_BYTES, 7_000)?,
--- a/crates/node/src/shift/table.rs
+++ b/crates/node/src/shift/table.rs
@@ -126,7 +126,11 @@
 }
 
 impl ShiftTable {
-    pub(crate) fn validate(self, validator: &Validator<'_>, classes: Classes<'_>) -> Result<ShiftConfig, SiteError> {
+    pub(crate) fn validate(
+        self,
+        validator: &Validator<'_>,
+        classes: Classes<'_>,
+    ) -> Result<ShiftConfig, SiteError> {
         let pools = Pools {
             old: self.old.get_ref().predicate(validator, "old")?,
             new: self.new.get_ref().predicate(validator, "new")?,
@@ -166,9 +170,10 @@
             None | Some((_, "undo")) => OnAlarm::Undo,
             Some((_, "hold")) => OnAlarm::Hold,
             Some((value, other)) => {
-                return Err(
-                    validator.error_at(value, format!("`shift.on_alarm` is `{other}`; allowed values are undo, hold"))
-                );
+                return Err(validator.error_at(
+                    value,
+                    format!("`shift.on_alarm` is `{other}`; allowed values are undo, hold"),
+                ));
             }
         };
         self.apply_classes(validator, &mut settings)?;
@@ -181,16 +186,20 @@
     }
 
     /// Sets how many steps each listed class stays behind.
-    fn apply_classes(&self, validator: &Validator<'_>, settings: &mut ShiftSettings) -> Result<(), SiteError> {
+    fn apply_classes(
+        &self,
+        validator: &Validator<'_>,
+        settings: &mut ShiftSettings,
+    ) -> Result<(), SiteError> {
         let mut seen = Vec::new();
         for class in &self.classes {
             let name = class.name.get_ref();
             let Some(index) = settings.classes.iter().position(|c| c == name) else {
                 let known = settings.classes.join(", ");
-                return Err(validator
-                    .error_at(
+                return Err(validator.error_at(
                     &class.name,
-                    format!("`shift.class` is `{name}`; the configured classes are {known}"))));
+                    format!("`shift.class` is `{name}`; the configured classes are {known}"),
+                ));
             };
             if seen.contains(&index) {
                 return Err(validator.error_at(&class.name, format!("`shift.class` lists `{name}` twice")));
@@ -238,12 +247,10 @@
             groups.push((group.clone(), patterns(&texts.ok_or_else(|| not_a_list(group))?)));
         }
         if ["class", "zone", "repeat"].contains(&name.as_str()) {
-            return Err(
-                validator.error_at(
+            return Err(validator.error_at(
                 &self.name,
                 format!("`shift.split`: `{name}` is always split on and cannot be redefined"),
-            )
-            );
+            ));
         }
         Ok(Split { name: name.clone(), groups })
     }
