--- a/crates/node/src/fleet/learned_state.rs
+++ b/crates/node/src/fleet/learned_state.rs
@@ -70,7 +70,8 @@
             relative_latency: 1.25,
             failure_rate: 0.5,
         };
-        let out_of_range = LearnedServer { score: f64::NAN, relative_latency: 1e9, failure_rate: -1.0, ..server };
+        let out_of_range =
+            LearnedServer { score: f64::NAN, relative_latency: 1e9, failure_rate: -1.0, ..server };
         let learnt = LearnedState {
             rate: 3.0,
             classes: vec![(2_500_000, 300), (0, 0)],
