--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -232,7 +232,7 @@
             }
             (upstream.server, upstream.listed, upstream.told_start) = (server, listed, told_start);
             if server.phase == Phase::Ready {
-                if upstream.closed_at.take().is_some() && self.bans.back(&upstream.host) {
+                if upstream.closed_at.take().is_some() && self.bans.is_restored(&upstream.host) {
                     self.restored.push(endpoint);
                 }
             } else {
--- a/crates/core/src/gateway.rs
+++ b/crates/core/src/gateway.rs
@@ -13,7 +13,7 @@
 use crate::ids::Ids;
 use crate::names::Names;
 use crate::running;
-use laurelroute_handover::bans::{BanError, Bans, Word};
+use laurelroute_handover::bans::{BanError, BanRecord, Bans};
 use laurelroute_policy::interface::{
     Action, AttemptOutcome, Endpoint, Event, LearnedState, ListKind, Nanos, NodePlan, Request, RequestId,
     Server, ServerObservation, Settings, SettingsError,
@@ -429,12 +429,12 @@
     }
 
     /// Takes a server out of use, whatever the list says of it; what others must be told of it, where they do not know.
-    pub fn detach(self: &Rc<Self>, host: &str) -> Result<Option<Word>, Unmanaged> {
+    pub fn detach(self: &Rc<Self>, host: &str) -> Result<Option<BanRecord>, Unmanaged> {
         self.say(host, |bans, now| bans.detach(host, now))
     }
 
     /// Uses a server again that was taken out; nothing changes for one that was not.
-    pub fn attach(self: &Rc<Self>, host: &str) -> Result<Option<Word>, Unmanaged> {
+    pub fn attach(self: &Rc<Self>, host: &str) -> Result<Option<BanRecord>, Unmanaged> {
         self.say(host, |bans, now| Ok(bans.attach(host, now)))
     }
 
@@ -442,10 +442,10 @@
     fn say(
         self: &Rc<Self>,
         host: &str,
-        word: impl FnOnce(&mut Bans, Nanos) -> Result<Option<Word>, BanError>,
-    ) -> Result<Option<Word>, Unmanaged> {
+        word: impl FnOnce(&mut Bans, Nanos) -> Result<Option<BanRecord>, BanError>,
+    ) -> Result<Option<BanRecord>, Unmanaged> {
         let others = self.common.others(self);
-        let known = |g: &Rc<Self>| g.fleet(|f| f.listed(host) || f.bans.out(host));
+        let known = |g: &Rc<Self>| g.fleet(|f| f.listed(host) || f.bans.is_banned(host));
         if !known(self) && !others.iter().any(known) {
             return Err(Unmanaged::Unknown);
         }
@@ -481,14 +481,14 @@
     }
 
     /// Takes over words that were said to another process of this node.
-    pub fn merge_bans(self: &Rc<Self>, words: Vec<Word>) {
+    pub fn merge_bans(self: &Rc<Self>, words: Vec<BanRecord>) {
         self.common.others(self).iter().for_each(|g| g.take_words(words.clone()));
         self.take_words(words);
     }
 
-    fn take_words(self: &Rc<Self>, words: Vec<Word>) {
+    fn take_words(self: &Rc<Self>, words: Vec<BanRecord>) {
         let now = self.clock.now();
-        let changed = self.fleet(|f| f.bans.hear(words, now));
+        let changed = self.fleet(|f| f.bans.merge_received(words, now));
         // What is kept comes back with each call, mostly without news: that is no word on the list.
         if !changed.is_empty() {
             self.reconsider(&changed);
@@ -499,7 +499,7 @@
         let mut state = self.state.borrow_mut();
         let now = self.clock.now();
         let warm = now.saturating_sub(2 * self.site.settings.ramp);
-        state.fleet.bans.forget(warm);
+        state.fleet.bans.forget_restored_before(warm);
         let servers = state.fleet.reconsider(now, hosts);
         self.tell(&mut state, ListKind::Changes, servers);
     }
--- a/crates/handover/src/bans.rs
+++ b/crates/handover/src/bans.rs
@@ -1,153 +1,168 @@
-//! Servers that operators have taken out of use, and those that they have put back.
+//! Servers that operators have banned, and those that they have restored since.
 //!
 //! A last-writer-wins map (Shapiro et al., "A comprehensive study of convergent and commutative replicated data
-//! types", 2011, section 3.2.1): words about one server are ordered by their time, so that two processes that tell
-//! each other theirs agree, whatever the order and however often.
+//! types", 2011, section 3.2.1): records of one server are ordered by their time, so that two processes that exchange
+//! theirs converge, in whatever order and however often records are delivered.
 
 use laurelroute_policy::interface::{Nanos, Phase, Server};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The most words that are held; beyond it, the oldest about servers in use are forgotten first.
-pub const MOST: usize = 1024;
-/// The longest name of a server.
-pub const MOST_NAME: usize = 128;
+/// The most records that are kept; beyond it, the oldest of restored servers are dropped first.
+pub const MAX_RECORDS: usize = 1024;
+/// The longest name of a server, in bytes.
+pub const MAX_NAME_BYTES: usize = 128;
 
-/// The operators' last word on a server.
+/// The operators' latest decision on a server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
+pub struct BanRecord {
     /// The server's name.
     pub host: String,
-    /// Out of use, or back in use.
-    pub out: bool,
-    /// When it was said, nanoseconds since the Unix epoch.
-    pub at: Nanos,
-    /// When the server was taken out, for one that is back.
-    pub since: Nanos,
+    /// Whether the server is banned; otherwise it has been restored.
+    #[serde(rename = "out")]
+    pub banned: bool,
+    /// When the decision was made, in nanoseconds since the Unix epoch.
+    #[serde(rename = "at")]
+    pub updated_at: Nanos,
+    /// When the server was banned, kept also once it is restored.
+    #[serde(rename = "since")]
+    pub banned_at: Nanos,
 }
 
-/// Why a word is not taken.
+/// Why a record is not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BanError {
-    /// So many are out that no further one is remembered.
-    #[error("{MOST} servers are out of use already")]
+    /// [`MAX_RECORDS`] servers are banned, and no restored one can be dropped for another.
+    #[error("{MAX_RECORDS} servers are out of use already")]
     Full,
 }
 
-/// All words that count.
+/// The latest record of each server.
 #[derive(Clone, Debug, Default)]
 pub struct Bans {
-    words: BTreeMap<String, Word>,
-    /// When words of others were heard here, on this process's own clock. The clock by which a word was said may have been off,
-    /// also by an hour, and a word that was heard cannot have been said later.
-    heard: BTreeMap<String, Nanos>,
+    records: BTreeMap<String, BanRecord>,
+    /// When records of other processes were received, by this process's clock. The sender's clock may have been off, even
+    /// by an hour, and a record cannot have been made after it was received.
+    received_at: BTreeMap<String, Nanos>,
 }
 
 impl PartialEq for Bans {
-    /// The same words, whenever they were heard.
+    /// Compares the records, not when they were received.
     fn eq(&self, other: &Bans) -> bool {
-        self.words == other.words
+        self.records == other.records
     }
 }
 
 impl Eq for Bans {}
 
 impl Bans {
-    /// Whether a server is out of use.
-    pub fn out(&self, host: &str) -> bool {
-        self.words.get(host).is_some_and(|w| w.out)
+    /// Whether a server is banned.
+    pub fn is_banned(&self, host: &str) -> bool {
+        self.records.get(host).is_some_and(|r| r.banned)
     }
 
-    /// Whether a server was put back, and that is remembered.
-    pub fn back(&self, host: &str) -> bool {
-        self.words.get(host).is_some_and(|w| !w.out)
+    /// Whether a server has been restored and its record is still kept.
+    pub fn is_restored(&self, host: &str) -> bool {
+        self.records.get(host).is_some_and(|r| !r.banned)
     }
 
-    /// All words, by name.
-    pub fn words(&self) -> impl Iterator<Item = &Word> {
-        self.words.values()
+    /// All records, ordered by name.
+    pub fn records(&self) -> impl Iterator<Item = &BanRecord> {
+        self.records.values()
     }
 
-    /// Takes a server out of use. Taken out twice, it is out once. The word to tell others, if it is new.
-    pub fn detach(&mut self, host: &str, now: Nanos) -> Result<Option<Word>, BanError> {
-        if self.out(host) {
+    /// Bans a server and returns the record to replicate, or `None` where it is banned already: bans are not counted.
+    pub fn detach(&mut self, host: &str, now: Nanos) -> Result<Option<BanRecord>, BanError> {
+        if self.is_banned(host) {
             return Ok(None);
         }
-        let at = self.later(host, now);
-        self.say(Word { host: host.to_owned(), out: true, at, since: at }).map(Some)
+        let at = self.next_update_time(host, now);
+        self.insert(BanRecord { host: host.to_owned(), banned: true, updated_at: at, banned_at: at })
+            .map(Some)
     }
 
-    /// Uses a server again, however often it was taken out. The word to tell others, if it was out.
-    pub fn attach(&mut self, host: &str, now: Nanos) -> Option<Word> {
-        let since = self.words.get(host).filter(|w| w.out)?.since;
-        let at = self.later(host, now);
-        self.say(Word { host: host.to_owned(), out: false, at, since }).ok()
+    /// Restores a server, however often it was banned, and returns the record to replicate, or `None` where it is not
+    /// banned.
+    pub fn attach(&mut self, host: &str, now: Nanos) -> Option<BanRecord> {
+        let banned_at = self.records.get(host).filter(|r| r.banned)?.banned_at;
+        let updated_at = self.next_update_time(host, now);
+        self.insert(BanRecord { host: host.to_owned(), banned: false, updated_at, banned_at }).ok()
     }
 
-    /// Takes over others' words; gives the names of the servers on which something has changed.
-    pub fn merge(&mut self, words: impl IntoIterator<Item = Word>) -> Vec<String> {
+    /// Merges records and returns the names of the servers whose records changed.
+    pub fn merge(&mut self, records: impl IntoIterator<Item = BanRecord>) -> Vec<String> {
         let mut changed = Vec::new();
-        for word in words {
-            // At the same moment, out weighs more: nothing then goes where somebody wants nothing to go.
-            let order = |w: &Word| (w.at, w.out, w.since);
-            let newer = self.words.get(&word.host).is_none_or(|w| order(w) < order(&word));
-            let host = word.host.clone();
-            if newer && host.len() <= MOST_NAME && self.say(word).is_ok() {
+        for record in records {
+            // At equal times a ban wins: no request goes to a server that some operator wants unused.
+            let order = |r: &BanRecord| (r.updated_at, r.banned, r.banned_at);
+            let newer = self.records.get(&record.host).is_none_or(|r| order(r) < order(&record));
+            let host = record.host.clone();
+            if newer && host.len() <= MAX_NAME_BYTES && self.insert(record).is_ok() {
                 changed.push(host);
             }
         }
         changed
     }
 
-    /// The same for words that are heard now, on the clock of this process.
-    pub fn hear(&mut self, words: impl IntoIterator<Item = Word>, now: Nanos) -> Vec<String> {
-        let changed = self.merge(words);
-        self.heard.extend(changed.iter().map(|host| (host.clone(), now)));
+    /// Merges records that another process has sent, and notes when they were received by this process's clock.
+    pub fn merge_received(
+        &mut self,
+        records: impl IntoIterator<Item = BanRecord>,
+        now: Nanos,
+    ) -> Vec<String> {
+        let changed = self.merge(records);
+        self.received_at.extend(changed.iter().map(|host| (host.clone(), now)));
         changed
     }
 
-    /// When a word was said, on this process's own clock.
-    fn said_at(&self, word: &Word) -> Nanos {
-        self.heard.get(&word.host).map_or(word.at, |heard| word.at.min(*heard))
+    /// When a record was made, and no later than it was received here.
+    fn effective_time(&self, record: &BanRecord) -> Nanos {
+        self.received_at
+            .get(&record.host)
+            .map_or(record.updated_at, |received| record.updated_at.min(*received))
     }
 
-    /// A server as it counts here, by what discovery lists of it.
+    /// Applies the server's record to its entry in the discovery list.
     ///
-    /// One that is out drains. One that is back has most likely been restarted, and the list, which is seconds late,
-    /// may not tell yet: it counts as started when it was put back, as long as the list has no start after the ban.
+    /// A banned server drains. A restored one has most likely been restarted, and the list, which is seconds late, may not
+    /// show it yet: it counts as started when it was restored, unless the list has a start after the ban.
     pub fn overlay(&self, host: &str, listed: Server) -> Server {
-        match self.words.get(host) {
-            Some(word) if word.out && listed.phase == Phase::Ready => {
+        match self.records.get(host) {
+            Some(record) if record.banned && listed.phase == Phase::Ready => {
                 Server { phase: Phase::Draining, ..listed }
             }
-            Some(word) if !word.out && listed.started_at < word.since => {
-                Server { started_at: self.said_at(word), ..listed }
+            Some(record) if !record.banned && listed.started_at < record.banned_at => {
+                Server { started_at: self.effective_time(record), ..listed }
             }
             _ => listed,
         }
     }
 
-    /// Forgets the servers that were put back before `before`: they are warm whatever is assumed of them.
-    pub fn forget(&mut self, before: Nanos) {
-        let heard = std::mem::take(&mut self.heard);
-        let old = |w: &Word| heard.get(&w.host).map_or(w.at, |heard| w.at.min(*heard)) < before;
-        self.words.retain(|_, w| w.out || !old(w));
-        self.heard = heard;
-        self.heard.retain(|host, _| self.words.contains_key(host));
+    /// Drops the records of servers that were restored before `cutoff`: these have left slow start whenever they were
+    /// started.
+    pub fn forget_restored_before(&mut self, cutoff: Nanos) {
+        let received_at = std::mem::take(&mut self.received_at);
+        let expired = |r: &BanRecord| {
+            received_at.get(&r.host).map_or(r.updated_at, |received| r.updated_at.min(*received)) < cutoff
+        };
+        self.records.retain(|_, r| r.banned || !expired(r));
+        self.received_at = received_at;
+        self.received_at.retain(|host, _| self.records.contains_key(host));
     }
 
-    /// A time after all that was said of a server: clocks of two processes may differ by a little.
-    fn later(&self, host: &str, now: Nanos) -> Nanos {
-        self.words.get(host).map_or(now, |w| now.max(w.at + 1))
+    /// A time after the server's latest record: the clocks of two processes may differ slightly.
+    fn next_update_time(&self, host: &str, now: Nanos) -> Nanos {
+        self.records.get(host).map_or(now, |r| now.max(r.updated_at + 1))
     }
 
-    fn say(&mut self, word: Word) -> Result<Word, BanError> {
-        if !self.words.contains_key(&word.host) && self.words.len() >= MOST {
-            let back = self.words.values().filter(|w| !w.out).min_by_key(|w| w.at).map(|w| w.host.clone());
-            self.words.remove(&back.ok_or(BanError::Full)?);
+    fn insert(&mut self, record: BanRecord) -> Result<BanRecord, BanError> {
+        if !self.records.contains_key(&record.host) && self.records.len() >= MAX_RECORDS {
+            let restored = self.records.values().filter(|r| !r.banned);
+            let oldest = restored.min_by_key(|r| r.updated_at).map(|r| r.host.clone());
+            self.records.remove(&oldest.ok_or(BanError::Full)?);
         }
-        self.heard.remove(&word.host);
-        self.words.insert(word.host.clone(), word.clone());
-        Ok(word)
+        self.received_at.remove(&record.host);
+        self.records.insert(record.host.clone(), record.clone());
+        Ok(record)
     }
 }
--- a/crates/handover/src/ledger.rs
+++ b/crates/handover/src/ledger.rs
@@ -1,76 +1,79 @@
-//! The operators' words as they are kept in a file, for a process that starts where none is left to ask.
+//! The file format of the operators' bans, which a process reads at its start when no other process runs that it could
+//! ask.
 //!
-//! One line that names what it is, with a checksum of all that follows, and the words as JSON. A file is believed whole
-//! or not at all: half a file may lack the word that put a server back, or the one that took it out.
+//! One header line with a magic name, the version and a checksum of the rest of the file, then the records as JSON. A
+//! file is used in full or not at all: a truncated one may lack the record that restored a server, or the one that
+//! banned it.
 
-use crate::bans::{Word, MOST, MOST_NAME};
+use crate::bans::{BanRecord, MAX_NAME_BYTES, MAX_RECORDS};
 
-/// Raised when a process could not understand a file of another version.
+/// Version of the format; raised when an older program could not read the new one.
 pub const VERSION: u32 = 1;
-/// The longest file in bytes: all words with the longest names, each byte of them escaped.
-pub const MOST_FILE: usize = 64 + MOST * (6 * MOST_NAME + 128);
-const NAME: &str = "laurelroute-bans";
+/// The longest file in bytes: the most records with the longest names, each byte of them escaped.
+pub const MAX_FILE_BYTES: usize = 64 + MAX_RECORDS * (6 * MAX_NAME_BYTES + 128);
+const MAGIC: &str = "laurelroute-bans";
 
-/// Why a file is not believed.
+/// Why a file is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum LedgerError {
-    /// Longer than any.
-    #[error("longer than {MOST_FILE} bytes")]
-    Long,
-    /// Something else stands in its place.
+    /// The file exceeds [`MAX_FILE_BYTES`].
+    #[error("longer than {MAX_FILE_BYTES} bytes")]
+    TooLong,
+    /// The header line is not that of a file of bans.
     #[error("not a file of bans")]
-    Foreign,
-    /// Written by a program that this one does not understand.
-    #[error("of version {0}, where this program knows {VERSION}")]
-    Version(u32),
-    /// Cut off, or changed on the disk.
-    #[error("torn: its checksum is {found:08x}, and {named:08x} is named")]
-    Torn {
-        /// What its first line says.
-        named: u32,
-        /// What it has.
-        found: u32,
+    NotBansFile,
+    /// The file has a version that this program does not support.
+    #[error("unsupported version {0}, expected {VERSION}")]
+    UnsupportedVersion(u32),
+    /// The file is truncated or corrupted.
+    #[error("checksum mismatch: expected {expected:08x}, got {actual:08x}")]
+    ChecksumMismatch {
+        /// The checksum in the header line.
+        expected: u32,
+        /// The checksum of the content.
+        actual: u32,
     },
-    /// Its checksum holds, and yet it says what cannot be.
+    /// The checksum matches, but the content is not a list of records.
     #[error("malformed: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// More words, or a longer name, than are ever held.
-    #[error("more than {MOST} servers, or a name of more than {MOST_NAME} bytes")]
-    Beyond,
+    /// More records than [`MAX_RECORDS`], or a name that is empty or longer than [`MAX_NAME_BYTES`].
+    #[error("more than {MAX_RECORDS} servers, or a name of more than {MAX_NAME_BYTES} bytes")]
+    LimitExceeded,
 }
 
-/// A file of these words.
-pub fn encode<'a>(words: impl IntoIterator<Item = &'a Word>) -> Vec<u8> {
-    let words: Vec<_> = words.into_iter().collect();
-    // Names and numbers can always be written.
-    let body = serde_json::to_vec(&words).unwrap_or_default();
-    let mut file = format!("{NAME} {VERSION} {:08x}\n", crc32fast::hash(&body)).into_bytes();
+/// Encodes records as a file.
+pub fn encode<'a>(records: impl IntoIterator<Item = &'a BanRecord>) -> Vec<u8> {
+    let records: Vec<_> = records.into_iter().collect();
+    // Serialization of strings, numbers and booleans cannot fail.
+    let body = serde_json::to_vec(&records).unwrap_or_default();
+    let mut file = format!("{MAGIC} {VERSION} {:08x}\n", crc32fast::hash(&body)).into_bytes();
     file.extend_from_slice(&body);
     file
 }
 
-/// The words in a file.
-pub fn decode(file: &[u8]) -> Result<Vec<Word>, LedgerError> {
-    if file.len() > MOST_FILE {
-        return Err(LedgerError::Long);
+/// Decodes a file's records.
+pub fn decode(file: &[u8]) -> Result<Vec<BanRecord>, LedgerError> {
+    if file.len() > MAX_FILE_BYTES {
+        return Err(LedgerError::TooLong);
     }
-    let end = file.iter().position(|b| *b == b'\n').ok_or(LedgerError::Foreign)?;
-    let (first, body) = (&file[..end], &file[end + 1..]);
-    let mut parts = std::str::from_utf8(first).map_err(|_| LedgerError::Foreign)?.split(' ');
-    let (name, version, sum) = (parts.next(), parts.next(), parts.next());
+    let header_end = file.iter().position(|b| *b == b'\n').ok_or(LedgerError::NotBansFile)?;
+    let (header, body) = (&file[..header_end], &file[header_end + 1..]);
+    let mut fields = std::str::from_utf8(header).map_err(|_| LedgerError::NotBansFile)?.split(' ');
+    let (magic, version, checksum) = (fields.next(), fields.next(), fields.next());
     let version = version.and_then(|v| v.parse::<u32>().ok());
-    let (Some(NAME), Some(version), Some(sum)) = (name, version, sum) else {
-        return Err(LedgerError::Foreign);
+    let (Some(MAGIC), Some(version), Some(checksum)) = (magic, version, checksum) else {
+        return Err(LedgerError::NotBansFile);
     };
     if version != VERSION {
-        return Err(LedgerError::Version(version));
+        return Err(LedgerError::UnsupportedVersion(version));
     }
-    let named = u32::from_str_radix(sum, 16).map_err(|_| LedgerError::Foreign)?;
-    let found = crc32fast::hash(body);
-    if named != found {
-        return Err(LedgerError::Torn { named, found });
+    let expected = u32::from_str_radix(checksum, 16).map_err(|_| LedgerError::NotBansFile)?;
+    let actual = crc32fast::hash(body);
+    if expected != actual {
+        return Err(LedgerError::ChecksumMismatch { expected, actual });
     }
-    let words: Vec<Word> = serde_json::from_slice(body)?;
-    let sound = words.len() <= MOST && words.iter().all(|w| (1..=MOST_NAME).contains(&w.host.len()));
-    sound.then_some(words).ok_or(LedgerError::Beyond)
+    let records: Vec<BanRecord> = serde_json::from_slice(body)?;
+    let within_limits =
+        records.len() <= MAX_RECORDS && records.iter().all(|r| (1..=MAX_NAME_BYTES).contains(&r.host.len()));
+    within_limits.then_some(records).ok_or(LedgerError::LimitExceeded)
 }
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,6 +1,8 @@
-//! What two processes of one node say to each other while one takes over, and what operators have taken out of use.
+//! The protocol between two processes of one node while one takes over from the other, and the servers that operators
+//! have banned.
 //!
-//! Pure: messages and time come in, messages and effects go out. Sockets and descriptors are the node's matter.
+//! This package does no I/O: messages and times come in, messages and effects go out. The node owns the sockets and the
+//! descriptors.
 
 pub mod bans;
 pub mod ledger;
--- a/crates/handover/src/message.rs
+++ b/crates/handover/src/message.rs
@@ -1,185 +1,202 @@
-//! What the two processes say: one JSON object a packet.
+//! The messages of a takeover: one JSON object per packet.
 
-use crate::bans::Word;
+use crate::bans::BanRecord;
 use laurelroute_policy::interface::{Endpoint, LearnedServer, LearnedState, Nanos};
 use serde::{Deserialize, Serialize};
 
-/// Raised when a process could not understand one of another version.
+/// Version of the protocol; raised when an older program could not understand the new one.
 pub const VERSION: u32 = 1;
 /// The longest packet in bytes.
-pub const MOST_PACKET: usize = 32 * 1024;
-/// Words in one packet: with the longest names they stay within it.
-pub const WORDS: usize = 64;
-/// Servers in one packet about what was learnt, and in all of them.
-const ROWS: usize = 128;
-const MOST_SERVERS: usize = 20_000;
-/// Descriptors that come with one packet at most.
-pub const MOST_DESCRIPTORS: usize = 8;
+pub const MAX_PACKET_BYTES: usize = 32 * 1024;
+/// Ban records per packet: with the longest names they fit into [`MAX_PACKET_BYTES`].
+pub const MAX_PACKET_RECORDS: usize = 64;
+/// Servers per packet of learned state.
+const MAX_PACKET_SERVERS: usize = 128;
+/// Servers of learned state in all packets together.
+const MAX_LEARNED_SERVERS: usize = 20_000;
+/// The most descriptors that one packet carries.
+pub const MAX_PACKET_DESCRIPTORS: usize = 8;
 
-/// One of the sockets on which clients connect.
+/// The sockets that the old process offers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Door {
-    /// HTTP.
+pub enum SocketKind {
+    /// A listening socket for HTTP.
     Http,
-    /// Thrift.
+    /// A listening socket for Thrift.
     Thrift,
-    /// Not one of them: where the elder puts down clients at rest for the heir. Both hold its end that is read from, so
-    /// that each client goes to exactly one of them. Offered only to an heir that beats.
-    Rest,
+    /// No listening socket, but the queue in which the old process leaves idle client connections for the new one. Both
+    /// processes hold its receiving end, so that each connection is taken by exactly one of them. Offered only to a new
+    /// process that sends heartbeats.
+    #[serde(rename = "rest")]
+    IdleQueue,
 }
 
-/// What a process has learnt, as it is told ([`LearnedState`]).
+/// A part of what the old process's balancer has learned ([`LearnedState`]): all general figures, and some of the servers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Lesson {
+pub struct LearnedStateChunk {
     rate: f64,
     classes: Vec<(Nanos, u32)>,
-    pressure: f64,
-    faults: f64,
-    /// Address, port, accomplishment, lag, share of failures.
+    #[serde(rename = "pressure")]
+    slowdown: f64,
+    #[serde(rename = "faults")]
+    failure_rate: f64,
+    /// Address, port, score, relative latency, failure rate.
     servers: Vec<([u8; 4], u16, f64, f64, f64)>,
 }
 
-impl Lesson {
-    /// The parts in which it is told.
-    pub fn parts(learnt: &LearnedState) -> Vec<Lesson> {
+impl LearnedStateChunk {
+    /// Splits learned state into chunks that fit into packets.
+    pub fn split(learned: &LearnedState) -> Vec<LearnedStateChunk> {
         let row = |k: &LearnedServer| {
             (k.server.address, k.server.port, k.score, k.relative_latency, k.failure_rate)
         };
-        let part = |servers: &[LearnedServer]| Lesson {
-            rate: learnt.rate,
-            classes: learnt.classes.clone(),
-            pressure: learnt.slowdown,
-            faults: learnt.failure_rate,
+        let chunk = |servers: &[LearnedServer]| LearnedStateChunk {
+            rate: learned.rate,
+            classes: learned.classes.clone(),
+            slowdown: learned.slowdown,
+            failure_rate: learned.failure_rate,
             servers: servers.iter().map(row).collect(),
         };
-        match learnt.servers.is_empty() {
-            true => vec![part(&[])],
-            false => learnt.servers.chunks(ROWS).map(part).collect(),
+        match learned.servers.is_empty() {
+            true => vec![chunk(&[])],
+            false => learned.servers.chunks(MAX_PACKET_SERVERS).map(chunk).collect(),
         }
     }
 
-    /// Puts a further part to what was told before.
-    pub fn join(self, learnt: &mut LearnedState) {
-        let known = |(address, port, accomplished, lag, faults)| LearnedServer {
+    /// Adds this chunk to those received before.
+    pub fn merge_into(self, learned: &mut LearnedState) {
+        let server = |(address, port, score, relative_latency, failure_rate)| LearnedServer {
             server: Endpoint { address, port },
-            score: accomplished,
-            relative_latency: lag,
-            failure_rate: faults,
+            score,
+            relative_latency,
+            failure_rate,
         };
-        (learnt.rate, learnt.classes, learnt.slowdown) = (self.rate, self.classes, self.pressure);
-        learnt.failure_rate = self.faults;
-        learnt.servers.extend(self.servers.into_iter().map(known));
-        learnt.servers.truncate(MOST_SERVERS);
+        (learned.rate, learned.classes, learned.slowdown) = (self.rate, self.classes, self.slowdown);
+        learned.failure_rate = self.failure_rate;
+        learned.servers.extend(self.servers.into_iter().map(server));
+        learned.servers.truncate(MAX_LEARNED_SERVERS);
     }
 }
 
-/// A packet.
+/// One packet between the old and the new process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "say", rename_all = "snake_case")]
 pub enum Message {
-    /// The heir wants to take over.
-    Take {
-        /// [`VERSION`].
+    /// The new process asks to take over.
+    #[serde(rename = "take")]
+    TakeoverRequest {
+        /// The sender's [`VERSION`].
         version: u32,
-        /// It says that it is there while it lives ([`Message::Beat`]). Older programs do not.
-        #[serde(default)]
-        beats: bool,
+        /// The new process sends [`Message::Heartbeat`]s. Older programs do not.
+        #[serde(rename = "beats", default)]
+        sends_heartbeats: bool,
     },
-    /// The elder's listening sockets, as the packet's descriptors in this order, and the descriptors that the heir may
-    /// hold for now.
+    /// The old process offers its sockets, which are the packet's descriptors in the same order, and an initial quota of
+    /// descriptors.
     Offer {
-        /// [`VERSION`].
+        /// The sender's [`VERSION`].
         version: u32,
-        /// Which sockets.
-        doors: Vec<Door>,
-        /// Descriptors for the heir.
-        part: usize,
-        /// The elder expects beats and gives them. Older programs do not.
-        #[serde(default)]
-        beats: bool,
+        /// The kinds of the sockets.
+        #[serde(rename = "doors")]
+        sockets: Vec<SocketKind>,
+        /// How many descriptors the new process may hold for now.
+        #[serde(rename = "part")]
+        quota: usize,
+        /// The old process expects heartbeats and answers them. Older programs do not.
+        #[serde(rename = "beats", default)]
+        sends_heartbeats: bool,
     },
-    /// The heir takes clients.
+    /// The new process accepts clients.
     Ready,
-    /// The heir is there.
-    Beat {
-        /// Counted from 1.
+    /// The new process is alive.
+    #[serde(rename = "beat")]
+    Heartbeat {
+        /// Sequence number, counted from 1.
         number: u64,
-        /// Descriptors that it holds.
+        /// Descriptors that the new process holds.
         held: usize,
-        /// Clients at rest that it has picked up so far. Older programs do not say.
-        #[serde(default)]
-        picked: Option<usize>,
+        /// Idle connections that it has received so far. Older programs do not report this.
+        #[serde(rename = "picked", default)]
+        received: Option<usize>,
     },
-    /// The elder is there, and the heir may hold so many.
-    Part {
-        /// Descriptors for the heir.
-        part: usize,
-        /// The last of the heir's beats that the elder has heard.
-        #[serde(default)]
-        beat: u64,
+    /// The old process is alive, and grants the new one a quota.
+    #[serde(rename = "part")]
+    Quota {
+        /// How many descriptors the new process may hold.
+        #[serde(rename = "part")]
+        quota: usize,
+        /// The number of the latest heartbeat that the old process has received.
+        #[serde(rename = "beat", default)]
+        heartbeat: u64,
     },
-    /// What the elder has learnt, in as many packets as its servers take.
-    Learnt(Lesson),
-    /// Words on servers that operators have taken out or put back.
+    /// A part of the old process's learned state, which takes as many packets as its servers need.
+    #[serde(rename = "learnt")]
+    LearnedState(LearnedStateChunk),
+    /// Records of servers that operators have banned or restored.
     Bans {
-        /// To be named in the answer.
-        mark: u64,
-        /// The words.
-        words: Vec<Word>,
+        /// The batch's number, which the acknowledgement repeats.
+        #[serde(rename = "mark")]
+        batch: u64,
+        /// The records.
+        #[serde(rename = "words")]
+        records: Vec<BanRecord>,
     },
-    /// Those words count now at the other process too.
-    Noted {
-        /// As in the words' packet.
-        mark: u64,
+    /// The other process has applied a batch of ban records.
+    #[serde(rename = "noted")]
+    BansAck {
+        /// The batch's number.
+        #[serde(rename = "mark")]
+        batch: u64,
     },
-    /// A client's connection at rest, the packet's one descriptor.
+    /// An idle client connection, which is the packet's only descriptor.
     Client {
-        /// What it speaks.
-        door: Door,
-        /// It has carried a request. Older programs do not say.
-        #[serde(default = "yes")]
+        /// The connection's protocol.
+        #[serde(rename = "door")]
+        protocol: SocketKind,
+        /// The connection has carried a request. Older programs do not report this.
+        #[serde(default = "default_used")]
         used: bool,
     },
 }
 
-fn yes() -> bool {
+fn default_used() -> bool {
     true
 }
 
-/// Why a packet is none.
+/// Why a packet cannot be decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum MessageError {
-    /// Longer than any.
-    #[error("a packet of {0} bytes, where the longest has {MOST_PACKET}")]
-    Long(usize),
-    /// Not this version's words.
+    /// The packet exceeds [`MAX_PACKET_BYTES`].
+    #[error("packet of {0} bytes exceeds the limit of {MAX_PACKET_BYTES}")]
+    TooLong(usize),
+    /// The packet is not a message of this version.
     #[error("{0}")]
     Malformed(#[from] serde_json::Error),
 }
 
 impl Message {
-    /// The packet.
+    /// Encodes the message as a packet.
     pub fn encode(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// Whether a client's connection has carried a request, as far as that is said.
+    /// Whether a client connection has carried a request, which is assumed where the message does not tell.
     pub fn used(&self) -> bool {
         !matches!(self, Message::Client { used: false, .. })
     }
 
-    /// Reads a packet.
+    /// Decodes a packet.
     pub fn decode(packet: &[u8]) -> Result<Message, MessageError> {
-        if packet.len() > MOST_PACKET {
-            return Err(MessageError::Long(packet.len()));
+        if packet.len() > MAX_PACKET_BYTES {
+            return Err(MessageError::TooLong(packet.len()));
         }
         Ok(serde_json::from_slice(packet)?)
     }
 
-    /// All words, in as many packets as they take, marked from `mark` on.
-    pub fn of_words(mark: u64, words: Vec<Word>) -> impl Iterator<Item = Message> {
-        let packets: Vec<_> = words.chunks(WORDS).map(<[Word]>::to_vec).collect();
-        (mark..).zip(packets).map(|(mark, words)| Message::Bans { mark, words })
+    /// All records, in as many packets as they need, numbered from `first_batch` on.
+    pub fn ban_batches(first_batch: u64, records: Vec<BanRecord>) -> impl Iterator<Item = Message> {
+        let packets: Vec<_> = records.chunks(MAX_PACKET_RECORDS).map(<[BanRecord]>::to_vec).collect();
+        (first_batch..).zip(packets).map(|(batch, records)| Message::Bans { batch, records })
     }
 }
--- a/crates/handover/src/share.rs
+++ b/crates/handover/src/share.rs
@@ -1,44 +1,47 @@
-//! How two processes share the node's descriptors while both run.
+//! How two processes divide the node's descriptors between them while both run.
 
-/// The least that a process can serve with.
-pub const LEAST: usize = 48;
-/// The elder may open some more than it holds while it finishes what it has.
-const SLACK: usize = 8;
+/// The fewest descriptors that a process can serve with.
+pub const MIN_DESCRIPTORS: usize = 48;
+/// Descriptors that the old process may open beyond those it holds while it finishes its requests.
+const HEADROOM: usize = 8;
 
-/// The elder's part of `total` while it goes on serving: what it holds, and at least half. The heir starts with the rest,
-/// which is never less than it needs.
-pub fn serving(total: usize, held: usize) -> usize {
-    (held + SLACK).max(total / 2).min(total.saturating_sub(LEAST))
+/// The old process's quota of `total` while it still accepts: the descriptors it holds, and at least half. The new
+/// process starts with the remainder, which is never less than [`MIN_DESCRIPTORS`].
+pub fn old_serving(total: usize, held: usize) -> usize {
+    (held + HEADROOM).max(total / 2).min(total.saturating_sub(MIN_DESCRIPTORS))
 }
 
-/// The elder's part once it has yielded: it only shrinks.
-pub fn yielded(part: usize, held: usize) -> usize {
-    part.min(held + SLACK)
+/// The old process's quota once it has stopped accepting: it only shrinks.
+pub fn old_yielded(quota: usize, held: usize) -> usize {
+    quota.min(held + HEADROOM)
 }
 
-/// An heir opens this many beyond what a beat has told, and no more until the elder has answered a later one: in a storm
-/// of new clients it could otherwise hold all of its part within a moment of which the elder hears nothing.
-fn since_beat(total: usize) -> usize {
+/// How many descriptors the new process may open beyond those that a heartbeat reported, until the old process has
+/// answered a later one. Without this limit a burst of new clients could fill its quota within one interval, of which
+/// the old process would learn nothing.
+fn max_growth_per_heartbeat(total: usize) -> usize {
     (total / 8).max(32)
 }
 
-/// The most that an heir holds after a beat that told of so many, whatever its part.
-pub fn most_after(total: usize, told: usize) -> usize {
-    (told + since_beat(total)).max(LEAST).min(total)
+/// The most descriptors that the new process holds after a heartbeat that reported `held`, whatever its quota.
+pub fn max_held_after_heartbeat(total: usize, held: usize) -> usize {
+    (held + max_growth_per_heartbeat(total)).max(MIN_DESCRIPTORS).min(total)
 }
 
-/// The elder's part while it accepts beside an heir that is silent: all that the heir, which holds this many at most, cannot
-/// be holding.
-pub fn covering(total: usize, part: usize, heir_most: usize) -> usize {
-    part.max(total.saturating_sub(heir_most))
+/// The old process's quota while it accepts because the new process is silent: all descriptors that the new process,
+/// which holds at most `max_new_held`, cannot be holding.
+pub fn old_fallback(total: usize, quota: usize, max_new_held: usize) -> usize {
+    quota.max(total.saturating_sub(max_new_held))
 }
 
-/// An heir's part when it can no longer count on what it was told: what it holds, and the least to serve with.
-pub fn doubted(part: usize, held: usize) -> usize {
-    part.min((held + SLACK).max(LEAST))
+/// The new process's quota once its lease on the granted one has expired: the descriptors it holds, and at least
+/// [`MIN_DESCRIPTORS`].
+pub fn new_lease_expired(quota: usize, held: usize) -> usize {
+    quota.min((held + HEADROOM).max(MIN_DESCRIPTORS))
 }
 
-/// An heir's part beside an elder that says nothing and holds so many descriptors; where that is not known, the least.
-pub fn beside(total: usize, elder_held: Option<usize>) -> usize {
-    elder_held.map_or(LEAST.min(total), |held| total - serving(total, held))
+/// The new process's quota beside an old process that does not answer and holds `old_held` descriptors;
+/// [`MIN_DESCRIPTORS`] where that number is unknown.
+pub fn new_beside_silent(total: usize, old_held: Option<usize>) -> usize {
+    old_held.map_or(MIN_DESCRIPTORS.min(total), |held| total - old_serving(total, held))
 }
--- a/crates/handover/src/states.rs
+++ b/crates/handover/src/states.rs
@@ -1,351 +1,372 @@
-//! The two sides of a takeover as states: messages in, effects out.
+//! The state machines of the two sides of a takeover: messages and times in, effects out.
 
-use crate::bans::Word;
+use crate::bans::BanRecord;
 use crate::message::{Message, VERSION};
 use crate::share;
 use laurelroute_policy::interface::Nanos;
 use std::collections::VecDeque;
 
-/// How often each side says that it is there.
-pub const BEAT: Nanos = 20_000_000;
-/// An heir that has said nothing for so long of the elder's own running time is taken to be stopped: the elder accepts
-/// beside it until it is heard again.
-pub const PATIENCE: Nanos = 150_000_000;
-/// An heir counts on its part for so long from a beat that the elder has answered. A beat shorter than [`PATIENCE`]: the
-/// heir, which looks at each beat, gives up what it was told before the elder can take it back.
-pub const LEASE: Nanos = PATIENCE - BEAT - BEAT / 2;
-/// Beats whose answer may still come in time.
-const OPEN_BEATS: usize = (LEASE / BEAT) as usize + 1;
-/// What one tick adds to the silence at most. An elder that was itself stopped hears first what came meanwhile.
-const COUNTED: Nanos = 2 * BEAT;
+/// How often the new process sends a heartbeat.
+pub const HEARTBEAT_INTERVAL: Nanos = 20_000_000;
+/// A new process that has sent nothing for this long of the old process's running time is taken to be stopped: the old
+/// process accepts beside it until it receives a heartbeat again.
+pub const SILENCE_TIMEOUT: Nanos = 150_000_000;
+/// How long the new process may rely on its quota, counted from the sending of the last heartbeat that was answered. It
+/// is shorter than [`SILENCE_TIMEOUT`] by more than a heartbeat, the interval at which the new process checks it, so
+/// that the new process gives up its quota before the old one can reclaim it.
+pub const QUOTA_LEASE: Nanos = SILENCE_TIMEOUT - HEARTBEAT_INTERVAL - HEARTBEAT_INTERVAL / 2;
+/// Heartbeats whose answers may still come within the lease.
+const MAX_PENDING_HEARTBEATS: usize = (QUOTA_LEASE / HEARTBEAT_INTERVAL) as usize + 1;
+/// The most that one tick adds to the silence, so that an old process that was itself stopped first reads what has come
+/// meanwhile.
+const MAX_SILENCE_PER_TICK: Nanos = 2 * HEARTBEAT_INTERVAL;
 
-/// What a side wants done.
+/// What the caller of a state machine has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Send this.
-    Say(Message),
-    /// Send the listening sockets, with this part for the heir.
+    /// Send this message to the other process.
+    Send(Message),
+    /// Send the listening sockets, with this quota for the new process.
     Offer(usize),
-    /// Take clients, or take none; the listening sockets stay open either way.
+    /// Accept clients, or pause accepting; the listening sockets stay open either way.
     Accept(bool),
-    /// Take back the clients that were put down for the heir and that it has not picked up, and say how many
-    /// ([`Elder::took_back`]).
+    /// Take back the idle connections that the new process has not received from the queue, and report their number to
+    /// [`OldProcess::connections_reclaimed`].
     Reclaim,
     /// Hold no more descriptors than this.
-    Hold(usize),
-    /// These words count; once they are kept, the other side is told so by this mark.
-    Merge(u64, Vec<Word>),
-    /// The other side has these words.
-    Noted(u64),
-    /// The other side speaks another version, or asks out of turn: nothing is offered to it.
-    Foreign,
+    SetQuota(usize),
+    /// Merge these ban records and acknowledge the batch of this number once they are stored.
+    MergeBans(u64, Vec<BanRecord>),
+    /// The other process has acknowledged the batch of ban records of this number.
+    BansAcked(u64),
+    /// The other process has another version or has sent a request out of order: it gets no offer.
+    RejectPeer,
 }
 
-/// What both sides do with words on servers.
-fn words(message: Message) -> Vec<Effect> {
+/// The effects of messages on bans, which both sides handle alike.
+fn handle_bans(message: Message) -> Vec<Effect> {
     match message {
-        Message::Bans { mark, words } => vec![Effect::Merge(mark, words)],
-        Message::Noted { mark } => vec![Effect::Noted(mark)],
-        // Nothing that this side waits for: a later version's, or out of turn.
+        Message::Bans { batch, records } => vec![Effect::MergeBans(batch, records)],
+        Message::BansAck { batch } => vec![Effect::BansAcked(batch)],
+        // A later version's message, or one out of order: ignored.
         _ => Vec::new(),
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// No heir.
+    /// There is no new process.
     Alone,
-    /// An heir has been given the listening sockets and does not take clients yet.
+    /// A new process has been offered the listening sockets and does not accept yet.
     Offered,
-    /// The heir takes all new clients.
+    /// The new process accepts all new clients.
     Yielded,
-    /// The heir has taken them, and says nothing now: both accept.
-    Covering,
+    /// The new process has accepted clients and is silent now: both accept.
+    Fallback,
 }
 
 /// The process that serves and is to be replaced.
 #[derive(Debug)]
-pub struct Elder {
+pub struct OldProcess {
     total: usize,
-    part: usize,
+    quota: usize,
     stage: Stage,
-    /// The heir says that it is there, and expects the same.
-    beats: bool,
-    /// How long it has not, in time that this process has run.
+    /// The new process sends heartbeats and expects answers.
+    peer_sends_heartbeats: bool,
+    /// How long it has sent none, in this process's running time.
     silence: Nanos,
-    ticked: Option<Nanos>,
-    /// The heir's last beat: its number, what it holds at most from then on ([`base`]), and how many clients it had picked up.
-    heard: u64,
-    heir_base: isize,
-    heir_picked: usize,
-    /// Clients that were put down for it so far.
+    last_tick: Option<Nanos>,
+    /// The number of the new process's last heartbeat.
+    last_heartbeat: u64,
+    /// The most descriptors that the new process holds from that heartbeat on ([`base_limit`]).
+    peer_base_limit: isize,
+    /// How many idle connections it had received by then.
+    peer_received: usize,
+    /// Idle connections that were put into the queue for it so far.
     given: usize,
 }
 
-impl Elder {
-    /// Alone, with all of the node's descriptors.
-    pub fn new(total: usize) -> Elder {
-        Elder {
+impl OldProcess {
+    /// No new process yet: this one may use all of the node's descriptors.
+    pub fn new(total: usize) -> OldProcess {
+        OldProcess {
             total,
-            part: total,
+            quota: total,
             stage: Stage::Alone,
-            beats: false,
+            peer_sends_heartbeats: false,
             silence: 0,
-            ticked: None,
-            heard: 0,
-            heir_base: 0,
-            heir_picked: 0,
+            last_tick: None,
+            last_heartbeat: 0,
+            peer_base_limit: 0,
+            peer_received: 0,
             given: 0,
         }
     }
 
-    /// There is no heir.
-    pub fn alone(&self) -> bool {
+    /// Whether there is no new process.
+    pub fn is_alone(&self) -> bool {
         self.stage == Stage::Alone
     }
 
-    /// The heir says that it is there, and expects the same.
-    pub fn beats(&self) -> bool {
-        self.beats
+    /// Whether the new process sends heartbeats and expects answers.
+    pub fn peer_sends_heartbeats(&self) -> bool {
+        self.peer_sends_heartbeats
     }
 
-    /// The heir has taken all new clients; it may be silent now ([`Elder::covering`]).
-    pub fn yielded(&self) -> bool {
-        matches!(self.stage, Stage::Yielded | Stage::Covering)
+    /// Whether the new process has begun to accept clients; it may be silent now ([`OldProcess::in_fallback`]).
+    pub fn has_yielded(&self) -> bool {
+        matches!(self.stage, Stage::Yielded | Stage::Fallback)
     }
 
-    /// The heir is silent, and this process accepts beside it.
-    pub fn covering(&self) -> bool {
-        self.stage == Stage::Covering
+    /// Whether the new process is silent and this one accepts beside it.
+    pub fn in_fallback(&self) -> bool {
+        self.stage == Stage::Fallback
     }
 
-    /// Takes what the heir says, while this process holds so many descriptors.
-    pub fn hear(&mut self, message: Message, held: usize) -> Vec<Effect> {
+    /// Handles a message of the new process while this one holds `held` descriptors.
+    pub fn handle(&mut self, message: Message, held: usize) -> Vec<Effect> {
         match (message, self.stage) {
-            (Message::Take { version, beats }, Stage::Alone) if version == VERSION => {
+            (Message::TakeoverRequest { version, sends_heartbeats }, Stage::Alone) if version == VERSION => {
                 self.stage = Stage::Offered;
-                self.beats = beats;
-                self.part = share::serving(self.total, held);
-                // Until it says otherwise.
-                self.heir_base = base(self.total, self.total - self.part, 0);
-                vec![Effect::Hold(self.part), Effect::Offer(self.total - self.part)]
+                self.peer_sends_heartbeats = sends_heartbeats;
+                self.quota = share::old_serving(self.total, held);
+                // Until the first heartbeat reports the actual number.
+                self.peer_base_limit = base_limit(self.total, self.total - self.quota, 0);
+                vec![Effect::SetQuota(self.quota), Effect::Offer(self.total - self.quota)]
             }
-            (Message::Take { .. }, _) => vec![Effect::Foreign],
+            (Message::TakeoverRequest { .. }, _) => vec![Effect::RejectPeer],
             (Message::Ready, Stage::Offered) => {
                 self.stage = Stage::Yielded;
                 self.silence = 0;
                 vec![Effect::Accept(false)]
             }
-            (Message::Beat { number, held, picked }, stage) => {
-                (self.heard, self.silence) = (number, 0);
-                // An older program does not say: it is taken to have all.
-                self.heir_picked = picked.unwrap_or(self.given);
-                self.heir_base = base(self.total, held, self.heir_picked);
-                // What went before does not count as silence, either.
-                self.ticked = None;
-                let mut effects = vec![self.part_of_heir()];
-                if stage == Stage::Covering {
+            (Message::Heartbeat { number, held, received }, stage) => {
+                (self.last_heartbeat, self.silence) = (number, 0);
+                // An older program does not report this: it is assumed to have received all.
+                self.peer_received = received.unwrap_or(self.given);
+                self.peer_base_limit = base_limit(self.total, held, self.peer_received);
+                // The time before this heartbeat does not count as silence either.
+                self.last_tick = None;
+                let mut effects = vec![self.grant_quota()];
+                if stage == Stage::Fallback {
                     self.stage = Stage::Yielded;
                     effects.push(Effect::Accept(false));
                 }
                 effects
             }
-            (message, _) => words(message),
+            (message, _) => handle_bans(message),
         }
     }
 
-    /// Now and then: what this process no longer holds is the heir's, unless the heir has fallen silent.
+    /// To be called periodically: grants descriptors that this process no longer holds to the new one, and accepts again
+    /// where the new process has been silent for too long.
     pub fn tick(&mut self, now: Nanos, held: usize) -> Vec<Effect> {
-        let ran = now.saturating_sub(self.ticked.replace(now).unwrap_or(now)).min(COUNTED);
+        let last_tick = self.last_tick.replace(now).unwrap_or(now);
+        let elapsed = now.saturating_sub(last_tick).min(MAX_SILENCE_PER_TICK);
         if self.stage == Stage::Yielded {
-            self.silence += ran;
-            if self.beats && self.silence > PATIENCE {
-                self.stage = Stage::Covering;
+            self.silence += elapsed;
+            if self.peer_sends_heartbeats && self.silence > SILENCE_TIMEOUT {
+                self.stage = Stage::Fallback;
                 return vec![Effect::Accept(true), Effect::Reclaim];
             }
-            let part = share::yielded(self.part, held);
-            if part != self.part {
-                self.part = part;
-                return vec![Effect::Hold(part), self.part_of_heir()];
+            let quota = share::old_yielded(self.quota, held);
+            if quota != self.quota {
+                self.quota = quota;
+                return vec![Effect::SetQuota(quota), self.grant_quota()];
             }
         }
         Vec::new()
     }
 
-    /// So many clients at rest have been put down for the heir: they are no longer of this process's part, and the heir has
-    /// them beyond the part that it was told.
-    pub fn gave(&mut self, clients: usize) -> Vec<Effect> {
-        self.given += clients;
-        self.part = self.part.saturating_sub(clients);
-        vec![Effect::Hold(self.part)]
+    /// Idle connections have been put into the queue for the new process: they no longer count against this process's
+    /// quota, and the new process holds them beyond the quota that it was granted.
+    pub fn connections_given(&mut self, connections: usize) -> Vec<Effect> {
+        self.given += connections;
+        self.quota = self.quota.saturating_sub(connections);
+        vec![Effect::SetQuota(self.quota)]
     }
 
-    /// So many of them have been taken back ([`Effect::Reclaim`]).
-    pub fn took_back(&mut self, clients: usize) -> Vec<Effect> {
-        if self.stage != Stage::Covering {
+    /// Idle connections have been taken back from the queue ([`Effect::Reclaim`]).
+    pub fn connections_reclaimed(&mut self, connections: usize) -> Vec<Effect> {
+        if self.stage != Stage::Fallback {
             return Vec::new();
         }
-        self.given = self.given.saturating_sub(clients);
-        let most = with(self.heir_base, self.given);
-        self.part = share::covering(self.total, self.part + clients, most);
-        vec![Effect::Hold(self.part), self.part_of_heir()]
+        self.given = self.given.saturating_sub(connections);
+        let max_peer_held = limit_with_connections(self.peer_base_limit, self.given);
+        self.quota = share::old_fallback(self.total, self.quota + connections, max_peer_held);
+        vec![Effect::SetQuota(self.quota), self.grant_quota()]
     }
 
-    fn part_of_heir(&self) -> Effect {
-        // It may find this many at rest beside what it opens itself.
-        let resting = self.given.saturating_sub(self.heir_picked);
-        Effect::Say(Message::Part {
-            part: (self.total - self.part).saturating_sub(resting),
-            beat: self.heard,
+    fn grant_quota(&self) -> Effect {
+        // The new process may receive these from the queue in addition to what it opens itself.
+        let queued = self.given.saturating_sub(self.peer_received);
+        Effect::Send(Message::Quota {
+            quota: (self.total - self.quota).saturating_sub(queued),
+            heartbeat: self.last_heartbeat,
         })
     }
 
-    /// The heir has gone: this process serves on as if there had been none.
-    pub fn lost(&mut self) -> Vec<Effect> {
-        *self = Elder::new(self.total);
-        vec![Effect::Hold(self.total), Effect::Accept(true), Effect::Reclaim]
+    /// The new process has ended: this one goes on as if there had been none.
+    pub fn peer_lost(&mut self) -> Vec<Effect> {
+        *self = OldProcess::new(self.total);
+        vec![Effect::SetQuota(self.total), Effect::Accept(true), Effect::Reclaim]
     }
 }
 
 /// The process that takes over.
 #[derive(Debug)]
-pub struct Heir {
+pub struct NewProcess {
     total: usize,
-    part: usize,
-    /// The elder says that it is there, and expects the same.
-    beats: bool,
-    /// Beats sent.
-    number: u64,
-    /// Words on its part count from the answer to this beat on: earlier ones may be from before a pause.
-    valid: u64,
-    /// The beats that have had no answer yet, the oldest first.
-    open: VecDeque<Beat>,
-    /// When the newest one went out that has.
-    answered: Nanos,
-    /// The least that may be held after it or any later one that is not in `open` ([`base`]).
-    least: isize,
-    /// Clients at rest that this process has picked up.
-    picked: usize,
-    /// What it may hold, as last said.
-    holds: usize,
+    /// The quota that the old process has granted.
+    quota: usize,
+    /// The old process expects heartbeats and answers them.
+    peer_sends_heartbeats: bool,
+    /// Heartbeats sent.
+    heartbeats_sent: u64,
+    /// Only quotas that answer this heartbeat or a later one are valid: earlier ones may have been sent before a pause.
+    min_valid_heartbeat: u64,
+    /// Heartbeats without an answer yet, the oldest first.
+    pending: VecDeque<PendingHeartbeat>,
+    /// When the latest heartbeat that was answered was sent.
+    answered_sent_at: Nanos,
+    /// The lowest base limit of that heartbeat and of later ones that are no longer in `pending` ([`base_limit`]).
+    min_base_limit: isize,
+    /// Idle connections that this process has received.
+    received: usize,
+    /// The quota in the last [`Effect::SetQuota`].
+    effective_quota: usize,
 }
 
-/// A beat that has gone out: its number, when, and what may be held after it ([`base`]).
+/// A heartbeat that has been sent and not answered.
 #[derive(Clone, Copy, Debug)]
-struct Beat {
+struct PendingHeartbeat {
     number: u64,
-    at: Nanos,
-    base: isize,
+    sent_at: Nanos,
+    base_limit: isize,
 }
 
-/// What an heir holds at most after a beat that told of so many descriptors and picked up clients, but for all clients that it
-/// has picked up by then: the elder counts those itself, as it puts them down.
-fn base(total: usize, held: usize, picked: usize) -> isize {
-    share::most_after(total, held) as isize - picked as isize
+/// The most descriptors that the new process holds after a heartbeat that reported `held` descriptors and `received` idle
+/// connections, without any idle connections: the old process counts these itself as it puts them into the queue.
+/// [`limit_with_connections`] adds them.
+fn base_limit(total: usize, held: usize, received: usize) -> isize {
+    share::max_held_after_heartbeat(total, held) as isize - received as isize
 }
 
-fn with(base: isize, clients: usize) -> usize {
-    usize::try_from(base + clients as isize).unwrap_or(0)
+fn limit_with_connections(base_limit: isize, connections: usize) -> usize {
+    usize::try_from(base_limit + connections as isize).unwrap_or(0)
 }
 
-impl Heir {
-    /// With the part that the elder's offer names, and whether the elder beats.
-    pub fn new(total: usize, part: usize, beats: bool, now: Nanos) -> (Heir, Vec<Effect>) {
-        let part = part.clamp(share::LEAST.min(total), total);
-        let open = VecDeque::with_capacity(OPEN_BEATS);
-        let least = base(total, part, 0);
-        let heir = Heir {
+impl NewProcess {
+    /// Starts with the quota of the old process's offer, and whether the old process answers heartbeats.
+    pub fn new(
+        total: usize,
+        quota: usize,
+        peer_sends_heartbeats: bool,
+        now: Nanos,
+    ) -> (NewProcess, Vec<Effect>) {
+        let quota = quota.clamp(share::MIN_DESCRIPTORS.min(total), total);
+        let pending = VecDeque::with_capacity(MAX_PENDING_HEARTBEATS);
+        let min_base_limit = base_limit(total, quota, 0);
+        let process = NewProcess {
             total,
-            part,
-            beats,
-            number: 0,
-            valid: 0,
-            open,
-            answered: now,
-            least,
-            picked: 0,
-            holds: part,
+            quota,
+            peer_sends_heartbeats,
+            heartbeats_sent: 0,
+            min_valid_heartbeat: 0,
+            pending,
+            answered_sent_at: now,
+            min_base_limit,
+            received: 0,
+            effective_quota: quota,
         };
-        (heir, vec![Effect::Hold(part)])
+        (process, vec![Effect::SetQuota(quota)])
     }
 
-    /// Takes what the elder says, while this process holds so many descriptors.
-    pub fn hear(&mut self, message: Message, now: Nanos, held: usize) -> Vec<Effect> {
-        // It may be an old word that is read before anything else after a pause.
-        let mut effects = self.doubt(now, held);
+    /// Handles a message of the old process while this one holds `held` descriptors.
+    pub fn handle(&mut self, message: Message, now: Nanos, held: usize) -> Vec<Effect> {
+        // After a pause the first message read may be an old one.
+        let mut effects = self.expire_lease(now, held);
         match message {
-            Message::Part { part, beat } => {
-                let counts = if self.beats { beat >= self.valid } else { part > self.part };
-                if counts {
-                    while let Some(answered) = self.open.front().filter(|b| b.number <= beat) {
-                        (self.answered, self.least) = (answered.at, answered.base);
-                        self.open.pop_front();
+            Message::Quota { quota, heartbeat } => {
+                let valid = if self.peer_sends_heartbeats {
+                    heartbeat >= self.min_valid_heartbeat
+                } else {
+                    quota > self.quota
+                };
+                if valid {
+                    while let Some(answered) = self.pending.front().filter(|p| p.number <= heartbeat) {
+                        (self.answered_sent_at, self.min_base_limit) =
+                            (answered.sent_at, answered.base_limit);
+                        self.pending.pop_front();
                     }
-                    self.part = part.min(self.total);
-                    effects.extend(self.hold());
+                    self.quota = quota.min(self.total);
+                    effects.extend(self.update_effective_quota());
                 }
             }
-            message => effects.extend(words(message)),
+            message => effects.extend(handle_bans(message)),
         }
         effects
     }
 
-    /// This process has picked up so many clients at rest, which the elder knows of and no longer counts as its own: they
-    /// come with their places.
-    pub fn pick_up(&mut self, clients: usize) -> Vec<Effect> {
-        self.picked += clients;
-        self.part = (self.part + clients).min(self.total);
-        self.hold().into_iter().collect()
+    /// This process has received idle connections, which the old process knows of and no longer counts against its own
+    /// quota: they bring their share of the quota with them.
+    pub fn connections_received(&mut self, connections: usize) -> Vec<Effect> {
+        self.received += connections;
+        self.quota = (self.quota + connections).min(self.total);
+        self.update_effective_quota().into_iter().collect()
     }
 
-    /// Its part, as far as the elder cannot be counting on less: of the beats from the last answered one on it may have
-    /// heard any.
-    fn hold(&mut self) -> Option<Effect> {
-        let holds = match self.beats {
+    /// Limits the quota to what the old process assumes at least. The old process may have received any of the heartbeats
+    /// from the last answered one on, so the lowest of their limits counts.
+    fn update_effective_quota(&mut self) -> Option<Effect> {
+        let effective = match self.peer_sends_heartbeats {
             true => {
-                let most = self.open.iter().map(|b| b.base).fold(self.least, isize::min);
-                self.part.min(with(most, self.picked))
+                let lowest = self.pending.iter().map(|p| p.base_limit).fold(self.min_base_limit, isize::min);
+                self.quota.min(limit_with_connections(lowest, self.received))
             }
-            false => self.part,
+            false => self.quota,
         };
-        (std::mem::replace(&mut self.holds, holds) != holds).then_some(Effect::Hold(holds))
+        (std::mem::replace(&mut self.effective_quota, effective) != effective)
+            .then_some(Effect::SetQuota(effective))
     }
 
-    /// To be called each [`BEAT`]: says that this process is there.
+    /// To be called every [`HEARTBEAT_INTERVAL`]: sends a heartbeat.
     pub fn tick(&mut self, now: Nanos, held: usize) -> Vec<Effect> {
-        let mut effects = self.doubt(now, held);
-        if self.beats {
-            self.number += 1;
-            if self.open.len() == OPEN_BEATS {
-                let unanswered = self.open.pop_front().map_or(self.least, |b| b.base);
-                self.least = self.least.min(unanswered);
+        let mut effects = self.expire_lease(now, held);
+        if self.peer_sends_heartbeats {
+            self.heartbeats_sent += 1;
+            if self.pending.len() == MAX_PENDING_HEARTBEATS {
+                let unanswered = self.pending.pop_front().map_or(self.min_base_limit, |p| p.base_limit);
+                self.min_base_limit = self.min_base_limit.min(unanswered);
             }
-            self.open.push_back(Beat {
-                number: self.number,
-                at: now,
-                base: base(self.total, held, self.picked),
+            self.pending.push_back(PendingHeartbeat {
+                number: self.heartbeats_sent,
+                sent_at: now,
+                base_limit: base_limit(self.total, held, self.received),
             });
-            effects.extend(self.hold());
-            effects.push(Effect::Say(Message::Beat { number: self.number, held, picked: Some(self.picked) }));
+            effects.extend(self.update_effective_quota());
+            let (number, received) = (self.heartbeats_sent, Some(self.received));
+            effects.push(Effect::Send(Message::Heartbeat { number, held, received }));
         }
         effects
     }
 
-    /// After a pause of its own, or of the elder's words, the elder may have taken back what this process does not hold.
-    fn doubt(&mut self, now: Nanos, held: usize) -> Vec<Effect> {
-        if !self.beats || now.saturating_sub(self.answered) <= LEASE {
+    /// Gives up the quota once its lease has expired: after a pause of this process, or of the old one's answers, the old
+    /// process may have reclaimed all descriptors that this one does not hold.
+    fn expire_lease(&mut self, now: Nanos, held: usize) -> Vec<Effect> {
+        if !self.peer_sends_heartbeats || now.saturating_sub(self.answered_sent_at) <= QUOTA_LEASE {
             return Vec::new();
         }
-        // The answer to the next beat has as long as any.
-        self.answered = now;
-        self.valid = self.number + 1;
-        self.part = share::doubted(self.part, held);
-        self.hold().into_iter().collect()
+        // The answer to the next heartbeat has the full lease to arrive in.
+        self.answered_sent_at = now;
+        self.min_valid_heartbeat = self.heartbeats_sent + 1;
+        self.quota = share::new_lease_expired(self.quota, held);
+        self.update_effective_quota().into_iter().collect()
     }
 
-    /// The elder has gone.
-    pub fn lost(&mut self) -> Vec<Effect> {
-        (self.part, self.beats, self.holds) = (self.total, false, self.total);
-        vec![Effect::Hold(self.total)]
+    /// The old process has ended: this one may use all of the node's descriptors.
+    pub fn peer_lost(&mut self) -> Vec<Effect> {
+        (self.quota, self.peer_sends_heartbeats, self.effective_quota) = (self.total, false, self.total);
+        vec![Effect::SetQuota(self.total)]
     }
 }
--- a/crates/http/src/front.rs
+++ b/crates/http/src/front.rs
@@ -42,7 +42,7 @@
 /// The longest id of a request.
 const MOST_ID: usize = 128;
 /// How often connections are looked at.
-pub const SWEEP: Duration = LOOK;
+pub const SWEEP_INTERVAL: Duration = LOOK;
 /// How long a body that passes through may take until its last byte.
 const UPLOAD: Nanos = 600_000_000_000;
 /// One in so many of the places for clients may be held by requests that wait for their services.
@@ -104,7 +104,7 @@
         true
     }
 
-    /// Every `SWEEP`: closes what stands still.
+    /// Every `SWEEP_INTERVAL`: closes what stands still.
     pub fn sweep(&self) {
         let now = self.gateway.running();
         let open = self.open.borrow();
@@ -114,7 +114,7 @@
     }
 
     /// Connections that are open.
-    pub fn number(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.open.borrow().len()
     }
 
@@ -141,7 +141,7 @@
 
     /// Waits until a connection comes to rest after [`Clients::hand_over`] has gone over them: a client that asks without a
     /// pause rests for some tens of microseconds between two requests, which no clock's tick meets.
-    pub async fn rested(&self) {
+    pub async fn connection_idle(&self) {
         self.rested.notified().await;
     }
 
@@ -440,7 +440,7 @@
     let head = check(gateway, client, &parts)?;
     // Asked for with the head: while the body comes, so does the service.
     let routed = match &clients.routing {
-        Some(routing) => Some(Routed::new(&routing.services, routing.place.service(&parts)?)?),
+        Some(routing) => Some(Routed::new(&routing.services, routing.name_source.service_name(&parts)?)?),
         None => None,
     };
     let safe = gateway.site.settings.classes[head.class].idempotency == Idempotency::Safe;
--- a/crates/http/src/service.rs
+++ b/crates/http/src/service.rs
@@ -7,9 +7,9 @@
 
 /// Where the name of the service stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Place {
-    /// Nowhere: all requests are for the service without a name.
-    Nowhere,
+pub enum ServiceNameSource {
+    /// All requests are for the service without a name.
+    Unnamed,
     /// It is the host that the client asks, without its port, in lower case.
     Host,
     /// In this header, as it stands there. A request without it is for the service without a name.
@@ -30,12 +30,12 @@
     Name,
 }
 
-impl Place {
+impl ServiceNameSource {
     /// The service that a request names; empty for the one without a name.
-    pub fn service(&self, head: &Parts) -> Result<String, NameError> {
+    pub fn service_name(&self, head: &Parts) -> Result<String, NameError> {
         match self {
-            Place::Nowhere => Ok(String::new()),
-            Place::Host => {
+            ServiceNameSource::Unnamed => Ok(String::new()),
+            ServiceNameSource::Host => {
                 let mut hosts = head.headers.get_all(HOST).iter();
                 let (first, further) = (hosts.next(), hosts.next());
                 // The target's own host counts before the header (RFC 9112, section 3.2.2).
@@ -46,7 +46,7 @@
                 };
                 Ok(sound(host(authority).ok_or(NameError::Host)?)?.to_ascii_lowercase())
             }
-            Place::Header(name) => {
+            ServiceNameSource::Header(name) => {
                 let mut values = head.headers.get_all(name).iter();
                 match (values.next(), values.next()) {
                     (None, _) => Ok(String::new()),
@@ -78,13 +78,13 @@
 #[derive(Clone)]
 pub struct Routing {
     /// Where the name stands.
-    pub place: Place,
+    pub name_source: ServiceNameSource,
     /// Who knows services.
     pub services: Rc<dyn Services>,
 }
 
 impl std::fmt::Debug for Routing {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "Routing({:?})", self.place)
+        write!(f, "Routing({:?})", self.name_source)
     }
 }
--- a/crates/http/tests/service.rs
+++ b/crates/http/tests/service.rs
@@ -3,7 +3,7 @@
 use hyper::header::HeaderName;
 use hyper::http::request::Parts;
 use hyper::Request;
-use laurelroute_http::service::{NameError, Place};
+use laurelroute_http::service::{NameError, ServiceNameSource};
 
 fn head(target: &str, headers: &[(&str, &str)]) -> Parts {
     let mut request = Request::builder().uri(target);
@@ -15,7 +15,7 @@
 
 #[test]
 fn a_host_is_a_service_without_its_port_and_in_lower_case() {
-    let service = |host: &str| Place::Host.service(&head("/read", &[("host", host)]));
+    let service = |host: &str| ServiceNameSource::Host.service_name(&head("/read", &[("host", host)]));
     for (host, name) in [
         ("shop", "shop"),
         ("Shop.SVC:8080", "shop.svc"),
@@ -35,19 +35,19 @@
     }
     assert_eq!(service("a b"), Err(NameError::Name));
     let twice = head("/read", &[("host", "a"), ("host", "b")]);
-    assert_eq!(Place::Host.service(&twice), Err(NameError::Host));
-    assert_eq!(Place::Host.service(&head("/read", &[])), Err(NameError::Host));
+    assert_eq!(ServiceNameSource::Host.service_name(&twice), Err(NameError::Host));
+    assert_eq!(ServiceNameSource::Host.service_name(&head("/read", &[])), Err(NameError::Host));
     // The target's own host counts before the header.
     let target = head("http://Other.svc:80/read", &[("host", "shop")]);
-    assert_eq!(Place::Host.service(&target).as_deref(), Ok("other.svc"));
+    assert_eq!(ServiceNameSource::Host.service_name(&target).as_deref(), Ok("other.svc"));
 }
 
 #[test]
 fn a_header_names_a_service_as_it_stands() {
-    let place = Place::Header(HeaderName::from_static("x-service"));
+    let place = ServiceNameSource::Header(HeaderName::from_static("x-service"));
     let service = |values: &[&str]| {
         let headers: Vec<_> = values.iter().map(|v| ("x-service", *v)).collect();
-        place.service(&head("/read", &headers))
+        place.service_name(&head("/read", &headers))
     };
     assert_eq!(service(&["Shop:8080"]).as_deref(), Ok("Shop:8080"));
     assert_eq!(service(&[]).as_deref(), Ok(""), "the service without a name");
@@ -59,5 +59,8 @@
 
 #[test]
 fn where_none_is_said_there_is_one_service() {
-    assert_eq!(Place::Nowhere.service(&head("/read", &[("host", "shop")])).as_deref(), Ok(""));
+    assert_eq!(
+        ServiceNameSource::Unnamed.service_name(&head("/read", &[("host", "shop")])).as_deref(),
+        Ok("")
+    );
 }
--- a/crates/node/src/fleet/replica.rs
+++ b/crates/node/src/fleet/replica.rs
@@ -295,7 +295,7 @@
     /// Publishes bans that only this node's file had; where the fleet's state differs, the fleet's state applies.
     fn publish_local_bans(&self, gateway: &Rc<Gateway>) {
         let local_bans: Vec<(String, bool)> =
-            gateway.fleet(|f| f.bans.words().map(|w| (w.host.clone(), w.out)).collect());
+            gateway.fleet(|f| f.bans.records().map(|w| (w.host.clone(), w.banned)).collect());
         for (host, out) in local_bans {
             let known = self.replica.machine.borrow().bans(&host).map(|b| b.out());
             match known {
--- a/crates/node/src/ledger.rs
+++ b/crates/node/src/ledger.rs
@@ -11,8 +11,8 @@
 use crate::files;
 use crate::upgrade::link::runtime_path;
 use laurelroute_core::gateway::Gateway;
-use laurelroute_handover::bans::{Bans, Word};
-use laurelroute_handover::ledger::{decode, encode, LedgerError, MOST_FILE};
+use laurelroute_handover::bans::{BanRecord, Bans};
+use laurelroute_handover::ledger::{decode, encode, LedgerError, MAX_FILE_BYTES};
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::net::SocketAddr;
@@ -185,7 +185,7 @@
     }
 
     async fn write_once(&self, path: &Path, gateway: &Rc<Gateway>) -> Result<(), PersistError> {
-        let records: Vec<Word> = gateway.fleet(|f| f.bans.words().cloned().collect());
+        let records: Vec<BanRecord> = gateway.fleet(|f| f.bans.records().cloned().collect());
         let path = path.to_owned();
         // A slow disk must not block the event loop.
         let written = tokio::task::spawn_blocking(move || merge_into_file(&path, records)).await;
@@ -200,12 +200,12 @@
     }
 }
 
-fn read_file(path: &Path) -> Result<Vec<Word>, ReadError> {
-    Ok(decode(&files::read_bounded(path, MOST_FILE)?)?)
+fn read_file(path: &Path) -> Result<Vec<BanRecord>, ReadError> {
+    Ok(decode(&files::read_bounded(path, MAX_FILE_BYTES)?)?)
 }
 
 /// Replaces the file with the union of these records and its own; returns the union.
-fn merge_into_file(path: &Path, records: Vec<Word>) -> io::Result<Vec<Word>> {
+fn merge_into_file(path: &Path, records: Vec<BanRecord>) -> io::Result<Vec<BanRecord>> {
     let mut merged = Bans::default();
     merged.merge(records);
     match read_file(path) {
@@ -216,6 +216,6 @@
         // A corrupt file was reported at the start or has been damaged since: the records known here replace it.
         Err(ReadError::Corrupt(_)) => {}
     }
-    files::replace_atomically(path, &encode(merged.words()))?;
-    Ok(merged.words().cloned().collect())
+    files::replace_atomically(path, &encode(merged.records()))?;
+    Ok(merged.records().cloned().collect())
 }
--- a/crates/node/src/levels.rs
+++ b/crates/node/src/levels.rs
@@ -314,7 +314,7 @@
 #[cfg(test)]
 mod tests {
     use crate::site::Site;
-    use laurelroute_http::service::Place;
+    use laurelroute_http::service::ServiceNameSource;
 
     const PEERS: &str = "[peers]\nsite = \"perth\"\nname = \"f0\"\nauthority = \"ca.pem\"\ncertificate = \"f0.pem\"\nkey = \"f0.key\"\n";
 
@@ -335,10 +335,13 @@
         };
         assert_eq!(name_source(""), None);
         assert_eq!(name_source("services = false\n"), None);
-        assert_eq!(name_source("services = true\n"), Some(Place::Nowhere));
-        assert_eq!(name_source("services = true\nservice = \"host\"\n"), Some(Place::Host));
+        assert_eq!(name_source("services = true\n"), Some(ServiceNameSource::Unnamed));
+        assert_eq!(name_source("services = true\nservice = \"host\"\n"), Some(ServiceNameSource::Host));
         let header = name_source("services = true\nservice = { header = \"X-Service\" }\n");
-        assert_eq!(header, Some(Place::Header(hyper::header::HeaderName::from_static("x-service"))));
+        assert_eq!(
+            header,
+            Some(ServiceNameSource::Header(hyper::header::HeaderName::from_static("x-service")))
+        );
     }
 
     #[test]
--- a/crates/node/src/management.rs
+++ b/crates/node/src/management.rs
@@ -15,7 +15,7 @@
 use laurelroute_core::events;
 use laurelroute_core::gateway::{Gateway, Unmanaged};
 use laurelroute_core::retry_io::Retried;
-use laurelroute_handover::bans::{Word, MOST_NAME};
+use laurelroute_handover::bans::{BanRecord, MAX_NAME_BYTES};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::convert::Infallible;
@@ -173,9 +173,9 @@
         &self,
         id: &str,
         ban: bool,
-        change: fn(&Rc<Gateway>, &str) -> Result<Option<Word>, Unmanaged>,
+        change: fn(&Rc<Gateway>, &str) -> Result<Option<BanRecord>, Unmanaged>,
     ) -> (StatusCode, String) {
-        let Some(host) = percent_decode(id).filter(|host| (1..=MOST_NAME).contains(&host.len())) else {
+        let Some(host) = percent_decode(id).filter(|host| (1..=MAX_NAME_BYTES).contains(&host.len())) else {
             return (StatusCode::BAD_REQUEST, "that is no server's name".to_owned());
         };
         let mut result = change(&self.gateway, &host);
@@ -187,7 +187,7 @@
         match result {
             Ok(record) => {
                 if let Some(record) = &record {
-                    tracing::info!("server {host}: {}", if record.out { "detached" } else { "attached" });
+                    tracing::info!("server {host}: {}", if record.banned { "detached" } else { "attached" });
                 }
                 let fleet = async {
                     match &self.member {
@@ -204,7 +204,7 @@
     }
 
     /// Persists a change of a ban and sends it to the node's other process; returns the text of the answer.
-    async fn persist(&self, record: Option<Word>) -> String {
+    async fn persist(&self, record: Option<BanRecord>) -> String {
         let sent = async {
             if let Some(record) = record {
                 self.takeover.send_ban_update(record).await;
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -14,8 +14,8 @@
 use laurelroute_core::accept::{accept, MakeRoom, Need};
 use laurelroute_core::gateway::Gateway;
 use laurelroute_core::running;
-use laurelroute_handover::message::Door;
-use laurelroute_http::front::{Clients, SWEEP};
+use laurelroute_handover::message::SocketKind;
+use laurelroute_http::front::{Clients, SWEEP_INTERVAL};
 use laurelroute_thrift::front::Front;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -183,10 +183,10 @@
             }
         })
     };
-    let mut listeners = vec![(Door::Http, open_listener(Door::Http, config.listen)?)];
+    let mut listeners = vec![(SocketKind::Http, open_listener(SocketKind::Http, config.listen)?)];
     let mut front = None;
     if let Some(thrift) = &site.thrift {
-        listeners.push((Door::Thrift, open_listener(Door::Thrift, thrift.listen)?));
+        listeners.push((SocketKind::Thrift, open_listener(SocketKind::Thrift, thrift.listen)?));
         front = Some(Front::new(gateway.clone(), thrift.front.clone()));
     }
     let takeover = Takeover::new(config.site.sockets, ledger.clone());
@@ -221,7 +221,7 @@
         Box::new(move |kind, listener| {
             let (budget, room, gate) = (gateway.budget.clone(), make_room.clone(), gate.clone());
             match (kind, &front) {
-                (Door::Thrift, Some(front)) => {
+                (SocketKind::Thrift, Some(front)) => {
                     spawn_local(accept(front.clone(), budget, room, listener, gate))
                 }
                 _ => spawn_local(accept(clients.clone(), budget, room, listener, gate)),
@@ -252,7 +252,8 @@
     gateway.end_by(gateway.clock.now() + (kill_delay - FINAL_ANSWER_MARGIN).as_nanos() as u64);
     // A new process is handed the clients' connections as they become idle, once it accepts clients; clients whose
     // connections stay are told to reconnect.
-    let handing_over = || takeover.has_successor() && (clients.number() > 0 || !takeover.successor_serves());
+    let handing_over =
+        || takeover.has_successor() && (clients.open_connections() > 0 || !takeover.successor_serves());
     while terminated_at.elapsed() < NEW_PROCESS_WAIT
         || handing_over() && terminated_at.elapsed() < kill_delay - CLOSE_BUSY_MARGIN
     {
@@ -265,7 +266,8 @@
     }
     // Closing an idle connection may race with its next request: if a new process accepts clients, it is handed the
     // connection instead.
-    let open_http = || if takeover.successor_serves() { clients.number() } else { clients.close_idle() };
+    let open_http =
+        || if takeover.successor_serves() { clients.open_connections() } else { clients.close_idle() };
     let open_connections = || open_http() + front.as_ref().map_or(0, |f| f.close_idle());
     while open_connections() > 0 && terminated_at.elapsed() < kill_delay + EXIT_MARGIN {
         tokio::time::sleep(Duration::from_millis(10)).await;
@@ -306,7 +308,7 @@
 /// Periodically closes connections that have been idle or stalled for too long.
 async fn sweep(gateway: Rc<Gateway>, clients: Rc<Clients>, front: Option<Rc<Front>>) {
     loop {
-        running::sleep(SWEEP).await;
+        running::sleep(SWEEP_INTERVAL).await;
         gateway.count_running();
         clients.sweep();
         front.iter().for_each(|front| front.sweep());
--- a/crates/node/src/services/forwarder.rs
+++ b/crates/node/src/services/forwarder.rs
@@ -11,8 +11,8 @@
 use laurelroute_core::connect::establish;
 use laurelroute_core::gateway::Gateway;
 use laurelroute_core::retry_io::Retried;
-use laurelroute_http::front::SWEEP;
-use laurelroute_http::service::{Place, Routing};
+use laurelroute_http::front::SWEEP_INTERVAL;
+use laurelroute_http::service::{Routing, ServiceNameSource};
 use laurelroute_plan::services::subscriber;
 use laurelroute_plan::wire::{Hello, Role};
 use std::cell::RefCell;
@@ -49,13 +49,13 @@
         takes_burst: services.update_burst.into(),
         seed: gateway.site.seed ^ laurelroute_core::mix(peers.name.as_bytes()) ^ now,
     };
-    if !gateway.site.settings.tenant_quota.is_empty() && services.name_source != Place::Nowhere {
+    if !gateway.site.settings.tenant_quota.is_empty() && services.name_source != ServiceNameSource::Unnamed {
         tracing::warn!("tenant quotas apply only to the unnamed service");
     }
     let thrift = site.thrift.as_ref();
     let directory = Directory::new(gateway.clone(), settings, thrift.and_then(|t| t.port));
     // Thrift calls do not name a service.
-    if thrift.is_some() || services.name_source == Place::Nowhere {
+    if thrift.is_some() || services.name_source == ServiceNameSource::Unnamed {
         spawn_local(directory.clone().keep_unnamed_service());
     }
     let identity = Identity {
@@ -76,11 +76,11 @@
     let sweeping = directory.clone();
     spawn_local(async move {
         loop {
-            tokio::time::sleep(SWEEP).await;
+            tokio::time::sleep(SWEEP_INTERVAL).await;
             sweeping.sweep();
         }
     });
-    Routing { place: services.name_source.clone(), services: directory }
+    Routing { name_source: services.name_source.clone(), services: directory }
 }
 
 /// Keeps a subscription to one of the planners, for good.
--- a/crates/node/src/services/table.rs
+++ b/crates/node/src/services/table.rs
@@ -3,7 +3,7 @@
 
 use crate::site::{SiteError, Validator};
 use hyper::header::HeaderName;
-use laurelroute_http::service::Place;
+use laurelroute_http::service::ServiceNameSource;
 use laurelroute_policy::interface::Nanos;
 use toml::{Spanned, Value};
 
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ForwarderServices {
     /// Where a request names its service.
-    pub name_source: Place,
+    pub name_source: ServiceNameSource,
     /// Maximum number of services held.
     pub max_services: usize,
     /// Maximum memory for the services held, in bytes.
@@ -131,7 +131,9 @@
                 .map(|s| s * SECOND)
         };
         Ok(Some(ForwarderServices {
-            name_source: self.service.map_or(Ok(Place::Nowhere), |value| name_source(validator, &value))?,
+            name_source: self
+                .service
+                .map_or(Ok(ServiceNameSource::Unnamed), |value| name_source(validator, &value))?,
             max_services: number("most_services", self.most_services, MAX_SERVICES, 1_000)? as usize,
             max_service_bytes: number(
                 "most_service_bytes",
@@ -150,14 +152,14 @@
 }
 
 /// Parses `"host"` or `{ header = "NAME" }`.
-fn name_source(validator: &Validator<'_>, value: &Spanned<Value>) -> Result<Place, SiteError> {
+fn name_source(validator: &Validator<'_>, value: &Spanned<Value>) -> Result<ServiceNameSource, SiteError> {
     let header = |table: &toml::Table| match table.get("header") {
         Some(Value::String(name)) if table.len() == 1 => HeaderName::try_from(name.as_str()).ok(),
         _ => None,
     };
     match value.get_ref() {
-        Value::String(text) if text == "host" => Some(Place::Host),
-        Value::Table(table) => header(table).map(Place::Header),
+        Value::String(text) if text == "host" => Some(ServiceNameSource::Host),
+        Value::Table(table) => header(table).map(ServiceNameSource::Header),
         _ => None,
     }
     .ok_or_else(|| validator.error_at(value, "`forward.service` must be \"host\" or { header = \"NAME\" }"))
--- a/crates/node/src/upgrade/link.rs
+++ b/crates/node/src/upgrade/link.rs
@@ -1,7 +1,7 @@
 //! The Unix socket between the old and the new process of a node: packets with descriptors, and the path of the socket.
 
 use laurelroute_core::retry_io::retried;
-use laurelroute_handover::message::{Message, MessageError, MOST_DESCRIPTORS, MOST_PACKET};
+use laurelroute_handover::message::{Message, MessageError, MAX_PACKET_BYTES, MAX_PACKET_DESCRIPTORS};
 use rustix::net::{
     self, AddressFamily, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags, SocketAddrUnix, SocketFlags, SocketType,
@@ -49,7 +49,7 @@
         message: &Message,
         descriptors: &[BorrowedFd<'_>],
     ) -> Result<bool, LinkError> {
-        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_DESCRIPTORS))];
+        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_PACKET_DESCRIPTORS))];
         let mut control = SendAncillaryBuffer::new(&mut space);
         if !descriptors.is_empty() {
             control.push(SendAncillaryMessage::ScmRights(descriptors));
@@ -93,8 +93,8 @@
 
 /// Reads one packet and its descriptors without waiting.
 fn read_packet(socket: impl AsFd) -> io::Result<(Vec<u8>, Vec<OwnedFd>)> {
-    let mut packet = vec![0; MOST_PACKET + 1];
-    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_DESCRIPTORS))];
+    let mut packet = vec![0; MAX_PACKET_BYTES + 1];
+    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_PACKET_DESCRIPTORS))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
     let flags = RecvFlags::DONTWAIT | RecvFlags::CMSG_CLOEXEC;
     let received = net::recvmsg(socket, &mut [IoSliceMut::new(&mut packet)], &mut control, flags)?;
--- a/crates/node/src/upgrade/predecessor.rs
+++ b/crates/node/src/upgrade/predecessor.rs
@@ -1,8 +1,8 @@
 //! Requests a takeover from the process that already serves at the address and receives its offer.
 
 use super::link::{runtime_path, socket, socket_address, Link, LinkError, SOCKET};
-use laurelroute_handover::bans::Word;
-use laurelroute_handover::message::{Door, Message, VERSION};
+use laurelroute_handover::bans::BanRecord;
+use laurelroute_handover::message::{Message, SocketKind, VERSION};
 use laurelroute_policy::interface::LearnedState;
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
@@ -25,13 +25,13 @@
 
 /// What the old process hands over.
 pub(crate) struct Offer {
-    doors: Vec<(Door, OwnedFd)>,
+    doors: Vec<(SocketKind, OwnedFd)>,
     /// Number of descriptors that this process may hold.
     pub(super) part: usize,
     /// The old process sends heartbeats and expects them.
     pub(super) beats: bool,
     /// Bans of servers, and lifted bans, by operators.
-    pub(super) words: Vec<Word>,
+    pub(super) words: Vec<BanRecord>,
     pub(super) learnt: LearnedState,
 }
 
@@ -60,7 +60,7 @@
     }
 
     /// The offered listening sockets of this kind that are bound to `address`.
-    pub(crate) fn listeners(&mut self, door: Door, address: SocketAddr) -> Vec<TcpListener> {
+    pub(crate) fn listeners(&mut self, door: SocketKind, address: SocketAddr) -> Vec<TcpListener> {
         match self {
             PredecessorReply::Offered(_, offer) => offer.listeners(door, address),
             PredecessorReply::None | PredecessorReply::Silent(_) => Vec::new(),
@@ -68,7 +68,7 @@
     }
 
     /// The ban records received with the offer.
-    pub(crate) fn take_ban_updates(&mut self) -> Vec<Word> {
+    pub(crate) fn take_ban_updates(&mut self) -> Vec<BanRecord> {
         match self {
             PredecessorReply::Offered(_, offer) => std::mem::take(&mut offer.words),
             PredecessorReply::None | PredecessorReply::Silent(_) => Vec::new(),
@@ -82,7 +82,7 @@
     let socket = socket()?;
     rustix::net::connect(&socket, &address)?;
     let link = Link::new(socket)?;
-    link.send(&Message::Take { version: VERSION, beats: true }, &[]).await?;
+    link.send(&Message::TakeoverRequest { version: VERSION, sends_heartbeats: true }, &[]).await?;
     Ok(link)
 }
 
@@ -91,9 +91,12 @@
     let (mut words, mut learnt) = (Vec::new(), LearnedState::default());
     loop {
         match link.receive().await? {
-            (Message::Bans { words: more, .. }, _) => words.extend(more),
-            (Message::Learnt(lesson), _) => lesson.join(&mut learnt),
-            (Message::Offer { version: VERSION, doors, part, beats }, descriptors) => {
+            (Message::Bans { records: more, .. }, _) => words.extend(more),
+            (Message::LearnedState(lesson), _) => lesson.merge_into(&mut learnt),
+            (
+                Message::Offer { version: VERSION, sockets: doors, quota: part, sends_heartbeats: beats },
+                descriptors,
+            ) => {
                 let doors = doors.into_iter().zip(descriptors).collect();
                 return Ok(Offer { doors, part, beats, words, learnt });
             }
@@ -104,14 +107,14 @@
 
 impl Offer {
     /// Takes the offered descriptors of this kind.
-    fn take(&mut self, door: Door) -> Vec<OwnedFd> {
+    fn take(&mut self, door: SocketKind) -> Vec<OwnedFd> {
         let (matching, others) = std::mem::take(&mut self.doors).into_iter().partition(|(d, _)| *d == door);
         self.doors = others;
         Vec::into_iter(matching).map(|(_, descriptor)| descriptor).collect()
     }
 
     /// Takes the listening sockets of this kind that are bound to `address`.
-    pub(super) fn listeners(&mut self, door: Door, address: SocketAddr) -> Vec<TcpListener> {
+    pub(super) fn listeners(&mut self, door: SocketKind, address: SocketAddr) -> Vec<TcpListener> {
         let at_address = |fd| {
             let listener = std::net::TcpListener::from(fd);
             (listener.local_addr().ok()? == address).then_some(())?;
@@ -122,6 +125,6 @@
 
     /// Takes the queue on which the old process passes idle clients' connections.
     pub(super) fn idle_queue(&mut self) -> Option<Link> {
-        self.take(Door::Rest).pop().and_then(|fd| Link::new(fd).ok())
+        self.take(SocketKind::IdleQueue).pop().and_then(|fd| Link::new(fd).ok())
     }
 }
--- a/crates/node/src/upgrade/takeover.rs
+++ b/crates/node/src/upgrade/takeover.rs
@@ -6,10 +6,12 @@
 use crate::ledger::BanLedger;
 use laurelroute_core::accept::Gate;
 use laurelroute_core::gateway::Gateway;
-use laurelroute_handover::bans::Word;
-use laurelroute_handover::message::{Door, Lesson, Message, MOST_DESCRIPTORS, VERSION};
+use laurelroute_handover::bans::BanRecord;
+use laurelroute_handover::message::{
+    LearnedStateChunk, Message, SocketKind, MAX_PACKET_DESCRIPTORS, VERSION,
+};
 use laurelroute_handover::share;
-use laurelroute_handover::states::{Effect, Elder, Heir, BEAT};
+use laurelroute_handover::states::{Effect, NewProcess, OldProcess, HEARTBEAT_INTERVAL};
 use laurelroute_http::front::Clients;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -38,18 +40,18 @@
 }
 
 /// Starts accepting connections of this kind on a listening socket.
-pub(crate) type AcceptFn = Box<dyn Fn(Door, Rc<TcpListener>) -> JoinHandle<()>>;
+pub(crate) type AcceptFn = Box<dyn Fn(SocketKind, Rc<TcpListener>) -> JoinHandle<()>>;
 
 /// This process's part in takeovers of the address: it may have an old process before it, a new one after it, both or neither.
 pub(crate) struct Takeover {
     gate: watch::Sender<Gate>,
     clients: RefCell<Option<Rc<Clients>>>,
     accept: RefCell<Option<AcceptFn>>,
-    listeners: RefCell<Vec<(Door, Rc<TcpListener>)>>,
+    listeners: RefCell<Vec<(SocketKind, Rc<TcpListener>)>>,
     accept_tasks: RefCell<Vec<JoinHandle<()>>>,
     /// Queue for idle clients, while there is a new process that sends heartbeats.
     idle_queue: RefCell<Option<IdleQueue>>,
-    elder: RefCell<Elder>,
+    elder: RefCell<OldProcess>,
     links: RefCell<Vec<Rc<Link>>>,
     /// Number of the next batch of ban updates.
     next_batch: Cell<u64>,
@@ -71,7 +73,7 @@
             listeners: RefCell::default(),
             accept_tasks: RefCell::default(),
             idle_queue: RefCell::default(),
-            elder: RefCell::new(Elder::new(descriptor_limit)),
+            elder: RefCell::new(OldProcess::new(descriptor_limit)),
             links: RefCell::default(),
             next_batch: Cell::new(1),
             pending_acks: RefCell::default(),
@@ -93,13 +95,13 @@
 
     /// Whether a new process is connected, serving or not.
     pub(crate) fn has_successor(&self) -> bool {
-        !self.elder.borrow().alone()
+        !self.elder.borrow().is_alone()
     }
 
     /// Whether the new process accepts all new connections.
     pub(crate) fn successor_serves(&self) -> bool {
         let elder = self.elder.borrow();
-        elder.yielded() && !elder.covering()
+        elder.has_yielded() && !elder.in_fallback()
     }
 
     /// Stops accepting: connections in the backlog are still accepted unless the new process accepts them. Returns when that is
@@ -116,7 +118,7 @@
     }
 
     /// Accepts connections on this socket too, whenever the gate is open.
-    fn add_listener(&self, door: Door, listener: TcpListener) {
+    fn add_listener(&self, door: SocketKind, listener: TcpListener) {
         let listener = Rc::new(listener);
         if let Some(accept) = &*self.accept.borrow() {
             self.accept_tasks.borrow_mut().push(accept(door, listener.clone()));
@@ -125,7 +127,7 @@
     }
 
     /// Listens on the sockets that were only bound so far and has the kernel route all new connections here.
-    fn listen_on_bound(&self, bound: Vec<(Door, TcpSocket, SocketAddr)>) {
+    fn listen_on_bound(&self, bound: Vec<(SocketKind, TcpSocket, SocketAddr)>) {
         for (door, socket, address) in bound {
             match socket.listen(crate::run::LISTEN_BACKLOG) {
                 Ok(listener) => {
@@ -146,7 +148,7 @@
         gateway: Rc<Gateway>,
         clients: Rc<Clients>,
         accept: AcceptFn,
-        client_listeners: Vec<(Door, ClientListener)>,
+        client_listeners: Vec<(SocketKind, ClientListener)>,
         predecessor: PredecessorReply,
         listen: SocketAddr,
     ) {
@@ -169,7 +171,7 @@
             PredecessorReply::Silent(link) => {
                 // Keeps both processes within the limit even before the old process has reported what it holds.
                 let held = link.peer_pid().and_then(open_descriptors);
-                gateway.resize(share::beside(self.descriptor_limit, held));
+                gateway.resize(share::new_beside_silent(self.descriptor_limit, held));
                 gateway.listed().await;
                 self.listen_on_bound(bound);
                 self.gate.send_replace(Gate::Open);
@@ -191,7 +193,8 @@
 
     /// Applies the old process's offer and reports this process ready once there is a list.
     async fn take_over(self: &Rc<Self>, gateway: &Rc<Gateway>, link: Link, mut offer: Offer) {
-        let (heir, effects) = Heir::new(self.descriptor_limit, offer.part, offer.beats, gateway.clock.now());
+        let (heir, effects) =
+            NewProcess::new(self.descriptor_limit, offer.part, offer.beats, gateway.clock.now());
         let idle_queue = offer.idle_queue();
         let link = Rc::new(link);
         self.apply_effects(gateway, &link, effects);
@@ -233,19 +236,19 @@
         gateway: Rc<Gateway>,
         link: Rc<Link>,
         mut idle_queue: Option<Link>,
-        mut heir: Heir,
+        mut heir: NewProcess,
     ) {
-        let mut heartbeat = tokio::time::interval(Duration::from_nanos(BEAT));
+        let mut heartbeat = tokio::time::interval(Duration::from_nanos(HEARTBEAT_INTERVAL));
         heartbeat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 packet = link.receive() => match packet {
-                    Ok((Message::Client { door: Door::Http, used }, descriptors)) => {
-                        let effects = heir.pick_up(self.take_clients(descriptors, used));
+                    Ok((Message::Client { protocol: SocketKind::Http, used }, descriptors)) => {
+                        let effects = heir.connections_received(self.take_clients(descriptors, used));
                         self.apply_effects(&gateway, &link, effects);
                     }
                     Ok((message, _)) => {
-                        let effects = heir.hear(message, gateway.clock.now(), gateway.budget.held());
+                        let effects = heir.handle(message, gateway.clock.now(), gateway.budget.held());
                         self.apply_effects(&gateway, &link, effects);
                     }
                     Err(error) => {
@@ -255,7 +258,7 @@
                 },
                 received = receive_idle_client(idle_queue.as_ref()) => match received {
                     Ok((client, connections)) => {
-                        let effects = heir.pick_up(self.take_clients(connections, client.used()));
+                        let effects = heir.connections_received(self.take_clients(connections, client.used()));
                         self.apply_effects(&gateway, &link, effects);
                     }
                     Err(_) => idle_queue = None,
@@ -266,7 +269,7 @@
                 }
             }
         }
-        self.apply_effects(&gateway, &link, heir.lost());
+        self.apply_effects(&gateway, &link, heir.peer_lost());
         self.drop_link(&link);
         let Some(idle_queue) = idle_queue else { return };
         while let Ok((client, connections)) = idle_queue.receive().await {
@@ -299,7 +302,7 @@
         tracing::info!("takeover: {error}");
         self.drop_link(&link);
         if !gateway.leaving() {
-            let effects = self.elder.borrow_mut().lost();
+            let effects = self.elder.borrow_mut().peer_lost();
             self.apply_effects(gateway, &link, effects);
         }
         *self.idle_queue.borrow_mut() = None;
@@ -313,16 +316,16 @@
             tokio::select! {
                 packet = link.receive() => match packet {
                     Ok((message, _)) => {
-                        let effects = self.elder.borrow_mut().hear(message, gateway.budget.held());
+                        let effects = self.elder.borrow_mut().handle(message, gateway.budget.held());
                         self.apply_effects(gateway, link, effects);
                     }
                     Err(error) => return error,
                 },
-                _ = tick.tick(), if !self.elder.borrow().alone() => {
-                    let covering = self.elder.borrow().covering();
+                _ = tick.tick(), if !self.elder.borrow().is_alone() => {
+                    let covering = self.elder.borrow().in_fallback();
                     let effects = self.elder.borrow_mut().tick(gateway.clock.now(), gateway.budget.held());
                     self.apply_effects(gateway, link, effects);
-                    if !covering && self.elder.borrow().covering() {
+                    if !covering && self.elder.borrow().in_fallback() {
                         tracing::warn!("takeover: the new process does not respond; this one accepts connections as well");
                     }
                     if self.successor_serves() {
@@ -342,7 +345,7 @@
     async fn client_idle(&self) {
         let clients = self.clients.borrow().clone();
         match clients {
-            Some(clients) => clients.rested().await,
+            Some(clients) => clients.connection_idle().await,
             None => std::future::pending().await,
         }
     }
@@ -352,14 +355,14 @@
         let (clients, idle_queue) = (self.clients.borrow(), self.idle_queue.borrow());
         let Some(clients) = &*clients else { return };
         let handed_over = clients.hand_over(|connection, used| {
-            let client = Message::Client { door: Door::Http, used };
+            let client = Message::Client { protocol: SocketKind::Http, used };
             match &*idle_queue {
                 Some(queue) => queue.push(&client, connection),
                 None => link.try_send(&client, &[connection]).unwrap_or(false),
             }
         });
         if handed_over > 0 {
-            let effects = self.elder.borrow_mut().gave(handed_over);
+            let effects = self.elder.borrow_mut().connections_given(handed_over);
             self.apply_effects(gateway, link, effects);
         }
     }
@@ -371,7 +374,7 @@
 
     fn apply_effect(&self, gateway: &Rc<Gateway>, link: &Rc<Link>, effect: Effect) {
         match effect {
-            Effect::Say(message) => self.send_or_queue(link, message),
+            Effect::Send(message) => self.send_or_queue(link, message),
             Effect::Offer(part) => self.offer(gateway, link, part),
             Effect::Accept(open) => {
                 let target = if open { Gate::Open } else { Gate::Held };
@@ -380,31 +383,31 @@
                     |gate: &mut Gate| *gate != Gate::Shut && std::mem::replace(gate, target) != target;
                 self.gate.send_if_modified(changed);
             }
-            Effect::Hold(sockets) => gateway.resize(sockets),
+            Effect::SetQuota(sockets) => gateway.resize(sockets),
             Effect::Reclaim => {
                 let clients = self.idle_queue.borrow().as_ref().map_or_else(Vec::new, IdleQueue::reclaim);
                 let count = clients.iter().map(|(_, connections)| connections.len()).sum();
-                let effects = self.elder.borrow_mut().took_back(count);
+                let effects = self.elder.borrow_mut().connections_reclaimed(count);
                 self.apply_effects(gateway, link, effects);
                 for (client, connections) in clients {
                     self.take_clients(connections, client.used());
                 }
             }
-            Effect::Merge(mark, words) => {
+            Effect::MergeBans(mark, words) => {
                 gateway.merge_bans(words);
                 let (gateway, link, ledger) = (gateway.clone(), link.clone(), self.ledger.clone());
                 spawn_local(async move {
                     if let Err(error) = ledger.persist(&gateway).await {
                         tracing::warn!("takeover: received bans cannot be stored: {error}");
                     }
-                    let _ = link.send(&Message::Noted { mark }, &[]).await;
+                    let _ = link.send(&Message::BansAck { batch: mark }, &[]).await;
                 });
             }
-            Effect::Noted(mark) => {
+            Effect::BansAcked(mark) => {
                 self.pending_acks.borrow_mut().retain(|m| *m != mark);
                 self.ack_received.notify_waiters();
             }
-            Effect::Foreign => {
+            Effect::RejectPeer => {
                 tracing::warn!("takeover: the other process uses an unsupported protocol version")
             }
         }
@@ -413,12 +416,12 @@
     /// Sends the new process what it needs, the listening sockets last. With many servers this exceeds the socket's buffer and is
     /// sent as the new process reads.
     fn offer(&self, gateway: &Rc<Gateway>, link: &Rc<Link>, part: usize) {
-        let words = gateway.fleet(|f| f.bans.words().cloned().collect());
-        let lessons = Lesson::parts(&gateway.learnt());
+        let words = gateway.fleet(|f| f.bans.records().cloned().collect());
+        let lessons = LearnedStateChunk::split(&gateway.learnt());
         let state: Vec<_> =
-            Message::of_words(0, words).chain(lessons.into_iter().map(Message::Learnt)).collect();
+            Message::ban_batches(0, words).chain(lessons.into_iter().map(Message::LearnedState)).collect();
         let (link, listeners) = (link.clone(), self.listeners.borrow().clone());
-        let beats = self.elder.borrow().beats();
+        let beats = self.elder.borrow().peer_sends_heartbeats();
         let idle_queue = beats.then(IdleQueue::new).and_then(|queue| {
             queue
                 .inspect_err(|error| {
@@ -433,14 +436,23 @@
                 for message in &state {
                     link.send(message, &[]).await?;
                 }
-                let newest_listeners = listeners.iter().rev().take(MOST_DESCRIPTORS - 1).rev();
+                let newest_listeners = listeners.iter().rev().take(MAX_PACKET_DESCRIPTORS - 1).rev();
                 let (mut doors, mut sockets): (Vec<_>, Vec<_>) =
                     newest_listeners.map(|(door, listener)| (*door, listener.as_fd())).unzip();
                 if let Some(receiver) = &receiver {
-                    doors.push(Door::Rest);
+                    doors.push(SocketKind::IdleQueue);
                     sockets.push(receiver.as_fd());
                 }
-                link.send(&Message::Offer { version: VERSION, doors, part, beats }, &sockets).await
+                link.send(
+                    &Message::Offer {
+                        version: VERSION,
+                        sockets: doors,
+                        quota: part,
+                        sends_heartbeats: beats,
+                    },
+                    &sockets,
+                )
+                .await
             };
             if let Err(error) = sent.await {
                 tracing::warn!("takeover: the offer cannot be sent: {error}");
@@ -461,7 +473,7 @@
     }
 
     /// Sends a ban update to the node's other process and waits for the acknowledgement. Returns at once where there is none.
-    pub(crate) async fn send_ban_update(&self, word: Word) {
+    pub(crate) async fn send_ban_update(&self, word: BanRecord) {
         let links = self.links.borrow().clone();
         for link in links {
             let batch = self.next_batch.get();
@@ -472,7 +484,7 @@
                 let excess = pending.len().saturating_sub(MAX_PENDING_ACKS);
                 pending.drain(..excess);
             }
-            self.send_or_queue(&link, Message::Bans { mark: batch, words: vec![word.clone()] });
+            self.send_or_queue(&link, Message::Bans { batch, records: vec![word.clone()] });
             loop {
                 let acked = self.ack_received.notified();
                 if !self.pending_acks.borrow().contains(&batch) {
--- a/crates/node/tests/held_up.rs
+++ b/crates/node/tests/held_up.rs
@@ -140,7 +140,7 @@
     beside_newcomers(4, LITTLE_LATE);
 }
 
-/// The same at a new process of a takeover whose old one is stopped, once its lease has fallen (`Heir::doubt`).
+/// The same at a new process of a takeover whose old one is stopped, once its lease has fallen (`NewProcess::expire_lease`).
 fn beside_a_stopped_process(kept: usize, late: Duration, at_a_time: usize) {
     let bed = bed(Wishes::default().sockets);
     let new = bed.node.ready_successor();
--- a/crates/node/tests/stopped.rs
+++ b/crates/node/tests/stopped.rs
@@ -385,7 +385,7 @@
     ends_well(bed, &heir, kept, newcomers);
 }
 
-/// The same of clients that come to the heir while its elder is stopped, once its lease has fallen (`share::doubted`).
+/// The same of clients that come to the heir while its elder is stopped, once its lease has fallen (`share::new_lease_expired`).
 #[test]
 fn clients_that_come_to_an_heir_beside_a_stopped_elder_lose_no_request() {
     let bed = takeover();
