--- a/crates/policy/src/balance.rs
+++ b/crates/policy/src/balance.rs
@@ -32,8 +32,8 @@
 /// Share of the ranked servers that form the top half of the draw. A fixed share: listed sizes do not tell
 /// fast servers from slow ones.
 const TOP_SHARE: f64 = 0.5;
-/// Scores decay by a factor of e within this many slow-start ramps: a server that was fast before it got a
-/// noisy neighbour must not keep its rank for good.
+/// Scores decay by a factor of e within this many slow-start ramps: a server with a noisy neighbour must
+/// not keep its rank for good.
 const SCORE_DECAY_RAMPS: f64 = 1.0;
 /// A server's relative latency is remembered for this many times the longest client timeout.
 const LATENCY_MEMORY_TIMEOUTS: f64 = 3.0;
@@ -47,7 +47,9 @@
 /// Without new responses, the slowdown decays by a factor of e within this many of the longest latency
 /// target.
 const SLOWDOWN_DECAY_TARGETS: f64 = 3.0;
+/// A class's mean latency averages over this many responses where they are slower than it.
 const MEAN_SAMPLES_UP: f64 = 200.0;
+/// A class's mean latency averages over this many responses where they are faster than it.
 const MEAN_SAMPLES_DOWN: f64 = 50.0;
 /// Minimum work of a request relative to its class's mean, however small its work hint.
 const MIN_WORK_RATIO: f64 = 0.25;
@@ -67,7 +69,7 @@
 const RETRY_BUDGET_SHARE: f64 = 0.1;
 /// The retry budget shrinks with this power of the fleet's slowdown.
 const RETRY_SLOWDOWN_EXPONENT: i32 = 4;
-/// At most this share of a zone is ejected for failures other than refused connections.
+/// At most this share of a zone is ejected for failures other than failed connects.
 const MAX_EJECTED_SHARE: f64 = 0.5;
 /// Weights of a new outcome in a server's and in the fleet's failure rate; the excess over the fleet's rate
 /// that ejects a server (a failure that affects all servers must not), the excess below which an ejected
@@ -142,7 +144,7 @@
     open: bool,
 }
 
-/// A server that a request may be sent to: the latency expected there (`queue`) and the cost by which
+/// A server that a request may be sent to: the latency expected there and the cost by which
 /// servers are compared, both in mean responses.
 #[derive(Clone, Copy)]
 struct Candidate {
