--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -50,7 +50,7 @@
             Record::List { kind, servers } => Event::List { kind, servers },
             Record::Request(request) => Event::Request(request),
             Record::Message { from, bytes } => Event::Message { from, bytes: bytes.to_vec() },
-            Record::ClientGone { request } => Event::ClientGone { request },
+            Record::ClientGone { request } => Event::ClientDisconnected { request },
             Record::Probed { server, ending, took, report } => {
                 let report = self.instances.get(&id).and_then(|i| report.named(&i.fields));
                 Event::Probed { server, outcome: ending, took, report }
--- a/crates/core/src/gateway.rs
+++ b/crates/core/src/gateway.rs
@@ -379,7 +379,7 @@
         if std::mem::replace(&mut live.owed, false) {
             events::note(self.clock.now(), Kind::ClientLeft, live.label);
             self.withdraw(&mut state, request);
-            self.handle(&mut state, Event::ClientGone { request });
+            self.handle(&mut state, Event::ClientDisconnected { request });
             self.forget(&mut state, request);
         }
     }
@@ -660,7 +660,7 @@
         // client still must hear something, and what it sends again has no use.
         if self.answer(state, request, GivenUp::Failed { late: true }) {
             self.withdraw(state, request);
-            self.handle(state, Event::ClientGone { request });
+            self.handle(state, Event::ClientDisconnected { request });
         }
         self.forget(state, request);
     }
--- a/crates/policy/src/balance.rs
+++ b/crates/policy/src/balance.rs
@@ -108,25 +108,35 @@
 #[derive(Default)]
 struct ServerState {
     server: Server,
+    /// Relative capacity; 1 where listed sizes are unknown or not comparable.
     size: f64,
     in_flight: u32,
+    /// Work of the requests in flight, in mean requests.
     in_flight_work: f64,
+    /// The last response, or when the server last became busy.
     silent_since: Nanos,
     silence: silence::Silence,
     relative_latency: f64,
     latency_at: Nanos,
     reported_queue: f64,
     reported_at: Nanos,
+    /// Work sent since the last load report, in mean requests.
     sent_since_report: f64,
+    /// Decaying count of requests sent, without those that failed; it decides the rank.
     score: f64,
+    /// Position in the zone's ranking; `None` outside this node's subset.
     rank: Option<usize>,
+    /// Pool of a traffic shift; 0 if in neither.
     pool: u8,
     ejected_until: Nanos,
+    /// Consecutive ejections, up to 4; each doubles the duration of the next one.
     ejections: u32,
     failure_rate: f64,
     failure_rate_at: Nanos,
     removed_at: Nanos,
+    /// In slow start, when the next request may be sent.
     next_send_at: Nanos,
+    /// The part of the score that comes from the plan.
     planned_score: f64,
     suspected: bool,
     slow_start_rate: f64,
@@ -138,8 +148,11 @@
 #[derive(Clone, Copy)]
 struct Attempt {
     server: usize,
+    /// What was added to the score when it was sent.
     credit: f64,
+    /// Its work relative to the class's mean.
     weight: f64,
+    /// Latency expected when it was sent, in mean responses.
     expected: f64,
     open: bool,
 }
@@ -154,13 +167,14 @@
 }
 
 /// How an attempt ended: whether the client has its response, the time since it was sent, and the outcome.
-type End = (bool, Nanos, AttemptOutcome);
+type AttemptEnd = (bool, Nanos, AttemptOutcome);
 
 #[derive(Default)]
 struct Pending {
     request: Request,
     arrived: Nanos,
     attempts: Vec<Attempt>,
+    /// The server of the first attempt that may have run, and the end of the deduplication window.
     dedup_scope: Option<(usize, Nanos)>,
     answered: bool,
     streaming: bool,
@@ -294,14 +308,14 @@
             Event::StreamStarted { request, .. } => {
                 self.pending.get_mut(&request).into_iter().for_each(|p| p.streaming = true);
             }
-            Event::ClientGone { request } => self.finish(request, sink),
+            Event::ClientDisconnected { request } => self.finish(request, sink),
             Event::Probed { server, report, .. } => self.record_report(now, server, report),
             Event::Message { .. } => {}
             Event::Timer { .. } => {
                 self.armed_at = Nanos::MAX;
-                while let Some(Reverse((_, job))) = self.timers.peek().copied().filter(|j| j.0 .0 <= now) {
+                while let Some(Reverse((_, timer))) = self.timers.peek().copied().filter(|j| j.0 .0 <= now) {
                     self.timers.pop();
-                    match job {
+                    match timer {
                         Timer::Hedge(id) => self.hedge(now, id, sink),
                         Timer::Resubscribe => sink.push(Action::Subscribe),
                     }
@@ -909,7 +923,14 @@
         }
     }
 
-    fn on_attempt_end(&mut self, now: Nanos, id: RequestId, attempt: u8, end: End, sink: &mut Vec<Action>) {
+    fn on_attempt_end(
+        &mut self,
+        now: Nanos,
+        id: RequestId,
+        attempt: u8,
+        end: AttemptEnd,
+        sink: &mut Vec<Action>,
+    ) {
         let (finished, took, outcome) = end;
         let Some(p) = self.pending.get_mut(&id) else { return };
         let Some(a) = p.attempts.get_mut(usize::from(attempt)).filter(|a| a.open) else { return };
@@ -932,7 +953,14 @@
     }
 
     /// Updates the server's and the fleet's statistics with the outcome of an attempt.
-    fn record_outcome(&mut self, now: Nanos, a: Attempt, request: Request, end: End, sink: &mut Vec<Action>) {
+    fn record_outcome(
+        &mut self,
+        now: Nanos,
+        a: Attempt,
+        request: Request,
+        end: AttemptEnd,
+        sink: &mut Vec<Action>,
+    ) {
         let (Attempt { server: i, credit, weight, .. }, (_, took, outcome)) = (a, end);
         let class = usize::from(request.class);
         let slowdown = self.slowdown_now(now);
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -547,7 +547,7 @@
         took: Nanos,
     },
     /// The client disconnected and needs no response.
-    ClientGone {
+    ClientDisconnected {
         /// The request.
         request: RequestId,
     },
--- a/crates/policy/tests/cancellations.rs
+++ b/crates/policy/tests/cancellations.rs
@@ -64,20 +64,20 @@
         }
     }
 
-    fn unit(&mut self) -> f64 {
+    fn random_unit(&mut self) -> f64 {
         f64::from(self.random.next_u32()) / f64::from(u32::MAX)
     }
 
     fn between(&mut self, (least, most): (Nanos, Nanos)) -> Nanos {
-        least + (self.unit() * (most - least) as f64) as Nanos
+        least + (self.random_unit() * (most - least) as f64) as Nanos
     }
 
     /// Draws from an exponential distribution with the given mean.
     fn exponential(&mut self, mean: f64) -> Nanos {
-        (-self.unit().max(1e-9).ln() * mean) as Nanos
+        (-self.random_unit().max(1e-9).ln() * mean) as Nanos
     }
 
-    fn take(&mut self, actions: Vec<Action>) {
+    fn apply_actions(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send { request, server, .. } => {
@@ -127,41 +127,41 @@
     }
 
     /// Processes due events: clients disconnect and attempts end.
-    fn settle(&mut self) {
+    fn process_due(&mut self) {
         if let Some(k) = self.leaving.iter().position(|s| s.0 <= self.bed.now) {
             let (_, request) = self.leaving.swap_remove(k);
-            let actions = self.bed.feed(Event::ClientGone { request });
-            self.take(actions);
+            let actions = self.bed.feed(Event::ClientDisconnected { request });
+            self.apply_actions(actions);
         }
         if let Some(k) = self.open.iter().position(|a| a.ends_at <= self.bed.now) {
             let Attempt { sent_at, request, attempt, server, outcome, .. } = self.open.swap_remove(k);
             let took = self.bed.now - sent_at;
             let actions = self.bed.outcome(request, server, attempt, took, outcome);
-            self.take(actions);
+            self.apply_actions(actions);
             if outcome == AttemptOutcome::Ok {
                 self.leaving.retain(|s| s.1 != request);
             }
         }
     }
 
-    /// Runs the model; returns the attempts at the first server and at all servers.
-    fn play(mut self, arrivals: f64, impatient: ImpatientClients) -> (u32, u32) {
+    /// Runs the model and returns the attempts at the first server and at all servers.
+    fn run_model(mut self, arrivals: f64, impatient: ImpatientClients) -> (u32, u32) {
         let mut arrival = self.started;
         while self.bed.now < self.started + RUN {
             let next = self.next_event();
             if next <= arrival {
                 self.bed.now = next.max(self.bed.now);
-                self.settle();
+                self.process_due();
                 continue;
             }
             self.bed.now = arrival;
             arrival += self.exponential(1e9 / arrivals);
             let (request, actions) = self.bed.request();
-            if sent(&actions, request).is_some() && self.unit() < impatient.part {
+            if sent(&actions, request).is_some() && self.random_unit() < impatient.part {
                 let at = self.bed.now + self.between(impatient.after);
                 self.leaving.push((at, request));
             }
-            self.take(actions);
+            self.apply_actions(actions);
         }
         (self.dead, self.all)
     }
@@ -177,7 +177,7 @@
 fn a_dead_server_gets_under_a_tenth_when_all_clients_disconnect_within_20_ms() {
     for (count, arrivals) in [(2, 20.0), (2, 60.0), (6, 60.0)] {
         for seed in SEEDS {
-            let (dead, all) = World::new(count, seed).play(arrivals, EARLY);
+            let (dead, all) = World::new(count, seed).run_model(arrivals, EARLY);
             assert!(dead * 10 < all, "{count} servers, {arrivals}/s, seed {seed}: {dead} of {all}");
         }
     }
@@ -191,8 +191,8 @@
         [(2, 20.0, LATE), (2, 60.0, LATE), (6, 60.0, LATE), (6, 20.0, MOSTLY_LATE)]
     {
         for seed in SEEDS {
-            let (patient, _) = World::new(count, seed).play(arrivals, NONE);
-            let (dead, all) = World::new(count, seed).play(arrivals, impatient);
+            let (patient, _) = World::new(count, seed).run_model(arrivals, NONE);
+            let (dead, all) = World::new(count, seed).run_model(arrivals, impatient);
             let case = format!("{count} servers, {arrivals}/s, seed {seed}");
             assert!(dead <= 3 * patient, "{case}: {dead} of {all}, {patient} without impatient clients");
         }
@@ -208,7 +208,7 @@
             let mut world = World::new(2, seed);
             world.recovers_at = Some(world.started + RUN / 2);
             world.count_from = world.started + RUN * 3 / 4;
-            let (recovered, all) = world.play(20.0, impatient);
+            let (recovered, all) = world.run_model(20.0, impatient);
             assert!(recovered * 4 > all, "{:?}, seed {seed}: {recovered} of {all}", impatient.after);
         }
     }
--- a/crates/policy/tests/incidents.rs
+++ b/crates/policy/tests/incidents.rs
@@ -33,7 +33,7 @@
 /// Hedging helps against an unresponsive server at normal load and worsens an overload (round 9).
 #[test]
 fn hedging_stops_in_an_overload() {
-    let copies = |overloaded: bool| {
+    let hedges = |overloaded: bool| {
         let mut s = settings(Idempotency::Safe);
         s.hedging = true;
         // Latency targets so long that nothing is refused: only the budget decides.
@@ -43,17 +43,17 @@
             bed.now += 10 * MS;
             bed.served(if overloaded { 700 * MS } else { 100 * MS });
         }
-        let mut copies = 0;
+        let mut hedges = 0;
         for _ in 0..20 {
             let (id, _) = bed.request();
             bed.now += 400 * MS;
             let actions = bed.feed(Event::Timer { token: 0 });
-            copies += u32::from(sent(&actions, id).is_some());
-            bed.feed(Event::ClientGone { request: id });
+            hedges += u32::from(sent(&actions, id).is_some());
+            bed.feed(Event::ClientDisconnected { request: id });
         }
-        copies
+        hedges
     };
-    let (normal, overloaded) = (copies(false), copies(true));
+    let (normal, overloaded) = (hedges(false), hedges(true));
     assert!(
         normal >= 2 && overloaded * 2 < normal,
         "{normal} hedges at normal load, {overloaded} in an overload"
@@ -166,15 +166,15 @@
         let mut s = settings(Idempotency::Safe);
         (s.ordinal, s.group_size) = (ordinal, 40);
         let mut bed = TestBed::new(s, servers(60), 3);
-        let mut mine = BTreeSet::new();
+        let mut used = BTreeSet::new();
         for _ in 0..200 {
             // Responses of varying latency keep the estimates from tying, so that all servers in the subset are used.
-            let took = (40 + 37 * (mine.len() as Nanos + bed.now / MS) % 200) * MS;
+            let took = (40 + 37 * (used.len() as Nanos + bed.now / MS) % 200) * MS;
             bed.now += 7 * MS;
-            mine.insert(bed.served(took).expect("an idle fleet takes all"));
+            used.insert(bed.served(took).expect("an idle fleet takes all"));
         }
-        assert!((8..=16).contains(&mine.len()), "node {ordinal} uses {} servers", mine.len());
-        mine.into_iter().for_each(|server| *seen.entry(server).or_insert(0u32) += 1);
+        assert!((8..=16).contains(&used.len()), "node {ordinal} uses {} servers", used.len());
+        used.into_iter().for_each(|server| *seen.entry(server).or_insert(0u32) += 1);
     }
     assert_eq!(seen.len(), 60, "every server is used");
     assert!(seen.values().all(|n| (4..=14).contains(n)), "{seen:?}");
@@ -282,10 +282,10 @@
         bed.now += 10 * MS;
         let (id, actions) = bed.request();
         let Some(server) = sent(&actions, id) else { continue };
-        let odd = server == endpoint(3);
-        seen += u32::from(odd && k >= 500);
-        let spoilt = odd && k % 2 == 0;
-        bed.outcome(id, server, 0, 60 * MS, if spoilt { AttemptOutcome::Reset } else { AttemptOutcome::Ok });
+        let failing = server == endpoint(3);
+        seen += u32::from(failing && k >= 500);
+        let fails = failing && k % 2 == 0;
+        bed.outcome(id, server, 0, 60 * MS, if fails { AttemptOutcome::Reset } else { AttemptOutcome::Ok });
     }
     assert!(seen < 30, "{seen} of 1000 went to the one that fails every second time");
 }
@@ -514,7 +514,7 @@
             bed.outcome(id, server, 0, 2 * MS, AttemptOutcome::Ok);
         } else {
             bed.now += 5 * MS;
-            bed.feed(Event::ClientGone { request: id });
+            bed.feed(Event::ClientDisconnected { request: id });
             bed.outcome(id, server, 0, 5 * MS, AttemptOutcome::Cancelled);
         }
         bed.now += 12 * MS;
--- a/crates/policy/tests/plan.rs
+++ b/crates/policy/tests/plan.rs
@@ -32,7 +32,10 @@
     let ranking: Vec<u8> = bed.balancer.ranking(0).map(|e| e.address[3]).collect();
     assert!(ranking[..10].iter().all(|&k| k >= 10), "{ranking:?}");
     let counts = counts(&mut bed, 200);
-    assert!(counts.keys().all(|e| e.address[3] >= 10), "ties go to whom the plan calls score: {counts:?}");
+    assert!(
+        counts.keys().all(|e| e.address[3] >= 10),
+        "ties go to the servers with the higher planned score: {counts:?}"
+    );
     // The planned score is not reported as the node's own observation.
     let own: f64 = bed.balancer.observations(bed.now).map(|o| o.score).sum();
     assert!((150.0..=200.0).contains(&own), "{own}");
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -81,14 +81,14 @@
 fn random_sequences_keep_the_invariants() {
     for seed in 0..60u64 {
         let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(seed);
-        let effect = [Idempotency::Safe, Idempotency::Keyed, Idempotency::Unsafe][(seed % 3) as usize];
-        let mut s = settings(effect);
+        let idempotency = [Idempotency::Safe, Idempotency::Keyed, Idempotency::Unsafe][(seed % 3) as usize];
+        let mut s = settings(idempotency);
         s.hedging = seed % 2 == 0;
         let mut bed = TestBed::new(s, servers(8), seed);
         let mut draining = [false; 8];
         // Per request: its deadline, its open attempts, whether one may have run, and the number of final responses.
         struct RequestState {
-            until: Nanos,
+            deadline: Nanos,
             open: Vec<(u8, Endpoint, Nanos)>,
             attempts: u8,
             may_have_run: bool,
@@ -98,8 +98,8 @@
         for _ in 0..1500 {
             bed.now += u64::from(rng.next_u32() % 20) * MS;
             let due =
-                requests.iter().find(|(_, l)| l.responses == 0 && bed.now >= l.until).map(|(id, _)| *id);
-            let pick = requests.iter().filter(|(_, l)| !l.open.is_empty()).nth(rng.next_u32() as usize % 4);
+                requests.iter().find(|(_, s)| s.responses == 0 && bed.now >= s.deadline).map(|(id, _)| *id);
+            let pick = requests.iter().filter(|(_, s)| !s.open.is_empty()).nth(rng.next_u32() as usize % 4);
             let target = due.or(pick.map(|(id, _)| *id));
             let actions = if let (Some(id), true) = (target, due.is_some() || rng.next_u32() % 2 == 0) {
                 let request_state = requests.get_mut(&id).unwrap();
@@ -135,9 +135,9 @@
                 bed.feed(Event::Timer { token: rng.next_u32() })
             } else {
                 let (id, actions) = bed.request();
-                let until = bed.now + 800 * MS;
+                let deadline = bed.now + 800 * MS;
                 let request_state =
-                    RequestState { until, open: vec![], attempts: 0, may_have_run: false, responses: 0 };
+                    RequestState { deadline, open: vec![], attempts: 0, may_have_run: false, responses: 0 };
                 requests.insert(id, request_state);
                 actions
             };
@@ -146,17 +146,18 @@
                     Action::Send { request, server, .. } => {
                         let request_state = requests.get_mut(&request).unwrap();
                         assert_eq!(request_state.responses, 0, "seed {seed}: sent after the final response");
-                        assert!(bed.now < request_state.until && request_state.attempts < 4);
+                        assert!(bed.now < request_state.deadline && request_state.attempts < 4);
                         assert!(
                             !draining[usize::from(server.address[3])],
                             "seed {seed}: sent to a draining server"
                         );
                         assert!(
-                            effect != Idempotency::Unsafe
+                            idempotency != Idempotency::Unsafe
                                 || (!request_state.may_have_run && request_state.open.is_empty())
                         );
                         assert!(
-                            request_state.open.is_empty() || (seed % 2 == 0 && effect == Idempotency::Safe)
+                            request_state.open.is_empty()
+                                || (seed % 2 == 0 && idempotency == Idempotency::Safe)
                         );
                         request_state.open.push((request_state.attempts, server, bed.now));
                         request_state.attempts += 1;
@@ -166,7 +167,7 @@
                         request_state.responses += 1;
                         assert_eq!(request_state.responses, 1, "seed {seed}: two final responses");
                         assert!(
-                            effect != Idempotency::Unsafe
+                            idempotency != Idempotency::Unsafe
                                 || (!request_state.may_have_run && request_state.open.is_empty())
                         );
                     }
@@ -211,13 +212,13 @@
 fn unusual_events_are_harmless() {
     let mut bed = TestBed::new(settings(Idempotency::Safe), servers(3), 1);
     assert!(bed.outcome(77, endpoint(0), 0, MS, AttemptOutcome::Error).is_empty());
-    assert!(bed.feed(Event::ClientGone { request: 77 }).is_empty());
+    assert!(bed.feed(Event::ClientDisconnected { request: 77 }).is_empty());
     assert!(bed.feed(Event::Timer { token: 9 }).is_empty());
     let removed = Server { phase: Phase::Removed, ..Server::warm(endpoint(99)) };
     assert!(bed.list(ListKind::Changes, vec![removed]).is_empty());
     let (id, actions) = bed.request();
     let server = sent(&actions, id).unwrap();
-    bed.feed(Event::ClientGone { request: id });
+    bed.feed(Event::ClientDisconnected { request: id });
     let late = bed.outcome(id, server, 0, 90 * MS, AttemptOutcome::Error);
     assert!(sent(&late, id).is_none() && !failed(&late, id) && !refused(&late, id), "{late:?}");
 }
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -50,11 +50,11 @@
 struct Plan {
     nodes: usize,
     /// Each node gets this many times the traffic of the previous one.
-    uneven: f64,
+    traffic_ratio: f64,
     arrivals: f64,
     capacity: f64,
     /// Queue limit of a server; beyond it, requests are rejected at once, which counts as sent to it.
-    room: f64,
+    queue_limit: f64,
     servers: u8,
     restarts: Vec<(Nanos, Vec<u8>)>,
     seconds: u64,
@@ -85,17 +85,18 @@
         World { plan, nodes, model_servers, in_flight: Vec::new(), random, requests: 0, refused: 0 }
     }
 
-    fn unit(&mut self) -> f64 {
+    fn random_unit(&mut self) -> f64 {
         f64::from(self.random.next_u32()) / f64::from(u32::MAX)
     }
 
-    fn node(&mut self) -> usize {
-        let weights = (0..self.plan.nodes).map(|k| self.plan.uneven.powi(k as i32)).collect::<Vec<_>>();
-        let mut left = self.unit() * weights.iter().sum::<f64>();
-        weights.iter().position(|w| (left -= w, left < 0.0).1).unwrap_or(self.plan.nodes - 1)
+    fn draw_node(&mut self) -> usize {
+        let weights =
+            (0..self.plan.nodes).map(|k| self.plan.traffic_ratio.powi(k as i32)).collect::<Vec<_>>();
+        let mut remaining = self.random_unit() * weights.iter().sum::<f64>();
+        weights.iter().position(|w| (remaining -= w, remaining < 0.0).1).unwrap_or(self.plan.nodes - 1)
     }
 
-    fn take(&mut self, now: Nanos, node: usize, actions: Vec<Action>) {
+    fn apply_actions(&mut self, now: Nanos, node: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send { request, server, .. } => self.send(now, node, request, server),
@@ -111,7 +112,7 @@
         let earlier = |o: &&InFlight| o.node == node && o.request == request;
         let attempt = self.in_flight.iter().filter(earlier).count() as u8;
         let present = self.plan.capacity * model_server.capacity_fraction(now);
-        if model_server.free_at.saturating_sub(now) as f64 / SECOND as f64 * present > self.plan.room {
+        if model_server.free_at.saturating_sub(now) as f64 / SECOND as f64 * present > self.plan.queue_limit {
             let (ends_at, outcome) = (now + REJECT_LATENCY, AttemptOutcome::Rejected);
             return self.in_flight.push(InFlight {
                 ends_at,
@@ -153,7 +154,7 @@
         });
     }
 
-    fn settle(&mut self, until: Nanos) {
+    fn process_due(&mut self, until: Nanos) {
         loop {
             self.in_flight.sort_unstable_by_key(|o| o.ends_at);
             if self.in_flight.first().is_none_or(|o| o.ends_at > until) {
@@ -163,36 +164,36 @@
                 self.in_flight.remove(0);
             self.nodes[node].now = ends_at;
             let actions = self.nodes[node].outcome(request, server, attempt, ends_at - sent_at, outcome);
-            self.take(ends_at, node, actions);
+            self.apply_actions(ends_at, node, actions);
         }
     }
 
-    /// Runs the model; returns the first server that was sent more than allowed in some window, with the count, and
+    /// Runs the model and returns the first server that was sent more than allowed in some window, with the count, and
     /// the share of refused requests.
-    fn play(mut self) -> (Option<String>, f64) {
+    fn run_model(mut self) -> (Option<String>, f64) {
         let overloaded = self.run();
         (overloaded, f64::from(self.refused) / f64::from(self.requests))
     }
 
     fn run(&mut self) -> Option<String> {
         let started = self.nodes[0].now;
-        let (mut now, mut broken) = (started, None);
+        let (mut now, mut overloaded) = (started, None);
         let mut restarts = std::mem::take(&mut self.plan.restarts).into_iter().peekable();
         while now < started + self.plan.seconds * SECOND {
-            now += (-self.unit().max(1e-9).ln() * SECOND as f64 / self.plan.arrivals) as Nanos;
+            now += (-self.random_unit().max(1e-9).ln() * SECOND as f64 / self.plan.arrivals) as Nanos;
             while let Some((at, restarted)) = restarts.next_if(|r| started + r.0 <= now) {
-                self.settle(started + at);
-                broken = broken.or_else(|| self.overloaded());
+                self.process_due(started + at);
+                overloaded = overloaded.or_else(|| self.overloaded());
                 self.restart(started + at, &restarted);
             }
-            self.settle(now);
-            let node = self.node();
+            self.process_due(now);
+            let node = self.draw_node();
             self.nodes[node].now = now;
             let (_, actions) = self.nodes[node].request();
             self.requests += 1;
-            self.take(now, node, actions);
+            self.apply_actions(now, node, actions);
         }
-        broken.or_else(|| self.overloaded())
+        overloaded.or_else(|| self.overloaded())
     }
 
     fn overloaded(&self) -> Option<String> {
@@ -215,13 +216,31 @@
 /// Six servers are restarted in turn, one per second.
 fn in_turn(nodes: usize, arrivals: f64, capacity: f64) -> Plan {
     let restarts = (8..24).map(|k| (k * SECOND, vec![(k % 6) as u8])).collect();
-    Plan { nodes, uneven: 1.0, arrivals, capacity, room: f64::INFINITY, servers: 6, restarts, seconds: 24 }
+    Plan {
+        nodes,
+        traffic_ratio: 1.0,
+        arrivals,
+        capacity,
+        queue_limit: f64::INFINITY,
+        servers: 6,
+        restarts,
+        seconds: 24,
+    }
 }
 
 /// All servers but one are restarted within two seconds.
-fn at_once(nodes: usize, uneven: f64, arrivals: f64, capacity: f64) -> Plan {
+fn at_once(nodes: usize, traffic_ratio: f64, arrivals: f64, capacity: f64) -> Plan {
     let restarts = (0..5).map(|k| (8 * SECOND + u64::from(k) * 400 * MS, vec![k])).collect();
-    Plan { nodes, uneven, arrivals, capacity, room: f64::INFINITY, servers: 6, restarts, seconds: 20 }
+    Plan {
+        nodes,
+        traffic_ratio,
+        arrivals,
+        capacity,
+        queue_limit: f64::INFINITY,
+        servers: 6,
+        restarts,
+        seconds: 20,
+    }
 }
 
 /// Half of all requests were refused while servers in slow start were idle, at any request rate.
@@ -230,7 +249,7 @@
     for (nodes, arrivals) in [(1, 170.0), (1, 670.0), (3, 670.0), (6, 670.0), (1, 1700.0), (3, 60.0)] {
         for seed in 1..=10 {
             let (overloaded, refused) =
-                World::new(in_turn(nodes, arrivals, AMPLE_CAPACITY * arrivals), seed).play();
+                World::new(in_turn(nodes, arrivals, AMPLE_CAPACITY * arrivals), seed).run_model();
             let case = format!("{nodes} nodes, {arrivals}/s, seed {seed}");
             assert_eq!(overloaded, None, "{case}");
             assert!(refused < 0.05, "{case}: {:.1}% refused", refused * 100.0);
@@ -245,7 +264,7 @@
     for nodes in [40, 80, 200] {
         for (arrivals, capacity) in [(100.0, 17.5), (560.0, 98.0)] {
             for seed in 1..=2 {
-                let (overloaded, _) = World::new(at_once(nodes, 1.0, arrivals, capacity), seed).play();
+                let (overloaded, _) = World::new(at_once(nodes, 1.0, arrivals, capacity), seed).run_model();
                 assert_eq!(overloaded, None, "{nodes} nodes, {arrivals}/s, seed {seed}");
             }
         }
@@ -261,10 +280,10 @@
             let arrivals = capacity * 5.7;
             let plan = Plan {
                 nodes,
-                uneven: 1.0,
+                traffic_ratio: 1.0,
                 arrivals,
                 capacity,
-                room: f64::INFINITY,
+                queue_limit: f64::INFINITY,
                 servers: 6,
                 restarts,
                 seconds: 20,
@@ -281,13 +300,14 @@
 /// The budget must not be too wide: servers here can serve just as much as they did when they were warm.
 #[test]
 fn no_server_is_sent_more_than_its_budget_over_all_nodes() {
-    for (nodes, uneven) in [(1, 1.0), (3, 1.0), (3, 2.0), (20, 1.0), (20, 1.15)] {
+    for (nodes, traffic_ratio) in [(1, 1.0), (3, 1.0), (3, 2.0), (20, 1.0), (20, 1.15)] {
         for (arrivals, capacity) in [(100.0, 17.5), (560.0, 98.0)] {
             for seed in 1..=3 {
-                let case = format!("{nodes} nodes, {uneven}, {arrivals}/s, seed {seed}");
-                let (overloaded, _) = World::new(at_once(nodes, uneven, arrivals, capacity), seed).play();
+                let case = format!("{nodes} nodes, {traffic_ratio}, {arrivals}/s, seed {seed}");
+                let (overloaded, _) =
+                    World::new(at_once(nodes, traffic_ratio, arrivals, capacity), seed).run_model();
                 assert_eq!(overloaded, None, "{case}, at once");
-                let (overloaded, _) = World::new(in_turn(nodes, arrivals, capacity), seed).play();
+                let (overloaded, _) = World::new(in_turn(nodes, arrivals, capacity), seed).run_model();
                 assert_eq!(overloaded, None, "{case}, in turn");
             }
         }
@@ -298,10 +318,11 @@
 /// servers either queue them or reject them at once.
 fn first_overload_at(excess: f64) -> Option<String> {
     for (nodes, capacity) in [(3, 17.5), (3, 98.0), (20, 17.5), (20, 98.0)] {
-        for (room, seed) in [(f64::INFINITY, 1), (f64::INFINITY, 2), (8.0, 1), (8.0, 2), (8.0, 3)] {
-            let plan = Plan { room, ..at_once(nodes, 1.0, 6.0 * capacity * excess, capacity) };
-            let case = format!("{nodes} nodes, {excess} times {capacity}/s, room {room}, seed {seed}");
-            if let (Some(overloaded), _) = World::new(plan, seed).play() {
+        for (queue_limit, seed) in [(f64::INFINITY, 1), (f64::INFINITY, 2), (8.0, 1), (8.0, 2), (8.0, 3)] {
+            let plan = Plan { queue_limit, ..at_once(nodes, 1.0, 6.0 * capacity * excess, capacity) };
+            let case =
+                format!("{nodes} nodes, {excess} times {capacity}/s, queue limit {queue_limit}, seed {seed}");
+            if let (Some(overloaded), _) = World::new(plan, seed).run_model() {
                 return Some(format!("{case}: {overloaded}"));
             }
         }
--- a/crates/simulation/src/shift/world.rs
+++ b/crates/simulation/src/shift/world.rs
@@ -441,7 +441,7 @@
         if let Some(open) = self.open.remove(&id) {
             // A time-out ends at this very moment, and the module answers it.
             self.out.lost += u32::from(open.attempts == 0);
-            self.feed(Event::ClientGone { request: id });
+            self.feed(Event::ClientDisconnected { request: id });
         }
     }
 }
