--- a/crates/node/src/fleet/cli.rs
+++ b/crates/node/src/fleet/cli.rs
@@ -180,11 +180,11 @@
     };
     let header = format!("{:<24} {:<22} {:<4} {:>9}", "name", "address", "", "silent");
     let rows = rows(fleet).iter().map(row);
-    let learnt = fleet["learnt"]["servers"].as_u64();
-    let learnt = learnt.map(|n| {
-        format!("started with what {} had learnt about {n} servers", text(&fleet["learnt"]["from"]))
+    let learned = fleet["learnt"]["servers"].as_u64();
+    let learned = learned.map(|n| {
+        format!("started with what {} had learned about {n} servers", text(&fleet["learnt"]["from"]))
     });
-    [view_summary(fleet), header].into_iter().chain(rows).chain(learnt).collect::<Vec<_>>().join("\n")
+    [view_summary(fleet), header].into_iter().chain(rows).chain(learned).collect::<Vec<_>>().join("\n")
 }
 
 fn explain(fleet: &Value, name: &str) -> Result<String, String> {
@@ -228,7 +228,7 @@
             "{shown}"
         );
         assert!(shown.lines().nth(3).unwrap().contains("out") && shown.contains("2300 ms"), "{shown}");
-        assert!(shown.ends_with("\nstarted with what b had learnt about 7 servers"), "{shown}");
+        assert!(shown.ends_with("\nstarted with what b had learned about 7 servers"), "{shown}");
         let explanation = explain(&fleet, "b").unwrap();
         assert!(
             explanation.contains("no member")
--- a/crates/node/src/fleet/learned_state.rs
+++ b/crates/node/src/fleet/learned_state.rs
@@ -1,4 +1,4 @@
-//! Converts what this node has learnt about servers to and from the fixed-point form that members send to a starting one.
+//! Converts what this node has learned about servers to and from the fixed-point form that members send to a starting one.
 
 use laurelroute_policy::interface::{Endpoint, LearnedServer, LearnedState};
 use laurelroute_replica::lesson::MOST_SERVERS;
@@ -14,8 +14,8 @@
     (value * unit).round().clamp(0.0, f64::from(u16::MAX)) as u16
 }
 
-/// Encodes learnt state for a member that requests it.
-pub(super) fn encode(number: u32, learnt: &LearnedState) -> Lesson {
+/// Encodes learned state for a member that requests it.
+pub(super) fn encode(number: u32, learned: &LearnedState) -> Lesson {
     let row = |known: &LearnedServer| Row {
         address: known.server.address,
         port: known.server.port,
@@ -28,16 +28,16 @@
     Lesson {
         number,
         usual: Usual {
-            pressure: to_fixed(learnt.slowdown, THOUSANDTHS),
-            faults: to_fixed(learnt.failure_rate, FULL_SCALE),
-            classes: learnt.classes.iter().map(class).collect(),
+            pressure: to_fixed(learned.slowdown, THOUSANDTHS),
+            faults: to_fixed(learned.failure_rate, FULL_SCALE),
+            classes: learned.classes.iter().map(class).collect(),
         },
-        rows: learnt.servers.iter().take(MOST_SERVERS).map(row).collect(),
+        rows: learned.servers.iter().take(MOST_SERVERS).map(row).collect(),
     }
 }
 
-/// Decodes learnt state received from another member; `rate` is the request rate that this node observes itself.
-pub(super) fn decode(rate: f64, lesson: &Lesson) -> LearnedState {
+/// Decodes learned state received from another member; `rate` is the request rate that this node observes itself.
+pub(super) fn decode(rate: f64, message: &Lesson) -> LearnedState {
     let known = |row: &Row| LearnedServer {
         server: Endpoint { address: row.address, port: row.port },
         score: f64::from(row.accomplished) / SIXTEENTHS,
@@ -46,15 +46,15 @@
     };
     LearnedState {
         rate,
-        classes: lesson
+        classes: message
             .usual
             .classes
             .iter()
             .map(|(us, answers)| (u64::from(*us) * 1_000, *answers))
             .collect(),
-        slowdown: f64::from(lesson.usual.pressure) / THOUSANDTHS,
-        failure_rate: f64::from(lesson.usual.faults) / FULL_SCALE,
-        servers: lesson.rows.iter().map(known).collect(),
+        slowdown: f64::from(message.usual.pressure) / THOUSANDTHS,
+        failure_rate: f64::from(message.usual.faults) / FULL_SCALE,
+        servers: message.rows.iter().map(known).collect(),
     }
 }
 
@@ -63,7 +63,7 @@
     use super::*;
 
     #[test]
-    fn learnt_state_survives_a_round_trip() {
+    fn learned_state_survives_a_round_trip() {
         let server = LearnedServer {
             server: Endpoint { address: [10, 0, 0, 9], port: 8080 },
             score: 12_345.5,
@@ -72,15 +72,15 @@
         };
         let out_of_range =
             LearnedServer { score: f64::NAN, relative_latency: 1e9, failure_rate: -1.0, ..server };
-        let learnt = LearnedState {
+        let learned = LearnedState {
             rate: 3.0,
             classes: vec![(2_500_000, 300), (0, 0)],
             slowdown: 1.5,
             failure_rate: 0.25,
             servers: vec![server, out_of_range],
         };
-        let decoded = decode(7.0, &encode(4, &learnt));
-        assert_eq!((decoded.rate, &decoded.classes, decoded.slowdown), (7.0, &learnt.classes, 1.5));
+        let decoded = decode(7.0, &encode(4, &learned));
+        assert_eq!((decoded.rate, &decoded.classes, decoded.slowdown), (7.0, &learned.classes, 1.5));
         assert_eq!((decoded.servers[0].server, decoded.servers[0].score), (server.server, 12_345.5));
         assert!(
             (decoded.servers[0].relative_latency - 1.25).abs() < 1e-3
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -140,7 +140,7 @@
             tokio::time::sleep(BIND_RETRY_INTERVAL).await;
         };
         if !self.waiting_for_port.replace(false) {
-            // No old process has handed over what this node had learnt.
+            // No old process has handed over what this node had learned.
             self.replica.machine.borrow_mut().learn();
         }
         self.socket.replace(Some(socket.clone()));
@@ -336,7 +336,7 @@
             "lease": machine.attached(now),
             "share": machine.share(now),
             "pauses": machine.pauses(),
-            "learnt": self.replica.learnt_from.borrow().as_ref().map(|(from, servers)| serde_json::json!({"from": from, "servers": servers})),
+            "learnt": self.replica.learned_from.borrow().as_ref().map(|(from, servers)| serde_json::json!({"from": from, "servers": servers})),
             "members": rows,
         })
     }
--- a/crates/node/src/fleet/replica.rs
+++ b/crates/node/src/fleet/replica.rs
@@ -28,9 +28,9 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Delay before a failed write is retried.
 const WRITE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
-/// Age up to which a snapshot of learnt state is still sent to a member that has received a part of it.
+/// Age up to which a snapshot of learned state is still sent to a member that has received a part of it.
 const PARTIAL_SNAPSHOT_TTL: Nanos = 3_000 * MS;
-/// Age up to which a snapshot of learnt state is sent to a member that has received none of it.
+/// Age up to which a snapshot of learned state is sent to a member that has received none of it.
 const SNAPSHOT_TTL: Nanos = 500 * MS;
 /// A member that no other member brings up to date reports itself ready after this time all the same.
 const CATCH_UP_TIMEOUT: Nanos = 3_000 * MS;
@@ -59,10 +59,10 @@
     recorded_root: Cell<u64>,
     /// The warning that this member may be behind has been logged.
     behind_logged: Cell<bool>,
-    /// The last snapshot of learnt state that was sent to a member, and when it was taken.
+    /// The last snapshot of learned state that was sent to a member, and when it was taken.
     snapshot: RefCell<(Nanos, Lesson)>,
-    /// The member that this node has received learnt state from, and the number of servers in it.
-    pub(super) learnt_from: RefCell<Option<(String, usize)>>,
+    /// The member that this node has received learned state from, and the number of servers in it.
+    pub(super) learned_from: RefCell<Option<(String, usize)>>,
 }
 
 /// Reads the replica's file; a damaged one is moved aside.
@@ -97,7 +97,7 @@
             recorded_root: Cell::default(),
             behind_logged: Cell::default(),
             snapshot: RefCell::default(),
-            learnt_from: RefCell::default(),
+            learned_from: RefCell::default(),
         }
     }
 
@@ -177,8 +177,8 @@
                     let reason = laurelroute_membership::Reason::Version(version);
                     self.log_refusal(gateway.clock.now(), seat, reason);
                 }
-                Output::Asked(seat, number, first) => self.send_learnt_state(gateway, seat, number, first),
-                Output::Learnt(seat, lesson) => self.apply_learnt_state(gateway, seat, lesson),
+                Output::Asked(seat, number, first) => self.send_learned_state(gateway, seat, number, first),
+                Output::Learnt(seat, learned) => self.apply_learned_state(gateway, seat, learned),
                 Output::NoPlace(key) => {
                     tracing::warn!("fleet: no room for the other members' entry of server {}", key.host());
                 }
@@ -186,33 +186,33 @@
         }
     }
 
-    /// Sends what this node has learnt about servers to a member that starts. All rows of a transfer come from one snapshot.
-    fn send_learnt_state(&self, gateway: &Rc<Gateway>, to: Seat, number: u32, first: u32) {
+    /// Sends what this node has learned about servers to a member that starts. All rows of a transfer come from one snapshot.
+    fn send_learned_state(&self, gateway: &Rc<Gateway>, to: Seat, number: u32, first: u32) {
         let now = gateway.clock.now();
         let outputs = {
-            let (taken_at, lesson) = &mut *self.replica.snapshot.borrow_mut();
-            let ttl = if lesson.number == number { PARTIAL_SNAPSHOT_TTL } else { SNAPSHOT_TTL };
-            if lesson.number == 0 || now.saturating_sub(*taken_at) > ttl {
-                let number = lesson.number.wrapping_add(1).max(1);
-                (*taken_at, *lesson) = (now, learned_state::encode(number, &gateway.learnt()));
+            let (taken_at, snapshot) = &mut *self.replica.snapshot.borrow_mut();
+            let ttl = if snapshot.number == number { PARTIAL_SNAPSHOT_TTL } else { SNAPSHOT_TTL };
+            if snapshot.number == 0 || now.saturating_sub(*taken_at) > ttl {
+                let number = snapshot.number.wrapping_add(1).max(1);
+                (*taken_at, *snapshot) = (now, learned_state::encode(number, &gateway.learnt()));
             }
-            self.replica.machine.borrow_mut().teach(to, lesson, first)
+            self.replica.machine.borrow_mut().teach(to, snapshot, first)
         };
         self.apply_replica_outputs(gateway, outputs);
     }
 
-    /// Applies the learnt state received from another member as soon as there is a list of servers.
-    fn apply_learnt_state(&self, gateway: &Rc<Gateway>, from: Seat, lesson: Lesson) {
+    /// Applies the learned state received from another member as soon as there is a list of servers.
+    fn apply_learned_state(&self, gateway: &Rc<Gateway>, from: Seat, learned: Lesson) {
         let name = self.config.roster.name(from).to_owned();
-        tracing::info!("fleet: received learnt state of {} servers from {name}", lesson.rows.len());
+        tracing::info!("fleet: received learned state of {} servers from {name}", learned.rows.len());
         self.record("learnt", &name);
-        *self.replica.learnt_from.borrow_mut() = Some((name, lesson.rows.len()));
+        *self.replica.learned_from.borrow_mut() = Some((name, learned.rows.len()));
         let gateway = gateway.clone();
         tokio::task::spawn_local(async move {
             gateway.listed().await;
             // The request rate is this node's own: another member's says nothing about the traffic here.
             let rate = gateway.learnt().rate;
-            gateway.take_over(learned_state::decode(rate, &lesson));
+            gateway.take_over(learned_state::decode(rate, &learned));
         });
     }
 
@@ -222,9 +222,9 @@
         self.replica.write_requested.notify_one();
         match key {
             Key::Ban(host) => {
-                let out = self.replica.machine.borrow().bans(host).is_some_and(|b| b.out());
+                let banned = self.replica.machine.borrow().bans(host).is_some_and(|b| b.out());
                 self.record_ban(host);
-                gateway.follow_ban(host, out);
+                gateway.follow_ban(host, banned);
             }
             Key::Drain(host) => self.apply_drain(gateway, host),
         }
@@ -268,8 +268,9 @@
             };
             drains.extend(machine.store().entries().filter_map(missing));
         }
-        for (host, out) in drains {
-            let outputs = self.replica.machine.borrow_mut().listed(now, &host, Drain { version, out });
+        for (host, drained) in drains {
+            let outputs =
+                self.replica.machine.borrow_mut().listed(now, &host, Drain { version, out: drained });
             self.apply_replica_outputs(gateway, outputs);
         }
         // This list may contain drains that only other members had reported.
@@ -296,34 +297,34 @@
     fn publish_local_bans(&self, gateway: &Rc<Gateway>) {
         let local_bans: Vec<(String, bool)> =
             gateway.fleet(|f| f.bans.records().map(|w| (w.host.clone(), w.banned)).collect());
-        for (host, out) in local_bans {
+        for (host, banned) in local_bans {
             let known = self.replica.machine.borrow().bans(&host).map(|b| b.out());
             match known {
-                Some(known) if known != out => gateway.follow_ban(&host, known),
-                None if out => drop(self.change_ban(gateway, &host, true)),
+                Some(known) if known != banned => gateway.follow_ban(&host, known),
+                None if banned => drop(self.change_ban(gateway, &host, true)),
                 _ => {}
             }
         }
     }
 
     /// Records an operator's change in the replica and sends it to the other members.
-    fn change_ban(&self, gateway: &Rc<Gateway>, host: &str, out: bool) -> Result<(), SayError> {
+    fn change_ban(&self, gateway: &Rc<Gateway>, host: &str, banned: bool) -> Result<(), SayError> {
         let now = gateway.clock.now();
-        let outputs = self.replica.machine.borrow_mut().say(now, host, out, now)?;
-        self.record_change(host, out);
+        let outputs = self.replica.machine.borrow_mut().say(now, host, banned, now)?;
+        self.record_change(host, banned);
         self.apply_replica_outputs(gateway, outputs);
         Ok(())
     }
 
     /// Bans a server or lifts its ban for an operator; reports where the change is stored.
-    pub(crate) async fn set_ban(&self, gateway: &Rc<Gateway>, host: &str, out: bool) -> String {
+    pub(crate) async fn set_ban(&self, gateway: &Rc<Gateway>, host: &str, banned: bool) -> String {
         let key = Key::Ban(host.to_owned());
         let known = self.replica.machine.borrow().bans(host).map(|b| b.out());
-        if known.is_none() && !out {
+        if known.is_none() && !banned {
             return "nobody has taken it out".to_owned();
         }
-        if known != Some(out) {
-            if let Err(error) = self.change_ban(gateway, host, out) {
+        if known != Some(banned) {
+            if let Err(error) = self.change_ban(gateway, host, banned) {
                 return format!("the fleet is not told: {error}");
             }
         }
@@ -457,12 +458,12 @@
     }
 
     /// Records a change made at this node, with the changes of the server's ban that were known before.
-    fn record_change(&self, host: &str, out: bool) {
+    fn record_change(&self, host: &str, banned: bool) {
         let line = {
             let machine = self.replica.machine.borrow();
             let Some(change) = machine.bans(host).and_then(|b| b.words().first().copied()) else { return };
             let writer = change.dot.writer;
-            serde_json::json!({"host": host, "out": out, "dot": [u64::from(writer.seat), u64::from(writer.life), change.dot.number],
+            serde_json::json!({"host": host, "out": banned, "dot": [u64::from(writer.seat), u64::from(writer.life), change.dot.number],
                 "knew": machine.bans(host).map(known_changes)})
         };
         self.record("said", &line.to_string());
--- a/crates/node/src/shift/cli.rs
+++ b/crates/node/src/shift/cli.rs
@@ -83,8 +83,8 @@
     };
     let default_who = || std::env::var("USER").unwrap_or_else(|_| "operator".to_owned());
     let who = options.who.clone().unwrap_or_else(default_who);
-    let word = Word { verb, who, why: options.why.clone(), insist: options.insist };
-    println!("{}", request(&ManagementRequest::ShiftCommand(word), at)?);
+    let command = Word { verb, who, why: options.why.clone(), insist: options.insist };
+    println!("{}", request(&ManagementRequest::ShiftCommand(command), at)?);
     Ok(())
 }
 
--- a/crates/node/src/upgrade/predecessor.rs
+++ b/crates/node/src/upgrade/predecessor.rs
@@ -25,14 +25,16 @@
 
 /// What the old process hands over.
 pub(crate) struct Offer {
-    doors: Vec<(SocketKind, OwnedFd)>,
+    /// Listening sockets and the idle queue, by kind.
+    sockets: Vec<(SocketKind, OwnedFd)>,
     /// Number of descriptors that this process may hold.
-    pub(super) part: usize,
+    pub(super) quota: usize,
     /// The old process sends heartbeats and expects them.
-    pub(super) beats: bool,
+    pub(super) sends_heartbeats: bool,
     /// Bans of servers, and lifted bans, by operators.
-    pub(super) words: Vec<BanRecord>,
-    pub(super) learnt: LearnedState,
+    pub(super) ban_records: Vec<BanRecord>,
+    /// What the old process has learned about servers.
+    pub(super) learned_state: LearnedState,
 }
 
 impl PredecessorReply {
@@ -60,9 +62,9 @@
     }
 
     /// The offered listening sockets of this kind that are bound to `address`.
-    pub(crate) fn listeners(&mut self, door: SocketKind, address: SocketAddr) -> Vec<TcpListener> {
+    pub(crate) fn listeners(&mut self, kind: SocketKind, address: SocketAddr) -> Vec<TcpListener> {
         match self {
-            PredecessorReply::Offered(_, offer) => offer.listeners(door, address),
+            PredecessorReply::Offered(_, offer) => offer.listeners(kind, address),
             PredecessorReply::None | PredecessorReply::Silent(_) => Vec::new(),
         }
     }
@@ -70,7 +72,7 @@
     /// The ban records received with the offer.
     pub(crate) fn take_ban_updates(&mut self) -> Vec<BanRecord> {
         match self {
-            PredecessorReply::Offered(_, offer) => std::mem::take(&mut offer.words),
+            PredecessorReply::Offered(_, offer) => std::mem::take(&mut offer.ban_records),
             PredecessorReply::None | PredecessorReply::Silent(_) => Vec::new(),
         }
     }
@@ -88,17 +90,14 @@
 
 /// Receives the old process's offer, however long it takes.
 pub(super) async fn receive_offer(link: &Link) -> Result<Offer, LinkError> {
-    let (mut words, mut learnt) = (Vec::new(), LearnedState::default());
+    let (mut ban_records, mut learned_state) = (Vec::new(), LearnedState::default());
     loop {
         match link.receive().await? {
-            (Message::Bans { records: more, .. }, _) => words.extend(more),
-            (Message::LearnedState(lesson), _) => lesson.merge_into(&mut learnt),
-            (
-                Message::Offer { version: VERSION, sockets: doors, quota: part, sends_heartbeats: beats },
-                descriptors,
-            ) => {
-                let doors = doors.into_iter().zip(descriptors).collect();
-                return Ok(Offer { doors, part, beats, words, learnt });
+            (Message::Bans { records: more, .. }, _) => ban_records.extend(more),
+            (Message::LearnedState(chunk), _) => chunk.merge_into(&mut learned_state),
+            (Message::Offer { version: VERSION, sockets: kinds, quota, sends_heartbeats }, descriptors) => {
+                let sockets = kinds.into_iter().zip(descriptors).collect();
+                return Ok(Offer { sockets, quota, sends_heartbeats, ban_records, learned_state });
             }
             _ => {}
         }
@@ -107,20 +106,20 @@
 
 impl Offer {
     /// Takes the offered descriptors of this kind.
-    fn take(&mut self, door: SocketKind) -> Vec<OwnedFd> {
-        let (matching, others) = std::mem::take(&mut self.doors).into_iter().partition(|(d, _)| *d == door);
-        self.doors = others;
+    fn take(&mut self, kind: SocketKind) -> Vec<OwnedFd> {
+        let (matching, others) = std::mem::take(&mut self.sockets).into_iter().partition(|(k, _)| *k == kind);
+        self.sockets = others;
         Vec::into_iter(matching).map(|(_, descriptor)| descriptor).collect()
     }
 
     /// Takes the listening sockets of this kind that are bound to `address`.
-    pub(super) fn listeners(&mut self, door: SocketKind, address: SocketAddr) -> Vec<TcpListener> {
+    pub(super) fn listeners(&mut self, kind: SocketKind, address: SocketAddr) -> Vec<TcpListener> {
         let at_address = |fd| {
             let listener = std::net::TcpListener::from(fd);
             (listener.local_addr().ok()? == address).then_some(())?;
             TcpListener::from_std(listener).ok()
         };
-        self.take(door).into_iter().filter_map(at_address).collect()
+        self.take(kind).into_iter().filter_map(at_address).collect()
     }
 
     /// Takes the queue on which the old process passes idle clients' connections.
--- a/crates/node/src/upgrade/takeover.rs
+++ b/crates/node/src/upgrade/takeover.rs
@@ -44,6 +44,7 @@
 
 /// This process's part in takeovers of the address: it may have an old process before it, a new one after it, both or neither.
 pub(crate) struct Takeover {
+    /// Whether new connections are accepted.
     gate: watch::Sender<Gate>,
     clients: RefCell<Option<Rc<Clients>>>,
     accept: RefCell<Option<AcceptFn>>,
@@ -51,7 +52,9 @@
     accept_tasks: RefCell<Vec<JoinHandle<()>>>,
     /// Queue for idle clients, while there is a new process that sends heartbeats.
     idle_queue: RefCell<Option<IdleQueue>>,
-    elder: RefCell<OldProcess>,
+    /// State of this process's role as the old process of the next takeover.
+    old_role: RefCell<OldProcess>,
+    /// Connections to the node's other processes.
     links: RefCell<Vec<Rc<Link>>>,
     /// Number of the next batch of ban updates.
     next_batch: Cell<u64>,
@@ -73,7 +76,7 @@
             listeners: RefCell::default(),
             accept_tasks: RefCell::default(),
             idle_queue: RefCell::default(),
-            elder: RefCell::new(OldProcess::new(descriptor_limit)),
+            old_role: RefCell::new(OldProcess::new(descriptor_limit)),
             links: RefCell::default(),
             next_batch: Cell::new(1),
             pending_acks: RefCell::default(),
@@ -95,13 +98,13 @@
 
     /// Whether a new process is connected, serving or not.
     pub(crate) fn has_successor(&self) -> bool {
-        !self.elder.borrow().is_alone()
+        !self.old_role.borrow().is_alone()
     }
 
     /// Whether the new process accepts all new connections.
     pub(crate) fn successor_serves(&self) -> bool {
-        let elder = self.elder.borrow();
-        elder.has_yielded() && !elder.in_fallback()
+        let old_role = self.old_role.borrow();
+        old_role.has_yielded() && !old_role.in_fallback()
     }
 
     /// Stops accepting: connections in the backlog are still accepted unless the new process accepts them. Returns when that is
@@ -118,23 +121,23 @@
     }
 
     /// Accepts connections on this socket too, whenever the gate is open.
-    fn add_listener(&self, door: SocketKind, listener: TcpListener) {
+    fn add_listener(&self, kind: SocketKind, listener: TcpListener) {
         let listener = Rc::new(listener);
         if let Some(accept) = &*self.accept.borrow() {
-            self.accept_tasks.borrow_mut().push(accept(door, listener.clone()));
-            self.listeners.borrow_mut().push((door, listener));
+            self.accept_tasks.borrow_mut().push(accept(kind, listener.clone()));
+            self.listeners.borrow_mut().push((kind, listener));
         }
     }
 
     /// Listens on the sockets that were only bound so far and has the kernel route all new connections here.
     fn listen_on_bound(&self, bound: Vec<(SocketKind, TcpSocket, SocketAddr)>) {
-        for (door, socket, address) in bound {
+        for (kind, socket, address) in bound {
             match socket.listen(crate::run::LISTEN_BACKLOG) {
                 Ok(listener) => {
                     if let Err(error) = reuseport::route_to_newest(&listener, address) {
                         tracing::warn!("takeover: new connections go to both processes: {error}");
                     }
-                    self.add_listener(door, listener);
+                    self.add_listener(kind, listener);
                 }
                 Err(error) => tracing::error!("takeover: cannot listen on {address}: {error}"),
             }
@@ -155,12 +158,12 @@
         *self.clients.borrow_mut() = Some(clients);
         *self.accept.borrow_mut() = Some(accept);
         let mut bound = Vec::new();
-        for (door, client_listener) in client_listeners {
+        for (kind, client_listener) in client_listeners {
             match client_listener {
                 ClientListener::Listening(listeners) => {
-                    listeners.into_iter().for_each(|l| self.add_listener(door, l))
+                    listeners.into_iter().for_each(|l| self.add_listener(kind, l))
                 }
-                ClientListener::Bound(socket, address) => bound.push((door, socket, address)),
+                ClientListener::Bound(socket, address) => bound.push((kind, socket, address)),
             }
         }
         match predecessor {
@@ -193,16 +196,16 @@
 
     /// Applies the old process's offer and reports this process ready once there is a list.
     async fn take_over(self: &Rc<Self>, gateway: &Rc<Gateway>, link: Link, mut offer: Offer) {
-        let (heir, effects) =
-            NewProcess::new(self.descriptor_limit, offer.part, offer.beats, gateway.clock.now());
+        let (new_role, effects) =
+            NewProcess::new(self.descriptor_limit, offer.quota, offer.sends_heartbeats, gateway.clock.now());
         let idle_queue = offer.idle_queue();
         let link = Rc::new(link);
         self.apply_effects(gateway, &link, effects);
         self.links.borrow_mut().push(link.clone());
-        spawn_local(self.clone().follow_predecessor(gateway.clone(), link.clone(), idle_queue, heir));
+        spawn_local(self.clone().follow_predecessor(gateway.clone(), link.clone(), idle_queue, new_role));
         gateway.listed().await;
-        // After the list has arrived: learnt state is applied only to listed servers.
-        gateway.take_over(offer.learnt);
+        // After the list has arrived: learned state is applied only to listed servers.
+        gateway.take_over(offer.learned_state);
         self.gate.send_replace(Gate::Open);
         let _ = link.send(&Message::Ready, &[]).await;
     }
@@ -213,13 +216,16 @@
         match receive_offer(&link).await {
             Ok(mut offer) => {
                 tracing::info!("takeover: the old process has answered now");
-                gateway.merge_bans(std::mem::take(&mut offer.words));
+                gateway.merge_bans(std::mem::take(&mut offer.ban_records));
                 let addresses: Vec<_> = {
                     let listeners = self.listeners.borrow();
-                    listeners.iter().filter_map(|(d, l)| Some((*d, l.local_addr().ok()?))).collect()
+                    listeners
+                        .iter()
+                        .filter_map(|(kind, listener)| Some((*kind, listener.local_addr().ok()?)))
+                        .collect()
                 };
-                for (door, address) in addresses {
-                    offer.listeners(door, address).into_iter().for_each(|l| self.add_listener(door, l));
+                for (kind, address) in addresses {
+                    offer.listeners(kind, address).into_iter().for_each(|l| self.add_listener(kind, l));
                 }
                 self.take_over(&gateway, link, offer).await;
             }
@@ -236,7 +242,7 @@
         gateway: Rc<Gateway>,
         link: Rc<Link>,
         mut idle_queue: Option<Link>,
-        mut heir: NewProcess,
+        mut new_role: NewProcess,
     ) {
         let mut heartbeat = tokio::time::interval(Duration::from_nanos(HEARTBEAT_INTERVAL));
         heartbeat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -244,11 +250,11 @@
             tokio::select! {
                 packet = link.receive() => match packet {
                     Ok((Message::Client { protocol: SocketKind::Http, used }, descriptors)) => {
-                        let effects = heir.connections_received(self.take_clients(descriptors, used));
+                        let effects = new_role.connections_received(self.take_clients(descriptors, used));
                         self.apply_effects(&gateway, &link, effects);
                     }
                     Ok((message, _)) => {
-                        let effects = heir.handle(message, gateway.clock.now(), gateway.budget.held());
+                        let effects = new_role.handle(message, gateway.clock.now(), gateway.budget.held());
                         self.apply_effects(&gateway, &link, effects);
                     }
                     Err(error) => {
@@ -258,18 +264,18 @@
                 },
                 received = receive_idle_client(idle_queue.as_ref()) => match received {
                     Ok((client, connections)) => {
-                        let effects = heir.connections_received(self.take_clients(connections, client.used()));
+                        let effects = new_role.connections_received(self.take_clients(connections, client.used()));
                         self.apply_effects(&gateway, &link, effects);
                     }
                     Err(_) => idle_queue = None,
                 },
                 _ = heartbeat.tick() => {
-                    let effects = heir.tick(gateway.clock.now(), gateway.budget.held());
+                    let effects = new_role.tick(gateway.clock.now(), gateway.budget.held());
                     self.apply_effects(&gateway, &link, effects);
                 }
             }
         }
-        self.apply_effects(&gateway, &link, heir.peer_lost());
+        self.apply_effects(&gateway, &link, new_role.peer_lost());
         self.drop_link(&link);
         let Some(idle_queue) = idle_queue else { return };
         while let Ok((client, connections)) = idle_queue.receive().await {
@@ -302,7 +308,7 @@
         tracing::info!("takeover: {error}");
         self.drop_link(&link);
         if !gateway.leaving() {
-            let effects = self.elder.borrow_mut().peer_lost();
+            let effects = self.old_role.borrow_mut().peer_lost();
             self.apply_effects(gateway, &link, effects);
         }
         *self.idle_queue.borrow_mut() = None;
@@ -316,16 +322,16 @@
             tokio::select! {
                 packet = link.receive() => match packet {
                     Ok((message, _)) => {
-                        let effects = self.elder.borrow_mut().handle(message, gateway.budget.held());
+                        let effects = self.old_role.borrow_mut().handle(message, gateway.budget.held());
                         self.apply_effects(gateway, link, effects);
                     }
                     Err(error) => return error,
                 },
-                _ = tick.tick(), if !self.elder.borrow().is_alone() => {
-                    let covering = self.elder.borrow().in_fallback();
-                    let effects = self.elder.borrow_mut().tick(gateway.clock.now(), gateway.budget.held());
+                _ = tick.tick(), if !self.old_role.borrow().is_alone() => {
+                    let was_in_fallback = self.old_role.borrow().in_fallback();
+                    let effects = self.old_role.borrow_mut().tick(gateway.clock.now(), gateway.budget.held());
                     self.apply_effects(gateway, link, effects);
-                    if !covering && self.elder.borrow().in_fallback() {
+                    if !was_in_fallback && self.old_role.borrow().in_fallback() {
                         tracing::warn!("takeover: the new process does not respond; this one accepts connections as well");
                     }
                     if self.successor_serves() {
@@ -362,7 +368,7 @@
             }
         });
         if handed_over > 0 {
-            let effects = self.elder.borrow_mut().connections_given(handed_over);
+            let effects = self.old_role.borrow_mut().connections_given(handed_over);
             self.apply_effects(gateway, link, effects);
         }
     }
@@ -372,10 +378,11 @@
         effects.into_iter().for_each(|effect| self.apply_effect(gateway, link, effect));
     }
 
+    /// Carries out one effect.
     fn apply_effect(&self, gateway: &Rc<Gateway>, link: &Rc<Link>, effect: Effect) {
         match effect {
             Effect::Send(message) => self.send_or_queue(link, message),
-            Effect::Offer(part) => self.offer(gateway, link, part),
+            Effect::Offer(quota) => self.send_offer(gateway, link, quota),
             Effect::Accept(open) => {
                 let target = if open { Gate::Open } else { Gate::Held };
                 // A shut gate stays shut: this process is about to end.
@@ -383,28 +390,28 @@
                     |gate: &mut Gate| *gate != Gate::Shut && std::mem::replace(gate, target) != target;
                 self.gate.send_if_modified(changed);
             }
-            Effect::SetQuota(sockets) => gateway.resize(sockets),
+            Effect::SetQuota(quota) => gateway.resize(quota),
             Effect::Reclaim => {
                 let clients = self.idle_queue.borrow().as_ref().map_or_else(Vec::new, IdleQueue::reclaim);
                 let count = clients.iter().map(|(_, connections)| connections.len()).sum();
-                let effects = self.elder.borrow_mut().connections_reclaimed(count);
+                let effects = self.old_role.borrow_mut().connections_reclaimed(count);
                 self.apply_effects(gateway, link, effects);
                 for (client, connections) in clients {
                     self.take_clients(connections, client.used());
                 }
             }
-            Effect::MergeBans(mark, words) => {
-                gateway.merge_bans(words);
+            Effect::MergeBans(batch, records) => {
+                gateway.merge_bans(records);
                 let (gateway, link, ledger) = (gateway.clone(), link.clone(), self.ledger.clone());
                 spawn_local(async move {
                     if let Err(error) = ledger.persist(&gateway).await {
                         tracing::warn!("takeover: received bans cannot be stored: {error}");
                     }
-                    let _ = link.send(&Message::BansAck { batch: mark }, &[]).await;
+                    let _ = link.send(&Message::BansAck { batch }, &[]).await;
                 });
             }
-            Effect::BansAcked(mark) => {
-                self.pending_acks.borrow_mut().retain(|m| *m != mark);
+            Effect::BansAcked(acked) => {
+                self.pending_acks.borrow_mut().retain(|batch| *batch != acked);
                 self.ack_received.notify_waiters();
             }
             Effect::RejectPeer => {
@@ -415,14 +422,14 @@
 
     /// Sends the new process what it needs, the listening sockets last. With many servers this exceeds the socket's buffer and is
     /// sent as the new process reads.
-    fn offer(&self, gateway: &Rc<Gateway>, link: &Rc<Link>, part: usize) {
-        let words = gateway.fleet(|f| f.bans.records().cloned().collect());
-        let lessons = LearnedStateChunk::split(&gateway.learnt());
+    fn send_offer(&self, gateway: &Rc<Gateway>, link: &Rc<Link>, quota: usize) {
+        let records = gateway.fleet(|f| f.bans.records().cloned().collect());
+        let chunks = LearnedStateChunk::split(&gateway.learnt());
         let state: Vec<_> =
-            Message::ban_batches(0, words).chain(lessons.into_iter().map(Message::LearnedState)).collect();
+            Message::ban_batches(0, records).chain(chunks.into_iter().map(Message::LearnedState)).collect();
         let (link, listeners) = (link.clone(), self.listeners.borrow().clone());
-        let beats = self.elder.borrow().peer_sends_heartbeats();
-        let idle_queue = beats.then(IdleQueue::new).and_then(|queue| {
+        let sends_heartbeats = self.old_role.borrow().peer_sends_heartbeats();
+        let idle_queue = sends_heartbeats.then(IdleQueue::new).and_then(|queue| {
             queue
                 .inspect_err(|error| {
                     tracing::warn!("takeover: passing clients over the link instead of a queue: {error}")
@@ -437,20 +444,15 @@
                     link.send(message, &[]).await?;
                 }
                 let newest_listeners = listeners.iter().rev().take(MAX_PACKET_DESCRIPTORS - 1).rev();
-                let (mut doors, mut sockets): (Vec<_>, Vec<_>) =
-                    newest_listeners.map(|(door, listener)| (*door, listener.as_fd())).unzip();
+                let (mut kinds, mut descriptors): (Vec<_>, Vec<_>) =
+                    newest_listeners.map(|(kind, listener)| (*kind, listener.as_fd())).unzip();
                 if let Some(receiver) = &receiver {
-                    doors.push(SocketKind::IdleQueue);
-                    sockets.push(receiver.as_fd());
+                    kinds.push(SocketKind::IdleQueue);
+                    descriptors.push(receiver.as_fd());
                 }
                 link.send(
-                    &Message::Offer {
-                        version: VERSION,
-                        sockets: doors,
-                        quota: part,
-                        sends_heartbeats: beats,
-                    },
-                    &sockets,
+                    &Message::Offer { version: VERSION, sockets: kinds, quota, sends_heartbeats },
+                    &descriptors,
                 )
                 .await
             };
@@ -473,7 +475,7 @@
     }
 
     /// Sends a ban update to the node's other process and waits for the acknowledgement. Returns at once where there is none.
-    pub(crate) async fn send_ban_update(&self, word: BanRecord) {
+    pub(crate) async fn send_ban_update(&self, record: BanRecord) {
         let links = self.links.borrow().clone();
         for link in links {
             let batch = self.next_batch.get();
@@ -484,7 +486,7 @@
                 let excess = pending.len().saturating_sub(MAX_PENDING_ACKS);
                 pending.drain(..excess);
             }
-            self.send_or_queue(&link, Message::Bans { batch, records: vec![word.clone()] });
+            self.send_or_queue(&link, Message::Bans { batch, records: vec![record.clone()] });
             loop {
                 let acked = self.ack_received.notified();
                 if !self.pending_acks.borrow().contains(&batch) {
