--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -113,8 +113,9 @@
     },
 }
 
+/// Why a command failed.
 #[derive(Debug, thiserror::Error)]
-enum Failure {
+enum CommandError {
     #[error("{0}")]
     Start(#[from] StartError),
     #[error("{0}")]
@@ -138,9 +139,9 @@
         Err(error) => {
             eprintln!("laurelroute: {error}");
             let management_error = match &error {
-                Failure::Call(error)
-                | Failure::Fleet(FleetCommandError::Call(error))
-                | Failure::Shift(ShiftCommandError::Call(error)) => Some(error),
+                CommandError::Call(error)
+                | CommandError::Fleet(FleetCommandError::Call(error))
+                | CommandError::Shift(ShiftCommandError::Call(error)) => Some(error),
                 _ => None,
             };
             match management_error {
@@ -151,7 +152,7 @@
     }
 }
 
-fn execute(arguments: Arguments) -> Result<(), Failure> {
+fn execute(arguments: Arguments) -> Result<(), CommandError> {
     let site = arguments.site.as_deref();
     match arguments.command {
         None => Ok(run::start(site, Role::Standalone)?),
@@ -170,7 +171,7 @@
     }
 }
 
-fn change_server(change: Change, at: Option<SocketAddr>) -> Result<(), Failure> {
+fn change_server(change: Change, at: Option<SocketAddr>) -> Result<(), CommandError> {
     let (request, id, everywhere) = match change {
         Change::Detach { id, everywhere } => (ManagementRequest::Detach(id.clone()), id, everywhere),
         Change::Attach { id, everywhere } => (ManagementRequest::Attach(id.clone()), id, everywhere),
@@ -182,12 +183,12 @@
     Ok(())
 }
 
-fn print_reply(management_request: &ManagementRequest, at: Option<SocketAddr>) -> Result<(), Failure> {
+fn print_reply(management_request: &ManagementRequest, at: Option<SocketAddr>) -> Result<(), CommandError> {
     println!("{}", request(management_request, at)?);
     Ok(())
 }
 
-fn check_site(file: &std::path::Path, config: Option<&std::path::Path>) -> Result<(), Failure> {
+fn check_site(file: &std::path::Path, config: Option<&std::path::Path>) -> Result<(), CommandError> {
     let config = config.map(Config::read).transpose()?;
     let classes = config.as_ref().map(|config| (&config.site.classes[..], &config.site.settings));
     let site = Site::load(file, classes)?;
--- a/crates/node/src/explain.rs
+++ b/crates/node/src/explain.rs
@@ -21,7 +21,7 @@
     #[error("{0}")]
     Site(#[from] SiteError),
     #[error("{0}")]
-    Level(#[from] RoleError),
+    Role(#[from] RoleError),
     #[error("planner {0}: {1}")]
     Connect(SocketAddr, std::io::Error),
     #[error("planner {0}: {1}")]
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -52,12 +52,13 @@
 const WATCH_LINGER: Nanos = 2_000_000_000;
 
 /// The forwarder's part of the operator's file, with the certificates loaded.
-pub(crate) struct Forwarding {
+pub(crate) struct ForwarderRole {
     forward: ForwarderSettings,
     peers: PeerSettings,
     tls: Tls,
 }
 
+/// Why a connection to a planner ended.
 #[derive(Debug, thiserror::Error)]
 enum SessionError {
     #[error("{0}")]
@@ -70,9 +71,11 @@
     Frame(#[from] FrameError),
 }
 
+/// A running forwarder, shared by the sessions with the planners and the periodic task.
 struct Forwarder {
     gateway: Rc<Gateway>,
     follower: RefCell<Follower>,
+    /// The servers already passed to the gateway.
     applied: RefCell<Told>,
     /// The guide last passed to the gateway.
     guide: RefCell<NodePlan>,
@@ -81,21 +84,21 @@
     /// Thrift port of servers whose entry has no Thrift address.
     thrift_port: Option<u16>,
     identity: Identity,
-    /// When no planner was reachable last.
+    /// The last time at which no planner was reachable.
     isolated_at: Cell<Nanos>,
 }
 
-impl Forwarding {
+impl ForwarderRole {
     pub(crate) fn new(site: &Site) -> Result<Self, RoleError> {
         let peers = site.levels.peers.clone().ok_or(RoleError::Missing("peers"))?;
         let forward = site.levels.forward.clone().ok_or(RoleError::Missing("forward"))?;
         let tls = peers.tls()?;
-        Ok(Forwarding { forward, peers, tls })
+        Ok(ForwarderRole { forward, peers, tls })
     }
 
     /// Starts to follow the planners per service, if the operator's file enables services; returns the routing of
     /// requests to services.
-    pub(crate) fn by_services(&self, gateway: &Rc<Gateway>, site: &Site) -> Option<Routing> {
+    pub(crate) fn start_service_routing(&self, gateway: &Rc<Gateway>, site: &Site) -> Option<Routing> {
         let settings = self.forward.services.as_ref()?;
         Some(services::forwarder::start(gateway, site, &self.forward, &self.peers, &self.tls, settings))
     }
@@ -182,6 +185,7 @@
         }
     }
 
+    /// The view's directives for the gateway.
     fn guide_from(&self, view: &View) -> NodePlan {
         let site = &self.gateway.site;
         let tenants = site.tenants.iter().zip(&site.settings.tenant_quota);
@@ -296,6 +300,7 @@
         tokio::select! { result = read => result, result = write => result }
     }
 
+    /// Builds the next report, if one is due.
     fn report(&self, reporter: &mut Reporter) -> Option<Body> {
         let follower = self.follower.borrow();
         let (observed, [classes, tenants]) = (self.gateway.observed(), self.gateway.admitted());
--- a/crates/node/src/management.rs
+++ b/crates/node/src/management.rs
@@ -42,6 +42,7 @@
 
 /// An open connection.
 struct Connection {
+    /// Whether a request head has been received.
     request_received: Rc<Cell<bool>>,
     task: AbortHandle,
 }
@@ -102,6 +103,7 @@
         let _ = timeout(REQUEST_TIMEOUT + RESPONSE_TIMEOUT, connection).await;
     }
 
+    /// Routes a request and builds its response.
     async fn answer(&self, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
         let path = request.uri().path();
         let servers = path.strip_prefix("/_servers/").and_then(|rest| rest.split_once('/'));
@@ -149,12 +151,12 @@
 
     /// The `/_fleet/` requests: this member's copy of the shared state, and which members hold the same state of a
     /// server.
-    async fn fleet(&self, call: &str) -> (StatusCode, String) {
+    async fn fleet(&self, path: &str) -> (StatusCode, String) {
         let Some(member) = &self.member else {
             return (StatusCode::NOT_FOUND, "this node is no member of a fleet".to_owned());
         };
-        match call.split_once('/') {
-            None if call == "state" => (StatusCode::OK, member.state_json(None).to_string()),
+        match path.split_once('/') {
+            None if path == "state" => (StatusCode::OK, member.state_json(None).to_string()),
             Some(("state", kind @ ("ban" | "drain"))) => {
                 (StatusCode::OK, member.state_json(Some(kind)).to_string())
             }
--- a/crates/node/src/plan.rs
+++ b/crates/node/src/plan.rs
@@ -40,6 +40,7 @@
 /// Maximum number of concurrent connections: forwarders, connections being replaced, and explain queries.
 const MAX_CONNECTIONS: usize = 12_000;
 
+/// Why a connection ended.
 #[derive(Debug, thiserror::Error)]
 enum SessionError {
     #[error("{0}")]
@@ -132,6 +133,7 @@
     Ok(())
 }
 
+/// The planner's settings, from the configuration and the operator's file.
 fn settings(core: &laurelroute_core::gateway::Site, site: &Site, name: &str, life: u64) -> Settings {
     let plan = site.levels.plan.as_ref();
     let limit =
@@ -157,6 +159,7 @@
 }
 
 impl PlannerServer {
+    /// Receives discovery's lists.
     fn sink(self: &Rc<Self>) -> crate::discovery::Sink {
         let server = self.clone();
         Box::new(move |kind, version, entries| {
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -2,7 +2,7 @@
 
 use crate::config::{Config, ConfigError};
 use crate::discovery::Watcher;
-use crate::forward::Forwarding;
+use crate::forward::ForwarderRole;
 use crate::ledger::BanLedger;
 use crate::levels::RoleError;
 use crate::management::ManagementServer;
@@ -35,7 +35,7 @@
 /// disk may be slow or fail for a moment. The list of the new discovery address has to be in force 4 s after
 /// SIGHUP: the file is retried as long as there is time left to connect to it.
 const RELOAD_ATTEMPTS: u32 = 33;
-const RELOAD_PAUSE: Duration = Duration::from_millis(100);
+const RELOAD_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 /// A process that was suspended (SIGSTOP) may receive SIGTERM and the first message of its successor at the same
 /// moment: the message is waited for.
 const NEW_PROCESS_WAIT: Duration = Duration::from_millis(20);
@@ -71,7 +71,7 @@
     Site(#[from] SiteError),
     /// The operator's file lacks settings that the role needs.
     #[error("{0}")]
-    Level(#[from] RoleError),
+    Role(#[from] RoleError),
     /// The address is in use, or does not belong to this machine.
     #[error("cannot listen on {address}: {error}")]
     Listen {
@@ -125,6 +125,7 @@
     Ok((config, site))
 }
 
+/// Opens a listening socket on the address.
 pub(crate) fn listen(address: SocketAddr) -> Result<TcpListener, StartError> {
     bind(address)?.listen(LISTEN_BACKLOG).map_err(|error| StartError::Listen { address, error })
 }
@@ -143,19 +144,20 @@
     open().map_err(|error| StartError::Listen { address, error })
 }
 
+/// Runs a standalone node or a forwarder until SIGTERM.
 async fn run(site: Option<&Path>, role: Role) -> Result<(), StartError> {
     // First of all: without a handler, either signal ends the process.
     let mut terminate = Signal::terminate()?;
     let hangup = Signal::hangup()?;
     let (mut config, site) = load(site)?;
-    let forwarding = match role {
-        Role::Forwarder => Some(Forwarding::new(&site)?),
+    let forwarder_role = match role {
+        Role::Forwarder => Some(ForwarderRole::new(&site)?),
         Role::Standalone | Role::Planner => None,
     };
     config.site.most_connections = site.max_connections;
     let (push, has_cached_list) = (
         !config.site.settings.must_subscribe,
-        config.cached_list.as_ref().is_some_and(|k| !k.hosts.is_empty()),
+        config.cached_list.as_ref().is_some_and(|list| !list.hosts.is_empty()),
     );
     let (list_calls, calls) = mpsc::unbounded_channel();
     let gateway = Gateway::new(config.site.clone(), list_calls)?;
@@ -195,12 +197,12 @@
         Watcher::new(source::gateway_sink(&gateway, member.clone()), &config, &site, discovery.subscribe())
             .with_heartbeats(Box::new(move || heartbeat_gateway.discovery_alive()))
     };
-    let routing = forwarding.as_ref().and_then(|f| f.by_services(&gateway, &site));
+    let routing = forwarder_role.as_ref().and_then(|role| role.start_service_routing(&gateway, &site));
     // A node that routes by services is ready without a list: each request waits for that of its service.
     let ready_without_discovery = has_cached_list || routing.is_some();
-    match forwarding {
+    match forwarder_role {
         Some(_) if routing.is_some() => {}
-        Some(forwarding) => forwarding.start(&gateway, &config, &site, discovery.subscribe()),
+        Some(role) => role.start(&gateway, &config, &site, discovery.subscribe()),
         None if push => drop(spawn_local(standalone_watcher().follow())),
         None => drop(spawn_local(standalone_watcher().serve_calls(calls))),
     }
@@ -292,7 +294,7 @@
                 Err(error) if attempt == 0 => tracing::warn!("reload: {error}"),
                 Err(_) => {}
             }
-            tokio::time::sleep(RELOAD_PAUSE).await;
+            tokio::time::sleep(RELOAD_RETRY_INTERVAL).await;
         }
     }
 }
--- a/crates/node/src/site.rs
+++ b/crates/node/src/site.rs
@@ -189,11 +189,13 @@
 }
 
 impl Validator<'_> {
+    /// An error at a byte offset of the file.
     pub(crate) fn error(&self, offset: Option<usize>, message: impl Into<String>) -> SiteError {
         let line = offset.map(|at| 1 + self.text[..at.min(self.text.len())].matches('\n').count());
         SiteError { file: self.file.to_owned(), line, message: message.into() }
     }
 
+    /// An error at a value's position in the file.
     pub(crate) fn error_at<T>(&self, value: &Spanned<T>, message: impl Into<String>) -> SiteError {
         self.error(Some(value.span().start), message)
     }
