--- a/crates/thrift/src/front.rs
+++ b/crates/thrift/src/front.rs
@@ -8,14 +8,14 @@
 use crate::codec::{Form, Kind, Limits, Protocol, Transport};
 use crate::table::{BadFact, Table};
 use crate::upstream::{read, write, Boxes, Served, ThriftExchange, READ};
-use laurelroute_core::accept::{Door, Need};
+use laurelroute_core::accept::{ConnectionHandler, SlotDemand};
 use laurelroute_core::budget::Slot;
-use laurelroute_core::call::{Call, GivenUp, Reply, Verdict};
+use laurelroute_core::call::{Call, FinalResponse, LocalReply, ResponseSlot};
 use laurelroute_core::events::Label;
-use laurelroute_core::gateway::{route_key, Claim, Gateway};
-use laurelroute_core::leaving;
-use laurelroute_core::rest::Rest;
-use laurelroute_core::retry_io::Retried;
+use laurelroute_core::gateway::{route_key, Gateway, PendingRequest};
+use laurelroute_core::idle::IdleTracker;
+use laurelroute_core::peer;
+use laurelroute_core::retry_io::RetryingStream;
 use laurelroute_core::running::{self, timeout};
 use laurelroute_policy::interface::{Nanos, Request};
 use std::cell::{Cell, RefCell};
@@ -64,7 +64,7 @@
 struct Client {
     /// No call is under way, and no part of one has come.
     idle: Cell<bool>,
-    rest: Rest,
+    rest: IdleTracker,
     /// Closed right behind its next answer.
     last_answer: Cell<bool>,
     closing: Cell<bool>,
@@ -75,7 +75,7 @@
 impl Client {
     /// No call is lost when it is closed now, as far as this process has read.
     fn rests(&self, now: Nanos) -> bool {
-        self.idle.get() && self.rest.over(now)
+        self.idle.get() && self.rest.may_evict(now)
     }
 }
 
@@ -90,15 +90,15 @@
     form: Form,
     header: Option<Header>,
     head: Head,
-    claim: Option<Claim>,
-    answer: oneshot::Receiver<Verdict<Served>>,
+    claim: Option<PendingRequest>,
+    answer: oneshot::Receiver<FinalResponse<Served>>,
 }
 
 impl Waiting {
-    async fn verdict(&mut self) -> Verdict<Served> {
+    async fn verdict(&mut self) -> FinalResponse<Served> {
         let verdict = (&mut self.answer).await;
         self.claim = None;
-        verdict.unwrap_or(Verdict::GivenUp(GivenUp::Failed { late: true }))
+        verdict.unwrap_or(FinalResponse::Local(LocalReply::Failed { late: true }))
     }
 }
 
@@ -117,15 +117,15 @@
 
     /// Tells the connection that has rested longest to close, if it has for long. Where a new client has waited for a while
     /// ([`ANY_AFTER`]): else the one that has rested longest, and else one with its answer. False where there is none.
-    pub fn make_room(&self, need: Need) -> bool {
-        let now = self.gateway.running();
+    pub fn make_room(&self, need: SlotDemand) -> bool {
+        let now = self.gateway.running_time();
         let open = self.open.borrow();
         let longest = |like: &dyn Fn(&Client) -> bool| {
             let found = open.values().filter(|c| !c.closing.get() && like(c));
-            found.min_by_key(|c| c.rest.since())
+            found.min_by_key(|c| c.rest.idle_since())
         };
-        let any = matches!(need, Need::Now(waited) if waited >= ANY_AFTER);
-        let mut resting = longest(&|c| c.idle.get() && c.rest.long_over(now));
+        let any = matches!(need, SlotDemand::Waiting(waited) if waited >= ANY_AFTER);
+        let mut resting = longest(&|c| c.idle.get() && c.rest.may_close(now));
         if resting.is_none() && any {
             resting = longest(&|c| c.rests(now));
         }
@@ -137,18 +137,18 @@
         // Thrift has no word for a close that is to come: a client sees it only where it looks before it calls.
         let told = open.values().filter(|c| c.last_answer.get()).count();
         let at_work = || longest(&|c| c.rest.used() && !c.last_answer.get());
-        let last = (any && told < need.ends_wanted()).then(at_work).flatten();
+        let last = (any && told < need.connections_to_close()).then(at_work).flatten();
         last.inspect(|client| client.last_answer.set(true)).is_some()
     }
 
     /// To be called now and then: sees which connections rest.
     pub fn sweep(&self) {
-        self.open.borrow().values().filter(|c| c.idle.get()).for_each(|c| c.rest.look());
+        self.open.borrow().values().filter(|c| c.idle.get()).for_each(|c| c.rest.record_check());
     }
 
     /// Closes all connections that rest; the number of those that are left.
     pub fn close_idle(&self) -> usize {
-        let now = self.gateway.running();
+        let now = self.gateway.running_time();
         let open = self.open.borrow();
         open.values().filter(|c| c.rests(now)).for_each(|c| c.close.notify_one());
         open.len()
@@ -209,31 +209,31 @@
         self: &Rc<Self>,
         message: Message,
         client: &Rc<TcpStream>,
-    ) -> Result<(Claim, oneshot::Receiver<Verdict<Served>>), Fault> {
+    ) -> Result<(PendingRequest, oneshot::Receiver<FinalResponse<Served>>), Fault> {
         let gateway = &self.gateway;
         if !matches!(message.head.kind, Kind::Call | Kind::Oneway) {
             return Err(Fault::NoCall);
         }
         let method = self.settings.table.method(&message.head.name).ok_or(Fault::Method)?;
         let facts = method.facts(&message)?;
-        let class = &gateway.site.settings.classes[usize::from(method.class)];
+        let class = &gateway.config.settings.classes[usize::from(method.class)];
         let wait = facts.deadline_ms.map_or(class.client_timeout, |ms| ms.saturating_mul(1_000_000));
         let give_up_at = gateway.clock.now() + wait.min(class.client_timeout);
-        let mut lease = gateway.budget.lease();
+        let mut lease = gateway.budget.body_lease();
         if !lease.grow(message.bytes().len().max(READ)) {
             return Err(Fault::NoRoom);
         }
-        let id = facts.request_id.as_deref().map(laurelroute_core::mix);
-        if id.is_some_and(|id| !gateway.claim(id, give_up_at)) {
+        let id = facts.request_id.as_deref().map(laurelroute_core::stable_hash);
+        if id.is_some_and(|id| !gateway.claim_request_id(id, give_up_at)) {
             return Err(Fault::IdTaken);
         }
         let request = Request {
             class: method.class,
-            tenant: gateway.site.tenant(facts.tenant.as_deref()),
+            tenant: gateway.config.tenant_index(facts.tenant.as_deref()),
             key: facts.route_key.as_deref().map_or(0, route_key),
             ..Request::new(0, give_up_at)
         };
-        let (reply, answer) = Reply::new();
+        let (reply, answer) = ResponseSlot::new();
         let held = (client.clone(), lease);
         let exchange = ThriftExchange::new(message, method.clone(), self.settings.boxes, reply, held);
         let label = facts.request_id.as_deref().map(Label::of).unwrap_or_default();
@@ -241,7 +241,7 @@
     }
 
     /// The final answer in the form of its call; `None` where none is owed.
-    fn encode(&self, call: &Waiting, verdict: Verdict<Served>) -> Option<Encoded> {
+    fn encode(&self, call: &Waiting, verdict: FinalResponse<Served>) -> Option<Encoded> {
         if call.head.kind == Kind::Oneway {
             tell_lost(&call.head, &verdict);
             return None;
@@ -249,26 +249,30 @@
         let exception =
             |code, text: &str| app::encode(call.form, &call.head, call.header.as_ref(), code, text);
         Some(match verdict {
-            Verdict::Served(Served { message: Some(message), .. }) => {
+            FinalResponse::Upstream(Served { message: Some(message), .. }) => {
                 let header = call.header.as_ref().map(|h| Header { pairs: pairs(&message), ..h.clone() });
                 match message.encode(call.form, header.as_ref()) {
                     Ok(out) => out,
                     Err(fault) => exception(app::INTERNAL_ERROR, &fault.to_string()),
                 }
             }
-            Verdict::Served(_) => exception(app::INTERNAL_ERROR, "no answer"),
-            Verdict::GivenUp(GivenUp::Refused { retry_after }) => {
+            FinalResponse::Upstream(_) => exception(app::INTERNAL_ERROR, "no answer"),
+            FinalResponse::Local(LocalReply::Refused { retry_after }) => {
                 exception(app::LOAD_SHEDDING, &advice(&self.gateway, retry_after))
             }
-            Verdict::GivenUp(GivenUp::Failed { late: true }) => exception(app::TIMEOUT, "no answer in time"),
-            Verdict::GivenUp(GivenUp::Failed { late: false }) => exception(app::INTERNAL_ERROR, "failed"),
+            FinalResponse::Local(LocalReply::Failed { late: true }) => {
+                exception(app::TIMEOUT, "no answer in time")
+            }
+            FinalResponse::Local(LocalReply::Failed { late: false }) => {
+                exception(app::INTERNAL_ERROR, "failed")
+            }
         })
     }
 }
 
 /// Nobody hears that a oneway call was given up but the operator.
-fn tell_lost(head: &Head, verdict: &Verdict<Served>) {
-    if let Verdict::GivenUp(end) = verdict {
+fn tell_lost(head: &Head, verdict: &FinalResponse<Served>) {
+    if let FinalResponse::Local(end) = verdict {
         tracing::warn!("thrift: oneway call of {:?} was given up: {end:?}", head.name);
     }
 }
@@ -278,21 +282,21 @@
 }
 
 fn advice(gateway: &Gateway, retry_after: Nanos) -> String {
-    match gateway.site.advice(retry_after) {
+    match gateway.config.retry_after_seconds(retry_after) {
         Some(seconds) => format!("refused, repeating it is harmless; retry after {seconds:.3} s"),
         None => "refused, repeating it is harmless".to_owned(),
     }
 }
 
-impl Door for Front {
-    fn open(self: &Rc<Self>, stream: TcpStream) {
+impl ConnectionHandler for Front {
+    fn serve(self: &Rc<Self>, stream: TcpStream) {
         let client = Rc::new(Client {
             idle: Cell::new(true),
-            rest: Rest::new(self.gateway.running(), false),
+            rest: IdleTracker::new(self.gateway.running_time(), false),
             last_answer: Cell::new(false),
             closing: Cell::new(false),
             close: Notify::new(),
-            _slot: self.gateway.budget.client(),
+            _slot: self.gateway.budget.acquire_client(),
         });
         let id = self.next.get();
         self.next.set(id + 1);
@@ -305,7 +309,7 @@
         });
     }
 
-    fn left(&self) -> &Notify {
+    fn connection_closed(&self) -> &Notify {
         &self.left
     }
 }
@@ -357,7 +361,7 @@
 /// Serves one connection to its end.
 async fn serve(front: &Rc<Front>, client: &Client, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
-    let mut stream = Retried::new(stream);
+    let mut stream = RetryingStream::new(stream);
     let (settings, gateway) = (&front.settings, &front.gateway);
     let mut decoder = Decoder::new(settings.accept, settings.limits);
     let mut owed: VecDeque<Owed> = VecDeque::new();
@@ -368,12 +372,12 @@
         while reading && owed.len() < settings.pipeline {
             let Some(item) = decoder.take_item() else { break };
             reading = !matches!(&item, Item::Malformed(m) if !m.in_step);
-            let left = leaving::closed_behind(stream.connection(), std::mem::take(&mut first)).await;
-            client.rest.request_came();
+            let left = peer::closed_after_read(stream.connection(), std::mem::take(&mut first)).await;
+            client.rest.request_started();
             owed.extend(front.take(item, left, stream.connection()));
             if owed.is_empty() {
                 // A oneway call: nothing comes after it.
-                client.rest.begin(gateway.running());
+                client.rest.response_sent(gateway.running_time());
             }
             begun = None;
         }
@@ -383,12 +387,12 @@
         if !reading && owed.is_empty() {
             return;
         }
-        let now = gateway.running();
+        let now = gateway.running_time();
         begun = if room && partial { begun.or(Some(now)) } else { None };
         // In running time: what a stop of this process has taken is not held against its clients.
         let left = match (begun, owed.is_empty()) {
             (Some(begun), _) => MESSAGE.saturating_sub(Duration::from_nanos(now.saturating_sub(begun))),
-            (None, true) => settings.idle.saturating_sub(Duration::from_nanos(client.rest.age(now))),
+            (None, true) => settings.idle.saturating_sub(Duration::from_nanos(client.rest.idle_for(now))),
             // The gateway's deadline bounds it.
             (None, false) => Duration::from_secs(3600),
         };
@@ -400,9 +404,9 @@
                         return;
                     }
                 }
-                client.rest.begin(gateway.running());
-                let last = gateway.leaving() || client.last_answer.get();
-                if last && owed.is_empty() && !decoder.partial() && leaving::quiet(stream.connection()) {
+                client.rest.response_sent(gateway.running_time());
+                let last = gateway.is_draining() || client.last_answer.get();
+                if last && owed.is_empty() && !decoder.partial() && peer::is_quiescent(stream.connection()) {
                     return;
                 }
             }
@@ -414,17 +418,17 @@
             }
             _ = client.close.notified(), if owed.is_empty() && !partial => {
                 // What has come in the meantime is still read, and answered.
-                if client.rest.over(gateway.running()) && leaving::quiet(stream.connection()) {
+                if client.rest.may_evict(gateway.running_time()) && peer::is_quiescent(stream.connection()) {
                     return;
                 }
                 client.closing.set(false);
             }
             // What is not read does not tell of its end: with its claims dropped, what is under way is called off.
-            _ = tokio::time::sleep(leaving::LOOK), if !room => if leaving::closed(stream.connection()) {
+            _ = tokio::time::sleep(peer::PEER_CHECK_INTERVAL), if !room => if peer::closed(stream.connection()) {
                 return;
             },
             // What has come in the meantime is still read.
-            _ = running::sleep(left) => if left.is_zero() && leaving::quiet(stream.connection()) {
+            _ = running::sleep(left) => if left.is_zero() && peer::is_quiescent(stream.connection()) {
                 return;
             } else {
                 tokio::task::yield_now().await;
--- a/crates/thrift/src/upstream.rs
+++ b/crates/thrift/src/upstream.rs
@@ -5,14 +5,14 @@
 use crate::codec::message::{Encoded, Message};
 use crate::codec::{Fault, Form, Kind, Limits, Transport};
 use crate::table::Method;
-use laurelroute_core::budget::Lease;
-use laurelroute_core::call::{Exchange, GivenUp, HandOver, Reply, Verdict, Wire};
-use laurelroute_core::connect::{connect, Held, NoLink};
-use laurelroute_core::fleet::Kept;
+use laurelroute_core::budget::BodyLease;
+use laurelroute_core::call::{Exchange, FinalResponse, LocalReply, ResponseSlot, SendProgress, Wire};
+use laurelroute_core::connect::{connect, ConnectError, ConnectionPermit};
+use laurelroute_core::connection_source::ConnectionSource;
+use laurelroute_core::fleet::PooledConnection;
 use laurelroute_core::gateway::Attempt;
-use laurelroute_core::leaving::{self, Presence};
-use laurelroute_core::line::Lines;
-use laurelroute_core::retry_io::Retried;
+use laurelroute_core::peer::{self, PeerState};
+use laurelroute_core::retry_io::RetryingStream;
 use laurelroute_core::running;
 use laurelroute_policy::interface::AttemptOutcome;
 use std::cell::Cell;
@@ -48,7 +48,7 @@
 pub struct Served {
     /// The answer.
     pub message: Option<Message>,
-    _lease: Lease,
+    _lease: BodyLease,
 }
 
 /// A client's call as every attempt sends it, and the place of its answer.
@@ -57,9 +57,9 @@
     message: Message,
     method: Rc<Method>,
     boxes: Boxes,
-    reply: Reply<Served>,
+    reply: ResponseSlot<Served>,
     client: Rc<TcpStream>,
-    _lease: Lease,
+    _lease: BodyLease,
 }
 
 impl ThriftExchange {
@@ -68,8 +68,8 @@
         message: Message,
         method: Rc<Method>,
         boxes: Boxes,
-        reply: Reply<Served>,
-        (client, lease): (Rc<TcpStream>, Lease),
+        reply: ResponseSlot<Served>,
+        (client, lease): (Rc<TcpStream>, BodyLease),
     ) -> Self {
         ThriftExchange { message, method, boxes, reply, client, _lease: lease }
     }
@@ -88,30 +88,30 @@
         self.message.head.kind == Kind::Oneway
     }
 
-    fn put(&self, message: Option<Message>, lease: Lease) {
-        self.reply.put(Verdict::Served(Served { message, _lease: lease }));
+    fn put(&self, message: Option<Message>, lease: BodyLease) {
+        self.reply.send(FinalResponse::Upstream(Served { message, _lease: lease }));
     }
 }
 
 impl Exchange for ThriftExchange {
-    fn start(self: Rc<Self>, attempt: Attempt) -> AbortHandle {
+    fn start_attempt(self: Rc<Self>, attempt: Attempt) -> AbortHandle {
         tokio::task::spawn_local(async move {
             if let Err(ending) = exchange(&self, &attempt).await {
-                attempt.ended(ending);
+                attempt.fail(ending);
             }
         })
         .abort_handle()
     }
 
-    fn give_up(&self, end: GivenUp) {
-        self.reply.put(Verdict::GivenUp(end));
+    fn send_local_reply(&self, end: LocalReply) {
+        self.reply.send(FinalResponse::Local(end));
     }
 
-    fn client(&self) -> Presence {
+    fn client_state(&self) -> PeerState {
         match self.oneway() {
             // Nobody waits for its answer, and it goes on whatever becomes of its connection.
-            true => Presence::There,
-            false => leaving::presence(&self.client),
+            true => PeerState::Connected,
+            false => peer::peer_state(&self.client),
         }
     }
 }
@@ -122,32 +122,32 @@
     complete: Cell<bool>,
 }
 
-impl HandOver for Progress {
-    fn handed_over(&self) -> bool {
+impl SendProgress for Progress {
+    fn fully_sent(&self) -> bool {
         self.complete.get()
     }
 }
 
 struct Link {
-    stream: Retried,
+    stream: RetryingStream,
     decoder: Decoder,
-    _held: Held,
+    _held: ConnectionPermit,
 }
 
-impl Kept for Link {
-    fn quiet(&self) -> bool {
-        !self.decoder.partial() && leaving::quiet(self.stream.connection())
+impl PooledConnection for Link {
+    fn is_reusable(&self) -> bool {
+        !self.decoder.partial() && peer::is_quiescent(self.stream.connection())
     }
 }
 
 /// Reads once into the decoder; 0 where the peer has closed.
-pub(crate) async fn read(stream: &mut Retried, decoder: &mut Decoder) -> io::Result<usize> {
+pub(crate) async fn read(stream: &mut RetryingStream, decoder: &mut Decoder) -> io::Result<usize> {
     decoder.buffer().reserve(READ);
     stream.read_buf(decoder.buffer()).await
 }
 
 /// Writes both parts whole.
-pub(crate) async fn write(stream: &mut Retried, out: &Encoded) -> io::Result<()> {
+pub(crate) async fn write(stream: &mut RetryingStream, out: &Encoded) -> io::Result<()> {
     let (mut prefix, mut payload) = (&out.prefix[..], &out.payload[..]);
     while !(prefix.is_empty() && payload.is_empty()) {
         let slices = [io::IoSlice::new(prefix), io::IoSlice::new(payload)];
@@ -163,25 +163,25 @@
     Ok(())
 }
 
-async fn open(attempt: &Attempt, boxes: &Boxes, dial: SocketAddr) -> Result<Link, NoLink> {
+async fn open(attempt: &Attempt, boxes: &Boxes, dial: SocketAddr) -> Result<Link, ConnectError> {
     let (stream, held) = connect(attempt.gateway(), attempt.server(), THRIFT, dial).await?;
     // Calls are written whole: waiting to fill a segment would only delay them.
     let _ = stream.set_nodelay(true);
     let decoder = Decoder::new(Accept::Only(boxes.form), boxes.limits);
-    Ok(Link { stream: Retried::new(stream), decoder, _held: held })
+    Ok(Link { stream: RetryingStream::new(stream), decoder, _held: held })
 }
 
 /// Plays one attempt to its end; an error is how it ended where it was not told of yet. Where the gateway has
 /// stopped waiting, the attempt may go on for a while, so that its connection can be kept.
 async fn exchange(call: &ThriftExchange, attempt: &Attempt) -> Result<(), AttemptOutcome> {
-    let mut lines = Lines::new(attempt, THRIFT)?;
+    let mut lines = ConnectionSource::new(attempt, THRIFT)?;
     loop {
         let mut line = lines.next(|dial| open(attempt, &call.boxes, dial)).await?;
         let link: &mut Link = &mut line.connection;
         // What was walked through when it came can be encoded; were it otherwise, it would never have run.
-        let out = call.encode(attempt.millis_left()).map_err(|_| AttemptOutcome::NotSent)?;
+        let out = call.encode(attempt.remaining_ms()).map_err(|_| AttemptOutcome::NotSent)?;
         let progress = Rc::new(Progress::default());
-        attempt.writes_through(progress.clone());
+        attempt.set_send_progress(progress.clone());
         match write(&mut link.stream, &out).await {
             Ok(()) => progress.complete.set(true),
             Err(_) if line.reused => continue,
@@ -189,7 +189,7 @@
         }
         let keep = if call.oneway() { sent(call, attempt) } else { answer(call, attempt, link).await? };
         if keep {
-            lines.keep(line);
+            lines.release(line);
         }
         return Ok(());
     }
@@ -197,8 +197,8 @@
 
 /// No answer is owed to a oneway call: with its last byte handed over all is done that can be done.
 fn sent(call: &ThriftExchange, attempt: &Attempt) -> bool {
-    if attempt.served() {
-        call.put(None, attempt.gateway().budget.lease());
+    if attempt.succeed() {
+        call.put(None, attempt.gateway().budget.body_lease());
     }
     true
 }
@@ -212,17 +212,17 @@
     }
     match message.head.kind {
         Kind::Reply => {
-            let mut lease = attempt.gateway().budget.lease();
+            let mut lease = attempt.gateway().budget.body_lease();
             if !lease.grow(message.bytes().len().max(READ)) {
                 return Err(AttemptOutcome::Reset);
             }
-            if attempt.served() {
+            if attempt.succeed() {
                 call.put(Some(message), lease);
             }
         }
         Kind::Exception => {
             let turned_away = application::decode(&message).0 == call.boxes.turned_away;
-            attempt.ended(if turned_away { AttemptOutcome::Rejected } else { AttemptOutcome::Error });
+            attempt.fail(if turned_away { AttemptOutcome::Rejected } else { AttemptOutcome::Error });
         }
         Kind::Call | Kind::Oneway => return Err(AttemptOutcome::Reset),
     }
