--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -68,7 +68,7 @@
     /// Shifts traffic from one pool of servers to another. Exit code: 0 done, 1 refused, 2 no answer.
     Shift {
         #[command(subcommand)]
-        call: crate::shift::cli::ShiftCommand,
+        command: crate::shift::cli::ShiftCommand,
         /// The node's management address; the default is that of GW_MANAGEMENT or GW_CONFIG.
         #[arg(long, value_name = "ADDRESS", global = true)]
         at: Option<SocketAddr>,
@@ -76,7 +76,7 @@
     /// Shows the fleet's members and their shared state. Exit code: 0 yes, 1 no, 2 no answer.
     Fleet {
         #[command(subcommand)]
-        call: crate::fleet::cli::FleetCommand,
+        command: crate::fleet::cli::FleetCommand,
         /// The node's management address; the default is that of GW_MANAGEMENT or GW_CONFIG.
         #[arg(long, value_name = "ADDRESS", global = true)]
         at: Option<SocketAddr>,
@@ -165,8 +165,8 @@
         }
         Some(Command::Ready { at }) => print_reply(&ManagementRequest::Ready, at),
         Some(Command::Servers { change, at }) => change_server(change, at),
-        Some(Command::Shift { call, at }) => Ok(crate::shift::cli::run(&call, at)?),
-        Some(Command::Fleet { call, at }) => Ok(crate::fleet::cli::run(&call, at)?),
+        Some(Command::Shift { command, at }) => Ok(crate::shift::cli::run(&command, at)?),
+        Some(Command::Fleet { command, at }) => Ok(crate::fleet::cli::run(&command, at)?),
         Some(Command::Check { file, config }) => check_site(&file, config.as_deref()),
     }
 }
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -57,8 +57,8 @@
     /// Version of the list.
     pub seq: u64,
     /// Whether the list names all servers, or only those that changed.
-    #[serde(default)]
-    pub whole: bool,
+    #[serde(default, rename = "whole")]
+    pub full: bool,
     /// The servers.
     pub hosts: Vec<Host>,
 }
@@ -488,7 +488,7 @@
         drop(bytes);
         if list.seq < self.seq && !self.no_list {
             self.older_lists += 1;
-            if !list.whole || self.older_lists < OLDER_LISTS_TO_ACCEPT {
+            if !list.full || self.older_lists < OLDER_LISTS_TO_ACCEPT {
                 return Err(WatchError::OlderVersion(list.seq, self.seq));
             }
         }
@@ -496,7 +496,7 @@
         self.lists_received += 1;
         self.seq = list.seq;
         self.no_list = false;
-        self.publish(if list.whole { ListKind::Full } else { ListKind::Changes }, list);
+        self.publish(if list.full { ListKind::Full } else { ListKind::Changes }, list);
         Ok(())
     }
 
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -1,7 +1,7 @@
 //! The forwarder role: the same gateway and balancing policy as a standalone node, guided by a planner's plan.
 //!
 //! One task per planner holds a connection, receives the parts of plans and sends reports. All planners feed one
-//! [`Follower`]; each change of its view is passed to the gateway as a server list and a guide. While no planner is
+//! [`Follower`]; each change of its view is passed to the gateway as a server list and a plan. While no planner is
 //! reachable, the server list is watched as on a standalone node.
 
 use crate::config::Config;
@@ -77,8 +77,8 @@
     follower: RefCell<Follower>,
     /// The servers already passed to the gateway.
     applied: RefCell<Told>,
-    /// The guide last passed to the gateway.
-    guide: RefCell<NodePlan>,
+    /// The plan last passed to the gateway.
+    node_plan: RefCell<NodePlan>,
     /// The operator's own limit of connections to one server.
     max_connections: Option<u32>,
     /// Thrift port of servers whose entry has no Thrift address.
@@ -125,7 +125,7 @@
             gateway: gateway.clone(),
             follower: RefCell::new(Follower::new(now, &self.peers.name, &self.peers.site, &planner_names)),
             applied: RefCell::default(),
-            guide: RefCell::default(),
+            node_plan: RefCell::default(),
             max_connections: gateway.config.max_connections_per_server,
             thrift_port: site.thrift.as_ref().and_then(|t| t.port),
             identity,
@@ -175,10 +175,10 @@
         let connection_limit =
             [self.max_connections, Some(view.connections).filter(|&n| n > 0)].into_iter().flatten().min();
         self.gateway.fleet(|f| f.set_max_connections(connection_limit));
-        let guide = self.guide_from(&view);
-        if *self.guide.borrow() != guide {
-            self.guide.replace(guide.clone());
-            self.gateway.apply_plan(guide);
+        let node_plan = self.node_plan_from(&view);
+        if *self.node_plan.borrow() != node_plan {
+            self.node_plan.replace(node_plan.clone());
+            self.gateway.apply_plan(node_plan);
         }
         if view.members.iter().any(|m| m.server.phase == Phase::Ready) {
             self.gateway.set_ready();
@@ -186,14 +186,14 @@
     }
 
     /// The view's directives for the gateway.
-    fn guide_from(&self, view: &View) -> NodePlan {
-        let site = &self.gateway.config;
-        let tenants = site.tenants.iter().zip(&site.settings.tenant_quota);
+    fn node_plan_from(&self, view: &View) -> NodePlan {
+        let config = &self.gateway.config;
+        let tenants = config.tenants.iter().zip(&config.settings.tenant_quota);
         lead::guide(
             view,
             |name| self.gateway.fleet(|f| f.endpoint_of(name)),
-            &site.classes,
-            tenants.map(|(name, quota)| (name, quota / f64::from(site.settings.group_size))),
+            &config.classes,
+            tenants.map(|(name, quota)| (name, quota / f64::from(config.settings.group_size))),
         )
     }
 
@@ -306,11 +306,11 @@
         let follower = self.follower.borrow();
         let (observed, [classes, tenants]) =
             (self.gateway.observed_servers(), self.gateway.admission_rates());
-        let site = &self.gateway.config;
+        let config = &self.gateway.config;
         let now = Now {
             servers: observed.iter().map(|(name, o)| (name.as_str(), *o)).collect(),
-            classes: site.classes.iter().map(String::as_str).zip(classes).collect(),
-            tenants: site.tenants.iter().zip(tenants).collect(),
+            classes: config.classes.iter().map(String::as_str).zip(classes).collect(),
+            tenants: config.tenants.iter().zip(tenants).collect(),
             closed: follower.closed(),
             following: follower.following().unwrap_or_default(),
         };
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -221,14 +221,15 @@
     };
     let take: AcceptFn = {
         let (gateway, clients, front) = (gateway.clone(), clients.clone(), front.clone());
-        let gate = takeover.gate();
+        let accept_state = takeover.gate();
         Box::new(move |kind, listener| {
-            let (budget, room, gate) = (gateway.budget.clone(), make_room.clone(), gate.clone());
+            let (budget, make_room, accept_state) =
+                (gateway.budget.clone(), make_room.clone(), accept_state.clone());
             match (kind, &front) {
                 (SocketKind::Thrift, Some(front)) => {
-                    spawn_local(accept(front.clone(), budget, room, listener, gate))
+                    spawn_local(accept(front.clone(), budget, make_room, listener, accept_state))
                 }
-                _ => spawn_local(accept(clients.clone(), budget, room, listener, gate)),
+                _ => spawn_local(accept(clients.clone(), budget, make_room, listener, accept_state)),
             }
         })
     };
@@ -255,7 +256,7 @@
     let kill_delay = kill_delay(&gateway);
     gateway.set_shutdown_deadline(gateway.clock.now() + (kill_delay - FINAL_ANSWER_MARGIN).as_nanos() as u64);
     // A new process is handed the clients' connections as they become idle, once it accepts clients; clients whose
-    // connections stay are told to reconnect.
+    // connections remain are asked to reconnect.
     let handing_over =
         || takeover.has_successor() && (clients.open_connections() > 0 || !takeover.successor_serves());
     while terminated_at.elapsed() < NEW_PROCESS_WAIT
