--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies on their way out.
+//! Bodies that are being sent: requests to servers and responses to clients.
 
 use crate::socket::Socket;
 use bytes::Bytes;
@@ -11,161 +11,163 @@
 use std::task::{ready, Context, Poll};
 use tokio::sync::mpsc;
 
-/// A message up to this is held whole: an answer that turns out to be spoilt is never begun to a client, and a request
-/// can go to another server. Longer ones pass through.
-pub const WHOLE: u64 = 64 * 1024;
-/// The longest body that passes through.
-pub const MOST_BODY: u64 = 33 * 1024 * 1024;
+/// A response body up to this size is buffered in full before it is sent, so that a response which turns out to be
+/// broken is never begun to a client. Longer ones are streamed.
+pub const MAX_BUFFERED_RESPONSE_BYTES: u64 = 64 * 1024;
+/// The longest body that is accepted.
+pub const MAX_BODY_BYTES: u64 = 33 * 1024 * 1024;
 
-/// What follows the held part of a long body.
+/// An item of a streamed body, behind the buffered part.
 #[derive(Debug)]
-pub enum Piece {
-    /// More of it.
+pub enum BodyChunk {
+    /// More data.
     Data(Bytes),
-    /// That was all. Where the sender goes without this word, the body has broken off.
+    /// The end of the body. A body whose sender is dropped without this is incomplete.
     End,
 }
 
-/// Where the rest of a long body comes.
-pub type Rest = mpsc::Receiver<Piece>;
+/// Receives the remainder of a streamed body.
+pub type BodyRemainder = mpsc::Receiver<BodyChunk>;
 
-/// A place for the rest of a long body. One piece waits in it: who sends is as slow as who takes.
-pub fn rest() -> (mpsc::Sender<Piece>, Rest) {
+/// A channel for the remainder of a streamed body. Its capacity of one chunk lets the receiver's pace limit the
+/// sender's.
+pub fn remainder_channel() -> (mpsc::Sender<BodyChunk>, BodyRemainder) {
     mpsc::channel(1)
 }
 
-/// A whole body, or the held part of a long one with the rest that the first to get so far takes.
+/// A fully buffered body, or the buffered part of a streamed one with its remainder, which the first to read so far
+/// takes.
 #[derive(Debug)]
 pub struct Message {
-    held: BufferedBody,
-    rest: RefCell<Option<Rest>>,
-    /// Where it is known.
+    buffered: BufferedBody,
+    remainder: RefCell<Option<BodyRemainder>>,
+    /// The total length, where it is known.
     length: Option<u64>,
-    long: bool,
+    streamed: bool,
 }
 
 impl Message {
-    /// A body that is held whole.
-    pub fn whole(held: BufferedBody) -> Rc<Message> {
-        let length = Some(held.len());
-        Rc::new(Message { held, rest: RefCell::default(), length, long: false })
+    /// A fully buffered body.
+    pub fn buffered(buffered: BufferedBody) -> Rc<Message> {
+        let length = Some(buffered.len());
+        Rc::new(Message { buffered, remainder: RefCell::default(), length, streamed: false })
     }
 
-    /// A long body.
-    pub fn long(held: BufferedBody, rest: Rest, length: Option<u64>) -> Rc<Message> {
-        Rc::new(Message { held, rest: RefCell::new(Some(rest)), length, long: true })
+    /// A streamed body: its buffered part, its remainder and its total length, where that is known.
+    pub fn streamed(buffered: BufferedBody, remainder: BodyRemainder, length: Option<u64>) -> Rc<Message> {
+        Rc::new(Message { buffered, remainder: RefCell::new(Some(remainder)), length, streamed: true })
     }
 
-    /// Its length, where it is known.
+    /// The total length, where it is known.
     pub fn length(&self) -> Option<u64> {
         self.length
     }
 
-    /// It can be sent from its first byte on.
-    pub fn available(&self) -> bool {
-        !self.long || self.rest.borrow().is_some()
+    /// Whether the body can be sent from its first byte: its remainder has not been taken.
+    pub fn is_available(&self) -> bool {
+        !self.streamed || self.remainder.borrow().is_some()
     }
 }
 
-/// A message's body on its way out.
-pub struct PieceBody {
+/// A message's body as hyper sends it.
+pub struct MessageBody {
     message: Rc<Message>,
-    at: usize,
-    left: Option<u64>,
-    rest: Option<Rest>,
-    /// Told of the end where the length does not say it.
+    next_piece: usize,
+    remaining: Option<u64>,
+    remainder: Option<BodyRemainder>,
+    /// Notified of the end of a body of unknown length.
     socket: Option<Rc<Socket>>,
 }
 
-impl PieceBody {
-    /// From the first piece on; the socket that it goes out on hears of the end.
+impl MessageBody {
+    /// Sends the message from its first byte; `socket`, over which it is sent, is notified of its end.
     pub fn new(message: Rc<Message>, socket: Option<Rc<Socket>>) -> Self {
-        PieceBody { left: message.length, message, at: 0, rest: None, socket }
+        MessageBody { remaining: message.length, message, next_piece: 0, remainder: None, socket }
     }
 
-    fn passed(&mut self, piece: &Bytes) {
-        self.left = self.left.map(|left| left.saturating_sub(piece.len() as u64));
+    fn count_sent(&mut self, piece: &Bytes) {
+        self.remaining = self.remaining.map(|remaining| remaining.saturating_sub(piece.len() as u64));
     }
 
-    fn end(&mut self) -> Poll<Option<io::Result<Frame<Bytes>>>> {
+    fn finish(&mut self) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         if let Some(socket) = self.socket.take() {
-            socket.body_ended();
+            socket.body_finished();
         }
         Poll::Ready(None)
     }
 }
 
-impl Body for PieceBody {
+impl Body for MessageBody {
     type Data = Bytes;
     type Error = io::Error;
 
     fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         let this = &mut *self;
-        if let Some(piece) = this.message.held.get(this.at) {
-            this.at += 1;
-            this.passed(&piece);
+        if let Some(piece) = this.message.buffered.get(this.next_piece) {
+            this.next_piece += 1;
+            this.count_sent(&piece);
             return Poll::Ready(Some(Ok(Frame::data(piece))));
         }
-        if !this.message.long {
-            return this.end();
+        if !this.message.streamed {
+            return this.finish();
         }
-        if this.rest.is_none() {
-            this.rest = this.message.rest.take();
+        if this.remainder.is_none() {
+            this.remainder = this.message.remainder.take();
         }
-        let Some(rest) = &mut this.rest else {
+        let Some(remainder) = &mut this.remainder else {
             return Poll::Ready(Some(Err(io::Error::other(
-                "another attempt has taken the rest of the body",
+                "another attempt has taken the remainder of the body",
             ))));
         };
-        match ready!(rest.poll_recv(cx)) {
-            Some(Piece::Data(piece)) => {
-                this.passed(&piece);
+        match ready!(remainder.poll_recv(cx)) {
+            Some(BodyChunk::Data(piece)) => {
+                this.count_sent(&piece);
                 Poll::Ready(Some(Ok(Frame::data(piece))))
             }
-            Some(Piece::End) => this.end(),
-            None => Poll::Ready(Some(Err(io::Error::other("the body has broken off")))),
+            Some(BodyChunk::End) => this.finish(),
+            None => Poll::Ready(Some(Err(io::Error::other("the body ended early")))),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        self.left == Some(0)
+        self.remaining == Some(0)
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.left.map_or_else(SizeHint::default, SizeHint::with_exact)
+        self.remaining.map_or_else(SizeHint::default, SizeHint::with_exact)
     }
 }
 
-/// What goes back to a client.
-pub enum AnswerBody {
-    /// A line of the node's own.
-    Text(Option<Bytes>),
-    /// A server's.
-    Served(PieceBody),
+/// The body of a response to a client.
+pub enum ResponseBody {
+    /// A text of the node itself.
+    Local(Option<Bytes>),
+    /// A server's body.
+    Upstream(MessageBody),
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = io::Error;
 
     fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         match self.get_mut() {
-            AnswerBody::Text(text) => Poll::Ready(text.take().map(|t| Ok(Frame::data(t)))),
-            AnswerBody::Served(body) => Pin::new(body).poll_frame(cx),
+            ResponseBody::Local(text) => Poll::Ready(text.take().map(|t| Ok(Frame::data(t)))),
+            ResponseBody::Upstream(body) => Pin::new(body).poll_frame(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            AnswerBody::Text(text) => text.is_none(),
-            AnswerBody::Served(body) => body.is_end_stream(),
+            ResponseBody::Local(text) => text.is_none(),
+            ResponseBody::Upstream(body) => body.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            AnswerBody::Text(text) => SizeHint::with_exact(text.as_ref().map_or(0, |t| t.len() as u64)),
-            AnswerBody::Served(body) => body.size_hint(),
+            ResponseBody::Local(text) => SizeHint::with_exact(text.as_ref().map_or(0, |t| t.len() as u64)),
+            ResponseBody::Upstream(body) => body.size_hint(),
         }
     }
 }
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,4 +1,4 @@
-//! One client's connection: where it stands, when it has stood still for too long, and when it may be ended.
+//! One client connection: its stage, its timeouts, and when it may be closed.
 
 use crate::socket::Socket;
 use laurelroute_core::budget::{OverflowSlot, Slot};
@@ -9,244 +9,260 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// No client may hold a descriptor for good, be it silent, slow or out to do harm. A connection without a
-/// request is closed after `IDLE`, and sooner in a crowd ([`Client::sweep`]), one with a part of a head after `HEAD` more, however it trickles in; a body
-/// has a pace of its own (`intake.rs`), and an answer may stand still for `STUCK`. Clients that talk at all
-/// may take 2 s for a head and come to 64 kB a second in a body; slower lines would do harm to honest ones.
-const IDLE: Nanos = 2_000_000_000;
-/// ... and one that has never said anything after this, where more than half of the places are taken.
-const SILENT_CROWDED: Nanos = 150_000_000;
-const HEAD: Nanos = 2_500_000_000;
-/// ... and a connection's first head has to be whole by then, counted from its opening.
-const FIRST_HEAD: Nanos = 2_750_000_000;
-const STUCK: Nanos = 3_000_000_000;
-/// One that has stopped in a head for so long may make room for others. Honest clients that are slow go on writing; it
-/// would do harm to those that pause for longer, but only where there is no other place left.
-const STOPPED: Nanos = 700_000_000;
-
-/// Where a connection stands.
+/// No client may hold a descriptor indefinitely, whether it is silent, slow or malicious. A connection without a
+/// request is closed after `IDLE_TIMEOUT`, and sooner when more than half of the client slots are taken
+/// ([`Client::sweep`]), one with an incomplete head after `HEAD_TIMEOUT` more, however slowly that arrives; a body has
+/// limits of its own (`intake.rs`), and a response may make no progress for `WRITE_STALL_TIMEOUT`. Clients may take 2 s
+/// for a head and send a body at 64 kB/s; slower connections would take up slots at the expense of honest clients.
+const IDLE_TIMEOUT: Nanos = 2_000_000_000;
+/// A connection that has not yet sent anything is closed after this when more than half of the client slots are taken.
+const FIRST_REQUEST_TIMEOUT_CROWDED: Nanos = 150_000_000;
+const HEAD_TIMEOUT: Nanos = 2_500_000_000;
+/// The first head of a connection has to be complete within this time from the connection's opening.
+const FIRST_HEAD_TIMEOUT: Nanos = 2_750_000_000;
+const WRITE_STALL_TIMEOUT: Nanos = 3_000_000_000;
+/// A connection that has stalled within a head for this long may be closed to make room for others. Honest slow clients
+/// go on writing; those that pause for longer are harmed, but only where no other slot is left.
+const EVICTABLE_HEAD_STALL: Nanos = 700_000_000;
+
+/// The stage of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// Between requests, or in a head.
+    /// Between requests, or reading a head.
     Idle,
-    /// In a body.
-    Reading,
-    /// The request is with the gateway, whose deadline bounds it.
-    Waiting,
-    /// The answer is on its way.
-    Writing,
+    /// Reading a body.
+    ReadingBody,
+    /// The gateway has the request, and its deadline bounds the wait.
+    AwaitingResponse,
+    /// The response is being written.
+    WritingResponse,
 }
 
-/// How a connection is told to end.
+/// How a connection is to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum End {
-    /// Closed between two requests, unless one has come meanwhile.
-    AtRest,
-    /// Closed behind its next answer, which says so.
-    WithAnswer,
-    /// Dropped at once: what has come of it is no request, or another process has it.
-    Now,
+pub(crate) enum CloseMode {
+    /// Between two requests, unless a request has arrived meanwhile.
+    WhenIdle,
+    /// After the next response, which announces it by `connection: close`.
+    AfterResponse,
+    /// Immediately: what has been received is not a complete request, or another process has the connection.
+    Immediately,
 }
 
-/// What a connection counts as against the limits.
-pub(crate) enum Place {
-    /// One of the places, which it may keep.
-    Kept { _slot: Slot },
-    /// One beyond them: it ends with its first answer.
+/// The slot that a connection takes up within the limits.
+pub(crate) enum ClientSlot {
+    /// A regular slot, which the connection may keep.
+    Regular { _slot: Slot },
+    /// A slot beyond the regular ones: the connection is closed after its first response.
     Overflow { _slot: OverflowSlot },
 }
 
-/// A client's connection. All times are running time ([`laurelroute_core::running`]).
+/// A client connection. All times are running time ([`laurelroute_core::running`]).
 pub(crate) struct Client {
     pub(crate) socket: Rc<Socket>,
-    pub(crate) rest: IdleTracker,
+    pub(crate) idle_tracker: IdleTracker,
     stage: Cell<Stage>,
-    /// Since when an answer stands still.
-    still_since: Cell<Nanos>,
+    /// When the response last made progress.
+    last_progress_at: Cell<Nanos>,
     /// When a part of a head was first seen.
-    head_since: Cell<Option<Nanos>>,
-    /// When more of it was last seen to have come.
-    came_at: Cell<Nanos>,
-    /// Requests whose head was read.
-    requests: Cell<u32>,
-    /// Its next answer is its last one, and says so.
-    last_answer: Cell<bool>,
-    /// Told to end; it still holds its descriptor.
-    end: Cell<Option<End>>,
-    ended: Notify,
-    _place: Place,
+    head_started_at: Cell<Option<Nanos>>,
+    /// When more of the head was last seen to have arrived.
+    head_received_at: Cell<Nanos>,
+    /// Requests whose heads have been read.
+    request_count: Cell<u32>,
+    /// The connection is closed after its next response, which announces it.
+    close_after_response: Cell<bool>,
+    /// How the connection is to be closed; until then it holds its descriptor.
+    close_mode: Cell<Option<CloseMode>>,
+    close_notify: Notify,
+    _slot: ClientSlot,
 }
 
 impl Client {
-    pub(crate) fn new(socket: Rc<Socket>, now: Nanos, used: bool, place: Place) -> Client {
+    pub(crate) fn new(socket: Rc<Socket>, now: Nanos, used: bool, slot: ClientSlot) -> Client {
         Client {
             socket,
-            rest: IdleTracker::new(now, used),
+            idle_tracker: IdleTracker::new(now, used),
             stage: Cell::new(Stage::Idle),
-            still_since: Cell::new(now),
-            head_since: Cell::new(None),
-            came_at: Cell::new(0),
-            requests: Cell::new(0),
-            last_answer: Cell::new(matches!(place, Place::Overflow { .. })),
-            end: Cell::new(None),
-            ended: Notify::new(),
-            _place: place,
+            last_progress_at: Cell::new(now),
+            head_started_at: Cell::new(None),
+            head_received_at: Cell::new(0),
+            request_count: Cell::new(0),
+            close_after_response: Cell::new(matches!(slot, ClientSlot::Overflow { .. })),
+            close_mode: Cell::new(None),
+            close_notify: Notify::new(),
+            _slot: slot,
         }
     }
 
-    /// Where it stands: an answer is on its way until the kernel has all of it, whatever hyper has taken.
+    /// The current stage. A response counts as being written until the kernel has all of it, even once hyper has taken
+    /// it.
     pub(crate) fn stage(&self) -> Stage {
         match self.stage.get() {
-            Stage::Idle if self.socket.unsent.get() => Stage::Writing,
+            Stage::Idle if self.socket.response_unsent.get() => Stage::WritingResponse,
             stage => stage,
         }
     }
 
-    /// A request's head has been read.
-    pub(crate) fn request_came(&self) {
-        self.requests.set(self.requests.get().saturating_add(1));
-        self.rest.request_started();
-        self.head_since.set(None);
-        self.stage.set(Stage::Reading);
+    /// Called when a request's head has been read.
+    pub(crate) fn request_started(&self) {
+        self.request_count.set(self.request_count.get().saturating_add(1));
+        self.idle_tracker.request_started();
+        self.head_started_at.set(None);
+        self.stage.set(Stage::ReadingBody);
     }
 
-    /// The request is with the gateway.
-    pub(crate) fn request_taken(&self) {
-        self.stage.set(Stage::Waiting);
+    /// Called when the request goes to the gateway.
+    pub(crate) fn request_submitted(&self) {
+        self.stage.set(Stage::AwaitingResponse);
     }
 
-    /// Its answer begins; whether that is to be the connection's last one.
-    pub(crate) fn answer_begins(&self, now: Nanos) -> bool {
-        self.still_since.set(now);
-        self.stage.set(Stage::Writing);
-        self.last_answer.get()
+    /// Called when the response begins; returns whether the connection is closed after it.
+    pub(crate) fn response_started(&self, now: Nanos) -> bool {
+        self.last_progress_at.set(now);
+        self.stage.set(Stage::WritingResponse);
+        self.close_after_response.get()
     }
 
-    /// hyper has taken all of the answer, or the request is over without one.
-    pub(crate) fn request_over(&self, now: Nanos) {
+    /// Called when hyper has taken all of the response, or the request has ended without one.
+    pub(crate) fn request_finished(&self, now: Nanos) {
         self.stage.set(Stage::Idle);
-        self.still_since.set(now);
-        self.rest.response_sent(now);
-        self.socket.heard.set(false);
-        self.socket.unsent.set(true);
+        self.last_progress_at.set(now);
+        self.idle_tracker.response_sent(now);
+        self.socket.data_received.set(false);
+        self.socket.response_unsent.set(true);
     }
 
-    /// Requests whose head was read.
-    pub(crate) fn requests(&self) -> u32 {
-        self.requests.get()
+    /// Requests whose heads have been read.
+    pub(crate) fn request_count(&self) -> u32 {
+        self.request_count.get()
     }
 
-    /// It is between requests, and no further one has come.
-    pub(crate) fn idle(&self) -> bool {
-        self.stage() == Stage::Idle && !self.socket.heard.get() && self.socket.quiet()
+    /// Whether the connection is between requests and nothing of a further one has arrived.
+    pub(crate) fn is_idle(&self) -> bool {
+        self.stage() == Stage::Idle && !self.socket.data_received.get() && self.socket.is_quiescent()
     }
 
-    /// No request is lost when it is closed now.
+    /// Whether the connection can be closed now without losing a request.
     pub(crate) fn may_close(&self, now: Nanos) -> bool {
-        self.rest.may_evict(now) && self.idle()
+        self.idle_tracker.may_evict(now) && self.is_idle()
     }
 
-    /// No part of a further request has been read here, so that another process can go on with it.
-    pub(crate) fn may_be_given(&self) -> bool {
-        !self.ending() && self.idle() && self.socket.between()
+    /// Whether another process can take the connection over: no part of a further request has been read here.
+    pub(crate) fn may_hand_over(&self) -> bool {
+        !self.is_closing() && self.is_idle() && self.socket.is_between_requests()
     }
 
-    /// Since when it has stood still in the middle of a head, if for so long that it may make room for others.
-    pub(crate) fn stopped_since(&self, now: Nanos) -> Option<Nanos> {
-        let came_at = self.came_at.get();
-        let still = !self.socket.moved.get() && now.saturating_sub(came_at) >= STOPPED;
-        let in_head = self.stage() == Stage::Idle && self.head_since.get().is_some();
-        (in_head && still && self.socket.quiet()).then_some(came_at)
+    /// Since when the connection has stalled within a head, if for long enough that it may be closed for others.
+    pub(crate) fn head_stalled_since(&self, now: Nanos) -> Option<Nanos> {
+        let head_received_at = self.head_received_at.get();
+        let stalled =
+            !self.socket.progressed.get() && now.saturating_sub(head_received_at) >= EVICTABLE_HEAD_STALL;
+        let in_head = self.stage() == Stage::Idle && self.head_started_at.get().is_some();
+        (in_head && stalled && self.socket.is_quiescent()).then_some(head_received_at)
     }
 
-    /// It has been told to end.
-    pub(crate) fn ending(&self) -> bool {
-        self.end.get().is_some()
+    /// Whether the connection is to be closed.
+    pub(crate) fn is_closing(&self) -> bool {
+        self.close_mode.get().is_some()
     }
 
-    /// A request is under way whose answer can tell that it is the last one.
-    pub(crate) fn before_answer(&self) -> bool {
-        matches!(self.stage(), Stage::Reading | Stage::Waiting) && !self.ending()
+    /// Whether a request is in flight whose response can still announce that the connection is closed after it.
+    pub(crate) fn awaits_response(&self) -> bool {
+        matches!(self.stage(), Stage::ReadingBody | Stage::AwaitingResponse) && !self.is_closing()
     }
 
-    /// It ends with its next answer.
-    pub(crate) fn ends_with_answer(&self) -> bool {
-        self.last_answer.get()
+    /// Whether the connection is closed after its next response.
+    pub(crate) fn closes_after_response(&self) -> bool {
+        self.close_after_response.get()
     }
 
-    /// Tells it to end. One that was told to end now is not told otherwise: another process may have it.
-    pub(crate) fn tell(&self, end: End) {
-        match (end, self.end.get()) {
-            (End::WithAnswer, _) => return self.last_answer.set(true),
-            (_, Some(End::Now)) => {}
-            _ => self.end.set(Some(end)),
+    /// Requests that the connection is closed. An immediate close is not overridden: another process may have the
+    /// connection.
+    pub(crate) fn request_close(&self, mode: CloseMode) {
+        match (mode, self.close_mode.get()) {
+            (CloseMode::AfterResponse, _) => return self.close_after_response.set(true),
+            (_, Some(CloseMode::Immediately)) => {}
+            _ => self.close_mode.set(Some(mode)),
         }
-        self.ended.notify_one();
+        self.close_notify.notify_one();
     }
 
-    /// Waits until it is told to end.
-    pub(crate) async fn told(&self) -> Option<End> {
-        self.ended.notified().await;
-        self.end.get()
+    /// Waits until the connection is to be closed.
+    pub(crate) async fn close_requested(&self) -> Option<CloseMode> {
+        self.close_notify.notified().await;
+        self.close_mode.get()
     }
 
-    /// It goes on: a request has come since it was told to end.
-    pub(crate) fn go_on(&self) {
-        self.end.set(None);
+    /// Withdraws the close: a request has arrived since.
+    pub(crate) fn cancel_close(&self) {
+        self.close_mode.set(None);
     }
 
-    /// Ends it if it has stood still for too long; what that counts as. Where more than half of the places are taken, clients
-    /// that ask once and stay would leave none to those that come next, who do not open more than their part: there its
-    /// rest is over sooner, which costs clients that pause some new connections.
+    /// Closes the connection if it has made no progress for too long, and returns the event to count. When more than
+    /// half of the slots are taken, clients that send one request and stay connected would leave no slot for those that
+    /// come next, which open no more than their share. The idle timeout is then shorter, at the price that clients
+    /// which pause have to reconnect.
     pub(crate) fn sweep(&self, now: Nanos, crowded: bool) -> Option<Kind> {
         match self.stage() {
-            Stage::Idle if self.socket.heard.get() => return self.sweep_head(now),
-            Stage::Idle => return self.sweep_rest(now, crowded),
-            Stage::Writing if self.socket.moved.replace(false) => {
-                self.still_since.set(now);
-                // It does not rest before the kernel has all of the answer.
-                self.rest.response_sent(now);
+            Stage::Idle if self.socket.data_received.get() => return self.sweep_head(now),
+            Stage::Idle => return self.sweep_idle(now, crowded),
+            Stage::WritingResponse if self.socket.progressed.replace(false) => {
+                self.last_progress_at.set(now);
+                // The connection is not idle before the kernel has all of the response.
+                self.idle_tracker.response_sent(now);
             }
-            Stage::Writing if now.saturating_sub(self.still_since.get()) >= STUCK => {
-                self.tell(End::Now);
+            Stage::WritingResponse
+                if now.saturating_sub(self.last_progress_at.get()) >= WRITE_STALL_TIMEOUT =>
+            {
+                self.request_close(CloseMode::Immediately);
                 return Some(Kind::ClosedStuck);
             }
-            // Whoever has sent more than the request that waits is not read on, and its end is seen only here.
-            Stage::Waiting if self.socket.left() => self.tell(End::Now),
-            // What is read has its own limit, and what waits has the gateway's.
+            // Nothing more is read while the client has sent data beyond the pending request, so its close is noticed
+            // only here.
+            Stage::AwaitingResponse if self.socket.peer_closed() => {
+                self.request_close(CloseMode::Immediately)
+            }
+            // A body being read has its own limits, and a pending request has the gateway's deadline.
             _ => {}
         }
         None
     }
 
-    /// Ends it if it has rested for too long.
-    fn sweep_rest(&self, now: Nanos, crowded: bool) -> Option<Kind> {
-        self.rest.record_check();
-        let age = self.rest.idle_for(now);
-        let over_in_crowd = if self.rest.used() { self.rest.may_close(now) } else { age >= SILENT_CROWDED };
-        let over = age >= IDLE || crowded && over_in_crowd;
-        // One that was told to close and is still here sits on a part of a head that came with the request before.
-        if age >= IDLE + HEAD && self.socket.quiet() {
-            self.tell(End::Now);
-        } else if over && self.may_close(now) {
-            self.tell(End::AtRest);
+    /// Closes the connection if it has been idle for too long.
+    fn sweep_idle(&self, now: Nanos, crowded: bool) -> Option<Kind> {
+        self.idle_tracker.record_check();
+        let age = self.idle_tracker.idle_for(now);
+        let idle_in_crowd = if self.idle_tracker.used() {
+            self.idle_tracker.may_close(now)
+        } else {
+            age >= FIRST_REQUEST_TIMEOUT_CROWDED
+        };
+        let timed_out = age >= IDLE_TIMEOUT || crowded && idle_in_crowd;
+        // A connection that was to be closed and is still open holds a part of a head that arrived with the request
+        // before.
+        if age >= IDLE_TIMEOUT + HEAD_TIMEOUT && self.socket.is_quiescent() {
+            self.request_close(CloseMode::Immediately);
+        } else if timed_out && self.may_close(now) {
+            self.request_close(CloseMode::WhenIdle);
             return Some(Kind::ClosedIdle);
         }
         None
     }
 
-    /// Ends it if a part of a head has been there for too long.
+    /// Closes the connection if its head is incomplete for too long.
     fn sweep_head(&self, now: Nanos) -> Option<Kind> {
-        let begun = self.head_since.get().unwrap_or(now);
-        self.head_since.set(Some(begun));
-        if self.socket.moved.replace(false) {
-            self.came_at.set(now);
+        let started_at = self.head_started_at.get().unwrap_or(now);
+        self.head_started_at.set(Some(started_at));
+        if self.socket.progressed.replace(false) {
+            self.head_received_at.set(now);
         }
-        let first = !self.rest.used() && self.rest.idle_for(now) >= FIRST_HEAD;
-        if !first && now.saturating_sub(begun) < HEAD {
+        let first_head_late =
+            !self.idle_tracker.used() && self.idle_tracker.idle_for(now) >= FIRST_HEAD_TIMEOUT;
+        if !first_head_late && now.saturating_sub(started_at) < HEAD_TIMEOUT {
             return None;
         }
-        self.tell(End::Now);
+        self.request_close(CloseMode::Immediately);
         Some(Kind::ClosedSlow)
     }
 }
--- a/crates/http/src/front.rs
+++ b/crates/http/src/front.rs
@@ -1,11 +1,11 @@
-//! Towards the clients: the listener, requests coming in, final answers going out.
+//! The downstream side: client connections, their requests and the responses to them.
 
-use crate::body::{AnswerBody, Message, PieceBody};
-use crate::client::{Client, End, Place};
-use crate::intake::{Intake, IntakeError};
+use crate::body::{Message, MessageBody, ResponseBody};
+use crate::client::{Client, ClientSlot, CloseMode};
+use crate::intake::{BodyIntake, IntakeError};
 use crate::service::{NameError, Routing};
 use crate::socket::{Socket, SocketIo};
-use crate::upstream::{self, HttpExchange, Served, TIMEOUT};
+use crate::upstream::{self, HttpExchange, UpstreamResponse, TIMEOUT_MS};
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
@@ -37,271 +37,291 @@
 const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// Read buffer of a client's connection and the longest head; it bounds what 1,000 connections hold.
-const BUFFER: usize = 16 * 1024;
-/// The longest id of a request.
-const MOST_ID: usize = 128;
-/// How often connections are looked at.
+/// The read buffer of a client connection and the longest head; it bounds the memory of 1,000 connections.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
+/// The longest request id, in bytes.
+const MAX_REQUEST_ID_BYTES: usize = 128;
+/// How often connections are checked for timeouts.
 pub const SWEEP_INTERVAL: Duration = PEER_CHECK_INTERVAL;
-/// How long a body that passes through may take until its last byte.
-const UPLOAD: Nanos = 600_000_000_000;
-/// One in so many of the places for clients may be held by requests that wait for their services.
-const WAITING_PART: usize = 4;
-/// Where a new client has waited so long for a place, connections at rest end ahead of those whose answers could say so.
-const AT_REST_AFTER: Duration = Duration::from_millis(100);
-/// Connections that go over to another process before those that went are closed here.
-const AT_ONCE: usize = 16;
-
-/// All clients' connections; bounded by the budget.
+/// How long a streamed request body may take until its last byte.
+const UPLOAD_TIMEOUT: Nanos = 600_000_000_000;
+/// One in this many of the client slots may be held by requests that wait for their services.
+const WAITING_SHARE_DIVISOR: usize = 4;
+/// Once a new client has waited this long for a slot, idle connections are closed ahead of busy ones, whose responses
+/// could announce the close.
+const EVICT_IDLE_AFTER: Duration = Duration::from_millis(100);
+/// The most connections that are handed over at once. They are closed here before more follow.
+const HAND_OVER_BATCH: usize = 16;
+
+/// All client connections; their number is bounded by the budget.
 pub struct Clients {
     gateway: Rc<Gateway>,
-    /// Where requests name services; without it the gateway carries all.
+    /// How requests name services; without it the gateway handles all requests.
     routing: Option<Routing>,
-    waits: WaiterCount,
-    open: RefCell<HashMap<u64, Rc<Client>>>,
-    next: Cell<u64>,
-    /// Connections on which a request is under way.
-    busy: Cell<usize>,
-    left: Notify,
-    /// Connections go over to another process of the node as they come to rest, and one has.
-    handing: Cell<bool>,
-    rested: Notify,
+    waiters: WaiterCount,
+    connections: RefCell<HashMap<u64, Rc<Client>>>,
+    next_id: Cell<u64>,
+    /// The number of connections with a request in flight.
+    in_flight: Cell<usize>,
+    closed: Notify,
+    /// Idle connections are being handed over to another process of the node.
+    handing_over: Cell<bool>,
+    idle_notify: Notify,
 }
 
 impl Clients {
-    /// The front of a gateway, without connections yet.
+    /// A front for the gateway, without connections yet.
     pub fn new(gateway: Rc<Gateway>) -> Rc<Self> {
         Self::routed(gateway, None)
     }
 
-    /// The same where requests name services. The gateway is that of the process: what it has in common is asked there.
+    /// A front for requests that name services. The gateway is the process's own, which holds what its services share.
     pub fn routed(gateway: Rc<Gateway>, routing: Option<Routing>) -> Rc<Self> {
         Rc::new(Clients {
             gateway,
             routing,
-            waits: WaiterCount::default(),
-            open: RefCell::default(),
-            next: Cell::new(0),
-            busy: Cell::new(0),
-            left: Notify::new(),
-            handing: Cell::new(false),
-            rested: Notify::new(),
+            waiters: WaiterCount::default(),
+            connections: RefCell::default(),
+            next_id: Cell::new(0),
+            in_flight: Cell::new(0),
+            closed: Notify::new(),
+            handing_over: Cell::new(false),
+            idle_notify: Notify::new(),
         })
     }
 
-    /// Ends a connection so that a new client finds a place; false where there is none that can be ended. Each is told
-    /// once, so that a burst of new ones makes as much room as it takes.
+    /// Closes a connection to make room for a new client; false where none can be closed. Each connection is asked
+    /// once, so that a burst of new clients makes as much room as it needs.
     pub fn make_room(&self, need: SlotDemand) -> bool {
-        let open = self.open.borrow();
+        let connections = self.connections.borrow();
         let now = self.gateway.running_time();
-        let found = spare(&open, now).or_else(|| match need {
+        let candidate = find_unneeded(&connections, now).or_else(|| match need {
             SlotDemand::Upcoming => None,
-            SlotDemand::Waiting(waited) => needed(&open, now, waited, need.connections_to_close()),
+            SlotDemand::Waiting(waited) => {
+                find_evictable(&connections, now, waited, need.connections_to_close())
+            }
         });
-        let Some((client, end)) = found else { return false };
-        client.tell(end);
+        let Some((client, close_mode)) = candidate else { return false };
+        client.request_close(close_mode);
         events::record_for_connection(self.gateway.clock.now(), Kind::ClosedForRoom);
         true
     }
 
-    /// Every `SWEEP_INTERVAL`: closes what stands still.
+    /// Closes connections that make no progress; to be called every [`SWEEP_INTERVAL`].
     pub fn sweep(&self) {
         let now = self.gateway.running_time();
-        let open = self.open.borrow();
-        let crowded = self.gateway.budget.is_crowded(open.len());
-        let ended = open.values().filter_map(|client| client.sweep(now, crowded));
-        ended.for_each(|kind| events::record_for_connection(self.gateway.clock.now(), kind));
+        let connections = self.connections.borrow();
+        let crowded = self.gateway.budget.is_crowded(connections.len());
+        let closed = connections.values().filter_map(|client| client.sweep(now, crowded));
+        closed.for_each(|kind| events::record_for_connection(self.gateway.clock.now(), kind));
     }
 
-    /// Connections that are open.
+    /// The number of open connections.
     pub fn open_connections(&self) -> usize {
-        self.open.borrow().len()
-    }
-
-    /// Gives connections that are between requests to another process of the node, by `give`, until that has no room;
-    /// how many. `give` is told whether the connection has carried a request. Some at a time: what is given is closed here only when its task has run, and until then both hold it.
-    /// A client notices nothing: its next request finds the other process.
-    pub fn hand_over(&self, give: impl Fn(BorrowedFd<'_>, bool) -> bool) -> usize {
-        self.handing.set(true);
-        let open = self.open.borrow();
-        // What has been read of a further request cannot go over: that one is served here.
-        let mut given = 0;
-        for client in open.values().filter(|c| c.may_be_given()).take(AT_ONCE) {
-            if !client.socket.give(|connection| give(connection, client.rest.used())) {
-                return given;
+        self.connections.borrow().len()
+    }
+
+    /// Hands connections that are between requests over to another process of the node by `send` until that has no
+    /// room, and returns their number. `send` gets whether the connection has carried a request. The number per call is
+    /// limited because a connection is closed here only when its task has run, and until then both processes hold it.
+    /// Clients notice nothing: their next requests reach the other process.
+    pub fn hand_over(&self, send: impl Fn(BorrowedFd<'_>, bool) -> bool) -> usize {
+        self.handing_over.set(true);
+        let connections = self.connections.borrow();
+        // A request that has been read in part cannot be handed over: it is served here.
+        let mut handed_over = 0;
+        for client in connections.values().filter(|c| c.may_hand_over()).take(HAND_OVER_BATCH) {
+            if !client.socket.hand_over(|connection| send(connection, client.idle_tracker.used())) {
+                return handed_over;
             }
-            client.tell(End::Now);
-            given += 1;
+            client.request_close(CloseMode::Immediately);
+            handed_over += 1;
         }
-        if given == AT_ONCE {
-            self.rested.notify_one();
+        if handed_over == HAND_OVER_BATCH {
+            self.idle_notify.notify_one();
         }
-        given
+        handed_over
     }
 
-    /// Waits until a connection comes to rest after [`Clients::hand_over`] has gone over them: a client that asks without a
-    /// pause rests for some tens of microseconds between two requests, which no clock's tick meets.
+    /// Waits until a connection becomes idle after [`Clients::hand_over`] was called: one whose client sends requests
+    /// without a pause is idle for some tens of microseconds between two of them, which a periodic check does not meet.
     pub async fn connection_idle(&self) {
-        self.rested.notified().await;
+        self.idle_notify.notified().await;
     }
 
-    /// Takes a connection that another process of the node has given over between two requests, or before the first one.
+    /// Serves a connection that another process of the node has handed over between two requests, or before the first
+    /// one.
     pub fn resume(self: &Rc<Self>, stream: TcpStream, used: bool) {
-        self.serve(stream, used, self.place());
+        self.serve(stream, used, self.acquire_slot());
     }
 
-    /// Closes all connections that rest; the number of those that are left.
+    /// Closes all idle connections and returns the number of open ones.
     pub fn close_idle(&self) -> usize {
         let now = self.gateway.running_time();
-        let open = self.open.borrow();
-        open.values().filter(|c| !c.ending() && c.may_close(now)).for_each(|c| c.tell(End::AtRest));
-        open.len()
+        let connections = self.connections.borrow();
+        connections
+            .values()
+            .filter(|c| !c.is_closing() && c.may_close(now))
+            .for_each(|c| c.request_close(CloseMode::WhenIdle));
+        connections.len()
     }
 
-    fn place(&self) -> Place {
-        Place::Kept { _slot: self.gateway.budget.acquire_client() }
+    fn acquire_slot(&self) -> ClientSlot {
+        ClientSlot::Regular { _slot: self.gateway.budget.acquire_client() }
     }
 
-    fn serve(self: &Rc<Self>, stream: TcpStream, used: bool, place: Place) {
+    fn serve(self: &Rc<Self>, stream: TcpStream, used: bool, slot: ClientSlot) {
         let now = self.gateway.running_time();
-        let client = Rc::new(Client::new(Socket::of_client(stream), now, used, place));
-        let id = self.next.get();
-        self.next.set(id + 1);
-        self.open.borrow_mut().insert(id, client.clone());
+        let client = Rc::new(Client::new(Socket::for_client(stream), now, used, slot));
+        let id = self.next_id.get();
+        self.next_id.set(id + 1);
+        self.connections.borrow_mut().insert(id, client.clone());
         let clients = self.clone();
         tokio::task::spawn_local(async move {
-            serve(&clients, client).await;
-            clients.open.borrow_mut().remove(&id);
-            clients.left.notify_one();
+            serve_connection(&clients, client).await;
+            clients.connections.borrow_mut().remove(&id);
+            clients.closed.notify_one();
         });
     }
 }
 
-type Open = HashMap<u64, Rc<Client>>;
+type Connections = HashMap<u64, Rc<Client>>;
 
-/// A connection that nobody needs: one that has never said anything, else one that has stopped in the middle of a head, and
-/// else the one that has rested longest, if for long.
-fn spare(open: &Open, now: Nanos) -> Option<(&Rc<Client>, End)> {
-    longest_at_rest(open, now, |rest| !rest.used() && rest.may_evict(now))
-        .map(|client| (client, End::AtRest))
-        .or_else(|| Some((longest_stopped(open, now)?, End::Now)))
-        .or_else(|| Some((longest_at_rest(open, now, |rest| rest.may_close(now))?, End::AtRest)))
+/// A connection that can be closed without harm: one that has never sent anything, else one that has stalled within a
+/// head, else the one that has been idle longest, if for long enough.
+fn find_unneeded(connections: &Connections, now: Nanos) -> Option<(&Rc<Client>, CloseMode)> {
+    longest_idle(connections, now, |idle| !idle.used() && idle.may_evict(now))
+        .map(|client| (client, CloseMode::WhenIdle))
+        .or_else(|| Some((longest_stalled_head(connections, now)?, CloseMode::Immediately)))
+        .or_else(|| Some((longest_idle(connections, now, |idle| idle.may_close(now))?, CloseMode::WhenIdle)))
 }
 
-/// The connection that has rested longest of those whose rest is like this.
-fn longest_at_rest(open: &Open, now: Nanos, like: impl Fn(&IdleTracker) -> bool) -> Option<&Rc<Client>> {
-    let mut resting: Vec<_> = open.values().filter(|c| !c.ending() && like(&c.rest)).collect();
-    resting.sort_unstable_by_key(|c| c.rest.idle_since());
+/// The longest idle connection of those that match.
+fn longest_idle(
+    connections: &Connections,
+    now: Nanos,
+    matches: impl Fn(&IdleTracker) -> bool,
+) -> Option<&Rc<Client>> {
+    let mut idle: Vec<_> =
+        connections.values().filter(|c| !c.is_closing() && matches(&c.idle_tracker)).collect();
+    idle.sort_unstable_by_key(|c| c.idle_tracker.idle_since());
     // The kernel is asked last, and only until one is found.
-    resting.into_iter().find(|c| c.may_close(now))
+    idle.into_iter().find(|c| c.may_close(now))
 }
 
-/// A connection whose client may go on asking, where a new client has waited for so long and so many connections should be
-/// about to end. One at rest is ended only where no answer is due that says so, or where those that are due take too long:
-/// its client may be late to read.
-fn needed(
-    open: &Open,
+/// A connection whose client may send further requests, for a new client that has waited this long when this many
+/// connections should be about to close. An idle one is closed only where no response is due that announces its close,
+/// or where those that are due take too long: its client may be late to read.
+fn find_evictable(
+    connections: &Connections,
     now: Nanos,
     waited: Duration,
-    connections_to_close: usize,
-) -> Option<(&Rc<Client>, End)> {
-    let due = open.values().filter(|client| client.ends_with_answer()).count();
-    let with_answer =
-        || Some((longest_at_work(open)?, End::WithAnswer)).filter(|_| due < connections_to_close);
-    let at_rest = || Some((longest_at_rest(open, now, |rest| rest.may_evict(now))?, End::AtRest));
-    if waited >= AT_REST_AFTER {
-        return at_rest().or_else(with_answer);
-    }
-    with_answer().or_else(|| at_rest().filter(|_| due == 0))
+    target_closing: usize,
+) -> Option<(&Rc<Client>, CloseMode)> {
+    let due = connections.values().filter(|client| client.closes_after_response()).count();
+    let after_response =
+        || Some((longest_in_flight(connections)?, CloseMode::AfterResponse)).filter(|_| due < target_closing);
+    let when_idle =
+        || Some((longest_idle(connections, now, |idle| idle.may_evict(now))?, CloseMode::WhenIdle));
+    if waited >= EVICT_IDLE_AFTER {
+        return when_idle().or_else(after_response);
+    }
+    after_response().or_else(|| when_idle().filter(|_| due == 0))
 }
 
-/// Of the connections whose requests are under way and that do not end with their answers already, the one that has had its
-/// last answer longest ago.
-fn longest_at_work(open: &Open) -> Option<&Rc<Client>> {
-    let at_work = open.values().filter(|c| c.before_answer() && !c.ends_with_answer());
-    at_work.min_by_key(|c| c.rest.idle_since())
+/// Of the connections with a request in flight that do not close after its response already, the one whose last
+/// response was longest ago.
+fn longest_in_flight(connections: &Connections) -> Option<&Rc<Client>> {
+    let in_flight = connections.values().filter(|c| c.awaits_response() && !c.closes_after_response());
+    in_flight.min_by_key(|c| c.idle_tracker.idle_since())
 }
 
-/// The connection that has stood still longest in the middle of a head.
-fn longest_stopped(open: &Open, now: Nanos) -> Option<&Rc<Client>> {
-    let stopped = open.values().filter(|c| !c.ending()).filter_map(|c| Some((c.stopped_since(now)?, c)));
-    stopped.min_by_key(|(since, _)| *since).map(|(_, client)| client)
+/// The connection that has been stalled longest within a head.
+fn longest_stalled_head(connections: &Connections, now: Nanos) -> Option<&Rc<Client>> {
+    let stalled = connections
+        .values()
+        .filter(|c| !c.is_closing())
+        .filter_map(|c| Some((c.head_stalled_since(now)?, c)));
+    stalled.min_by_key(|(since, _)| *since).map(|(_, client)| client)
 }
 
 impl ConnectionHandler for Clients {
     fn serve(self: &Rc<Self>, stream: TcpStream) {
-        self.serve(stream, false, self.place());
+        self.serve(stream, false, self.acquire_slot());
     }
 
     fn serve_overflow(self: &Rc<Self>, stream: TcpStream) -> Result<(), TcpStream> {
         let Some(slot) = self.gateway.budget.acquire_overflow() else { return Err(stream) };
-        self.serve(stream, false, Place::Overflow { _slot: slot });
+        self.serve(stream, false, ClientSlot::Overflow { _slot: slot });
         Ok(())
     }
 
     fn connection_closed(&self) -> &Notify {
-        &self.left
+        &self.closed
     }
 }
 
-async fn serve(clients: &Rc<Clients>, client: Rc<Client>) {
+async fn serve_connection(clients: &Rc<Clients>, client: Rc<Client>) {
     let mut builder = http1::Builder::new();
-    builder.max_buf_size(BUFFER).timer(hyper_util::rt::TokioTimer::new()).header_read_timeout(None);
+    builder
+        .max_buf_size(READ_BUFFER_BYTES)
+        .timer(hyper_util::rt::TokioTimer::new())
+        .header_read_timeout(None);
     let service = service_fn(|request| respond(clients, &client, request));
     let io = TokioIo::new(SocketIo(client.socket.clone()));
     let mut connection = pin!(builder.serve_connection(io, service));
     loop {
         tokio::select! {
             biased;
-            // What goes wrong here is the client's: it has gone, or was told 400.
+            // Errors here are the client's: it has gone, or has been sent 400.
             _ = connection.as_mut() => return,
-            end = client.told() => match end {
-                Some(End::AtRest) if client.may_close(clients.gateway.running_time()) => {
+            mode = client.close_requested() => match mode {
+                Some(CloseMode::WhenIdle) if client.may_close(clients.gateway.running_time()) => {
                     connection.as_mut().graceful_shutdown();
                 }
-                // A request has come since that was decided: it is served, and the next look closes.
-                Some(End::AtRest) => {
-                    client.go_on();
+                // A request has arrived since the decision: it is served, and a later check closes.
+                Some(CloseMode::WhenIdle) => {
+                    client.cancel_close();
                     events::record_for_connection(clients.gateway.clock.now(), Kind::CloseCrossed);
                 }
-                Some(End::Now) => return,
-                Some(End::WithAnswer) | None => {}
+                Some(CloseMode::Immediately) => return,
+                Some(CloseMode::AfterResponse) | None => {}
             },
         }
     }
 }
 
-/// A request under way. From its head to the end of its answer its connection does not count as idle.
-struct Busy {
+/// Tracks a request in flight. From its head to the end of its response its connection is not idle.
+struct RequestGuard {
     clients: Rc<Clients>,
     client: Rc<Client>,
 }
 
-impl Busy {
+impl RequestGuard {
     fn new(clients: &Rc<Clients>, client: &Rc<Client>) -> Self {
-        clients.busy.set(clients.busy.get() + 1);
-        client.request_came();
-        Busy { clients: clients.clone(), client: client.clone() }
+        clients.in_flight.set(clients.in_flight.get() + 1);
+        client.request_started();
+        RequestGuard { clients: clients.clone(), client: client.clone() }
     }
 }
 
-impl Drop for Busy {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.clients.busy.set(self.clients.busy.get() - 1);
-        self.client.request_over(self.clients.gateway.running_time());
-        if self.clients.handing.get() {
-            self.clients.rested.notify_one();
+        self.clients.in_flight.set(self.clients.in_flight.get() - 1);
+        self.client.request_finished(self.clients.gateway.running_time());
+        if self.clients.handing_over.get() {
+            self.clients.idle_notify.notify_one();
         }
     }
 }
 
-/// An answer on its way, until hyper has taken all of it.
-struct Outgoing {
-    body: AnswerBody,
-    _busy: Busy,
+/// A response that is being sent, until hyper has taken all of it.
+struct GuardedBody {
+    body: ResponseBody,
+    _guard: RequestGuard,
 }
 
-impl Body for Outgoing {
+impl Body for GuardedBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -322,129 +342,132 @@
     clients: &Rc<Clients>,
     client: &Rc<Client>,
     request: Request<Incoming>,
-) -> Result<Response<Outgoing>, Infallible> {
-    let busy = Busy::new(clients, client);
+) -> Result<Response<GuardedBody>, Infallible> {
+    let guard = RequestGuard::new(clients, client);
     let gateway = &clients.gateway;
-    let mut response = match answer(clients, client, request).await {
+    let mut response = match handle_request(clients, client, request).await {
         Ok(response) => response,
-        Err(fault) => closing(fault.response(gateway)),
+        Err(error) => with_connection_close(error.response(gateway)),
     };
-    let last = client.answer_begins(gateway.running_time());
-    if last || gateway.is_draining() {
-        response = closing(response);
+    let closes = client.response_started(gateway.running_time());
+    if closes || gateway.is_draining() {
+        response = with_connection_close(response);
     }
-    Ok(response.map(|body| Outgoing { body, _busy: busy }))
+    Ok(response.map(|body| GuardedBody { body, _guard: guard }))
 }
 
-/// Why a request is not taken. It is answered at once and its connection closed: whoever sends such requests
-/// has no claim to a place. None of them has gone to a server, which would turn it away, close on it and look
-/// faulty for it.
+/// Why a request is rejected. It is answered at once and its connection is closed: clients that send such requests have
+/// no claim to a slot. None of them has gone to a server, which would reject it or close the connection, and look
+/// faulty for that.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-enum Fault {
+enum RequestError {
     #[error("no such class of requests")]
-    Class,
+    UnknownClass,
     #[error("the class has another method")]
-    Method,
+    WrongMethod,
     #[error("the length of the body is not clear")]
-    Framing,
+    AmbiguousLength,
     #[error("a request needs one X-Request-ID")]
-    Id,
+    InvalidId,
     #[error("a request with this id has been taken already")]
-    IdTaken,
+    DuplicateId,
     #[error("X-Timeout-Ms is not a number of milliseconds")]
-    Timeout,
+    InvalidTimeout,
     #[error("the class needs one Idempotency-Key")]
-    Key,
+    MissingIdempotencyKey,
     #[error("{0}")]
     Body(#[from] IntakeError),
     #[error("{0}")]
     Service(#[from] NameError),
     #[error("{0}")]
-    RouteError(#[from] RouteError),
+    Route(#[from] RouteError),
     #[error("no room")]
-    NoRoom,
+    Overloaded,
     #[error("nobody waits for the answer")]
-    Left,
+    ClientGone,
 }
 
-impl Fault {
-    fn response(self, gateway: &Gateway) -> Response<AnswerBody> {
+impl RequestError {
+    fn response(self, gateway: &Gateway) -> Response<ResponseBody> {
         let status = match self {
-            Fault::Class | Fault::RouteError(RouteError::Unknown) => StatusCode::NOT_FOUND,
-            Fault::Method => StatusCode::METHOD_NOT_ALLOWED,
-            Fault::IdTaken => StatusCode::CONFLICT,
-            Fault::Body(IntakeError::TooLarge) => StatusCode::PAYLOAD_TOO_LARGE,
-            Fault::Body(IntakeError::Slow) => StatusCode::REQUEST_TIMEOUT,
-            // The only ones that are refusals: the request is sound, and it has not gone anywhere.
-            Fault::NoRoom | Fault::Body(IntakeError::NoRoom) | Fault::RouteError(_) => {
-                return refused(Nanos::MAX, gateway)
-            }
+            RequestError::UnknownClass | RequestError::Route(RouteError::Unknown) => StatusCode::NOT_FOUND,
+            RequestError::WrongMethod => StatusCode::METHOD_NOT_ALLOWED,
+            RequestError::DuplicateId => StatusCode::CONFLICT,
+            RequestError::Body(IntakeError::TooLarge) => StatusCode::PAYLOAD_TOO_LARGE,
+            RequestError::Body(IntakeError::TooSlow) => StatusCode::REQUEST_TIMEOUT,
+            // These reject a valid request that has not been sent to any server.
+            RequestError::Overloaded
+            | RequestError::Body(IntakeError::BufferLimit)
+            | RequestError::Route(_) => return overloaded_response(Nanos::MAX, gateway),
             _ => StatusCode::BAD_REQUEST,
         };
-        text(status, Bytes::from(format!("{self}\n")))
+        text_response(status, Bytes::from(format!("{self}\n")))
     }
 }
 
-/// What a sound head says.
-struct Head {
+/// The contents of a valid head.
+struct RequestHead {
     class: usize,
     id: u64,
     label: Label,
     /// How long the client waits.
-    wait: Nanos,
+    client_timeout: Nanos,
 }
 
-/// The one value of a header.
-fn only(headers: &HeaderMap, name: HeaderName) -> Option<&[u8]> {
+/// The value of a header that the request has exactly once.
+fn single_value(headers: &HeaderMap, name: HeaderName) -> Option<&[u8]> {
     let mut values = headers.get_all(name).iter();
     values.next().filter(|_| values.next().is_none()).map(HeaderValue::as_bytes)
 }
 
-fn number(text: &[u8]) -> Option<u64> {
+fn parse_u64(text: &[u8]) -> Option<u64> {
     let digits = text.trim_ascii();
-    let sound = !digits.is_empty() && digits.iter().all(u8::is_ascii_digit);
-    std::str::from_utf8(digits).ok().filter(|_| sound)?.parse().ok()
+    let valid = !digits.is_empty() && digits.iter().all(u8::is_ascii_digit);
+    std::str::from_utf8(digits).ok().filter(|_| valid)?.parse().ok()
 }
 
-/// Reads a head; everything that PROTOCOL asks of a request is checked here, before anything is held for it.
-fn check(gateway: &Gateway, client: &Client, head: &Parts) -> Result<Head, Fault> {
-    if client.socket.unclear(client.requests()) {
-        return Err(Fault::Framing);
+/// Parses a head. Everything that PROTOCOL requires of a request is checked here, before any memory is held for it.
+fn parse_head(gateway: &Gateway, client: &Client, head: &Parts) -> Result<RequestHead, RequestError> {
+    if client.socket.has_ambiguous_framing(client.request_count()) {
+        return Err(RequestError::AmbiguousLength);
     }
     let name = head.uri.path().split('/').nth(1).unwrap_or_default();
-    let class = gateway.config.classes.iter().position(|c| c == name).ok_or(Fault::Class)?;
+    let class = gateway.config.classes.iter().position(|c| c == name).ok_or(RequestError::UnknownClass)?;
     let settings = &gateway.config.settings.classes[class];
     let method = if settings.idempotency == Idempotency::Safe { Method::GET } else { Method::POST };
     if head.method != method {
-        return Err(Fault::Method);
+        return Err(RequestError::WrongMethod);
     }
     if settings.idempotency == Idempotency::Keyed
-        && only(&head.headers, IDEMPOTENCY_KEY).is_none_or(<[u8]>::is_empty)
+        && single_value(&head.headers, IDEMPOTENCY_KEY).is_none_or(<[u8]>::is_empty)
     {
-        return Err(Fault::Key);
-    }
-    let id = only(&head.headers, REQUEST_ID).filter(|id| id.iter().all(u8::is_ascii_graphic));
-    let id = id.filter(|id| (1..=MOST_ID).contains(&id.len())).ok_or(Fault::Id)?;
-    let wait = only(&head.headers, TIMEOUT).and_then(number).filter(|ms| *ms > 0).ok_or(Fault::Timeout)?;
-    // No client waits longer than its class: a longer figure would only hold memory.
-    let wait = wait.saturating_mul(1_000_000).min(settings.client_timeout);
-    Ok(Head { class, id: laurelroute_core::stable_hash(id), label: Label::of(id), wait })
+        return Err(RequestError::MissingIdempotencyKey);
+    }
+    let id = single_value(&head.headers, REQUEST_ID).filter(|id| id.iter().all(u8::is_ascii_graphic));
+    let id = id.filter(|id| (1..=MAX_REQUEST_ID_BYTES).contains(&id.len())).ok_or(RequestError::InvalidId)?;
+    let client_timeout = single_value(&head.headers, TIMEOUT_MS)
+        .and_then(parse_u64)
+        .filter(|ms| *ms > 0)
+        .ok_or(RequestError::InvalidTimeout)?;
+    // No client waits longer than its class allows: a longer timeout would only hold memory.
+    let client_timeout = client_timeout.saturating_mul(1_000_000).min(settings.client_timeout);
+    Ok(RequestHead { class, id: laurelroute_core::stable_hash(id), label: Label::of(id), client_timeout })
 }
 
-async fn answer(
+async fn handle_request(
     clients: &Rc<Clients>,
     client: &Client,
     request: Request<Incoming>,
-) -> Result<Response<AnswerBody>, Fault> {
+) -> Result<Response<ResponseBody>, RequestError> {
     let gateway = &clients.gateway;
     let (parts, body) = request.into_parts();
     if parts.uri.path() == "/up" && parts.method == Method::GET {
         let up = gateway.ready.get() && !gateway.is_draining();
         let status = if up { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-        return Ok(text(status, Bytes::new()));
+        return Ok(text_response(status, Bytes::new()));
     }
-    let head = check(gateway, client, &parts)?;
-    // Asked for with the head: while the body comes, so does the service.
+    let head = parse_head(gateway, client, &parts)?;
+    // The service is requested with the head, so that it is resolved while the body arrives.
     let routed = match &clients.routing {
         Some(routing) => {
             Some(ServiceRoute::new(&routing.services, routing.name_source.service_name(&parts)?)?)
@@ -452,80 +475,85 @@
         None => None,
     };
     let safe = gateway.config.settings.classes[head.class].idempotency == Idempotency::Safe;
-    let mut intake = Intake::new(&gateway.budget, body)?;
-    let whole = intake.hold().await?;
-    if safe && !intake.held.is_empty() {
-        return Err(Fault::Method);
-    }
-    if clients.busy.get() > gateway.budget.max_clients() {
-        // So many are under way that new ones find no place: better told than left to wait for one.
+    let mut intake = BodyIntake::new(&gateway.budget, body)?;
+    let complete = intake.buffer().await?;
+    if safe && !intake.buffered.is_empty() {
+        return Err(RequestError::WrongMethod);
+    }
+    if clients.in_flight.get() > gateway.budget.max_clients() {
+        // So many requests are in flight that new clients find no slot: a rejection is better than leaving them to wait
+        // for one.
         events::record_for_connection(gateway.clock.now(), Kind::RefusedNoRoom);
-        return Err(Fault::NoRoom);
+        return Err(RequestError::Overloaded);
     }
-    // What has waited in the kernel's queue, or for the end of its body, is not sent on for one that has gone meanwhile.
-    if client.socket.left_behind(client.requests() == 1).await {
-        return Err(Fault::Left);
+    // A request that has waited in the kernel's queue, or for the end of its body, is not sent on if its client has
+    // gone meanwhile.
+    if client.socket.peer_closed_after_read(client.request_count() == 1).await {
+        return Err(RequestError::ClientGone);
     }
-    client.request_taken();
+    client.request_submitted();
     let now = gateway.clock.now();
-    let give_up_at = now + head.wait + if whole { 0 } else { UPLOAD };
+    let give_up_at = now + head.client_timeout + if complete { 0 } else { UPLOAD_TIMEOUT };
     if !gateway.claim_request_id(head.id, give_up_at) {
-        return Err(Fault::IdTaken);
+        return Err(RequestError::DuplicateId);
     }
-    let carrier = match &routed {
+    let service_gateway = match &routed {
         None => gateway.clone(),
         Some(routed) => {
-            let latest = route::wait_deadline(&gateway.config.settings, head.class, now + head.wait);
-            let room = (&clients.waits, (gateway.budget.max_clients() / WAITING_PART).max(1));
-            let (carrier, waited) = routed.gateway(&gateway.clock, latest, room).await?;
-            if waited && client.socket.left_behind(client.requests() == 1).await {
-                return Err(Fault::Left);
+            let wait_until =
+                route::wait_deadline(&gateway.config.settings, head.class, now + head.client_timeout);
+            let limit = (&clients.waiters, (gateway.budget.max_clients() / WAITING_SHARE_DIVISOR).max(1));
+            let (service_gateway, waited) = routed.gateway(&gateway.clock, wait_until, limit).await?;
+            if waited && client.socket.peer_closed_after_read(client.request_count() == 1).await {
+                return Err(RequestError::ClientGone);
             }
-            carrier
+            service_gateway
         }
     };
-    let request = interface_request(gateway, &head, &parts.headers, give_up_at);
-    let (body, upload) = intake.into_message(whole);
-    let wait = upload.is_some().then_some(head.wait / 1_000_000);
-    let (exchange, mut answer) = exchange(parts, body, wait, client.socket.clone());
-    let claim = carrier.submit(Call { request, give_up_at, label: head.label }, Rc::new(exchange));
-    let verdict = match upload {
-        None => claim.response(&mut answer).await,
+    let request = policy_request(gateway, &head, &parts.headers, give_up_at);
+    let (body, upload) = intake.into_message(complete);
+    let client_timeout_ms = upload.is_some().then_some(head.client_timeout / 1_000_000);
+    let (exchange, mut response) = http_exchange(parts, body, client_timeout_ms, client.socket.clone());
+    let pending = service_gateway.submit(Call { request, give_up_at, label: head.label }, Rc::new(exchange));
+    let outcome = match upload {
+        None => pending.response(&mut response).await,
         Some(upload) => {
-            // It goes on by itself: what is answered early is still read to its end, or the close would take the answer
-            // with it.
+            // The upload goes on by itself: a body that is answered early is still read to its end, as closing the
+            // connection with unread data would lose the response.
             let (done, mut uploaded) = oneshot::channel();
             tokio::task::spawn_local(async move { done.send(upload.run().await) });
             tokio::select! {
-                verdict = claim.response(&mut answer) => verdict,
+                outcome = pending.response(&mut response) => outcome,
                 end = &mut uploaded => {
-                    end.unwrap_or(Err(IntakeError::Broken))?;
-                    claim.body_received(gateway.clock.now() + head.wait);
-                    claim.response(&mut answer).await
+                    end.unwrap_or(Err(IntakeError::Incomplete))?;
+                    pending.body_received(gateway.clock.now() + head.client_timeout);
+                    pending.response(&mut response).await
                 }
             }
         }
     };
-    Ok(match verdict {
-        FinalResponse::Upstream(Served { headers, body }) => {
-            let mut response = Response::new(AnswerBody::Served(PieceBody::new(body, None)));
+    Ok(match outcome {
+        FinalResponse::Upstream(UpstreamResponse { headers, body }) => {
+            let mut response = Response::new(ResponseBody::Upstream(MessageBody::new(body, None)));
             *response.headers_mut() = headers;
             response
         }
-        FinalResponse::Local(LocalReply::Refused { retry_after }) => refused(retry_after, gateway),
+        FinalResponse::Local(LocalReply::Refused { retry_after }) => {
+            overloaded_response(retry_after, gateway)
+        }
         FinalResponse::Local(LocalReply::Failed { late: true }) => {
-            text(StatusCode::GATEWAY_TIMEOUT, Bytes::from_static(b"no answer in time\n"))
+            text_response(StatusCode::GATEWAY_TIMEOUT, Bytes::from_static(b"no answer in time\n"))
         }
         FinalResponse::Local(LocalReply::Failed { late: false }) => {
-            text(StatusCode::BAD_GATEWAY, Bytes::from_static(b"failed\n"))
+            text_response(StatusCode::BAD_GATEWAY, Bytes::from_static(b"failed\n"))
         }
     })
 }
 
-/// The request in the module's words.
-fn interface_request(
+/// The request in the policy's terms.
+fn policy_request(
     gateway: &Gateway,
-    head: &Head,
+    head: &RequestHead,
     headers: &HeaderMap,
     give_up_at: Nanos,
 ) -> interface::Request {
@@ -544,15 +572,15 @@
     }
 }
 
-/// The request as it goes to servers.
-fn exchange(
+/// The request as it is sent to servers.
+fn http_exchange(
     parts: Parts,
     body: Rc<Message>,
-    wait: Option<u64>,
+    client_timeout_ms: Option<u64>,
     client: Rc<Socket>,
-) -> (HttpExchange, oneshot::Receiver<FinalResponse<Served>>) {
+) -> (HttpExchange, oneshot::Receiver<FinalResponse<UpstreamResponse>>) {
     let mut headers = parts.headers;
-    upstream::strip(&mut headers);
+    upstream::strip_hop_by_hop(&mut headers);
     headers.remove(header::EXPECT);
     if let Some(length) = body.length().filter(|l| *l > 0 && !headers.contains_key(header::CONTENT_LENGTH)) {
         headers.insert(header::CONTENT_LENGTH, HeaderValue::from(length));
@@ -561,29 +589,29 @@
         Some(path) if parts.uri.scheme().is_some() => Uri::from(path.clone()),
         _ => parts.uri,
     };
-    let (reply, answer) = ResponseSlot::new();
-    (HttpExchange { method: parts.method, uri, headers, body, wait, reply, client }, answer)
+    let (reply, response) = ResponseSlot::new();
+    (HttpExchange { method: parts.method, uri, headers, body, client_timeout_ms, reply, client }, response)
 }
 
-fn refused(retry_after: Nanos, gateway: &Gateway) -> Response<AnswerBody> {
-    let mut response = text(StatusCode::SERVICE_UNAVAILABLE, Bytes::from_static(b"busy\n"));
-    let advice = gateway
+fn overloaded_response(retry_after: Nanos, gateway: &Gateway) -> Response<ResponseBody> {
+    let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, Bytes::from_static(b"busy\n"));
+    let retry_after_seconds = gateway
         .config
         .retry_after_seconds(retry_after)
         .and_then(|s| HeaderValue::try_from(format!("{s:.3}")).ok());
-    if let Some(value) = advice {
+    if let Some(value) = retry_after_seconds {
         response.headers_mut().insert(header::RETRY_AFTER, value);
     }
     response
 }
 
-fn text(status: StatusCode, text: Bytes) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::Text(Some(text).filter(|t| !t.is_empty())));
+fn text_response(status: StatusCode, text: Bytes) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::Local(Some(text).filter(|t| !t.is_empty())));
     *response.status_mut() = status;
     response
 }
 
-fn closing<B>(mut response: Response<B>) -> Response<B> {
+fn with_connection_close<B>(mut response: Response<B>) -> Response<B> {
     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     response
 }
--- a/crates/http/src/intake.rs
+++ b/crates/http/src/intake.rs
@@ -1,7 +1,7 @@
-//! Bodies of requests as they come in: held as far as there is room, and passed through from there.
+//! Request bodies as they are received: buffered up to a limit, and streamed from there on.
 
-use crate::body::{rest, Message, Piece, MOST_BODY};
-use crate::pace::{Pace, Paced};
+use crate::body::{remainder_channel, BodyChunk, Message, MAX_BODY_BYTES};
+use crate::pace::{PaceLimits, PaceTracker};
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
@@ -12,132 +12,136 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 
-/// A client may come to 64 kB a second and write in small pieces: half of that is the least. A body that does not come at
-/// all is given up soon, as its head was.
-const PACE: Pace =
-    Pace { pause: Duration::from_millis(1_500), grace: Duration::from_millis(2_000), rate: 32_000 };
-/// A body up to this is held whole: nothing is sent before its last byte, so that its server is chosen as late as can be
-/// and another one can take it. Longer ones pass through.
-const HELD: u64 = 512 * 1024;
-/// How long a server may take nothing of a body that passes through.
-const UNTAKEN: Duration = Duration::from_millis(3_000);
+/// Clients may send as slowly as 64 kB/s and in small chunks, so the lowest accepted rate is half of that. A body that
+/// does not arrive at all is given up soon, like a head.
+const BODY_PACE: PaceLimits = PaceLimits {
+    max_pause: Duration::from_millis(1_500),
+    grace: Duration::from_millis(2_000),
+    min_rate: 32_000,
+};
+/// A body up to this size is buffered in full before anything is sent, so that its server is chosen as late as possible
+/// and another one can retry it. Longer ones are streamed.
+const MAX_BUFFERED_REQUEST_BYTES: u64 = 512 * 1024;
+/// How long a server may accept nothing of a streamed body.
+const UPSTREAM_STALL_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// Why a body is not taken.
+/// Why a body is not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum IntakeError {
-    /// Longer than any that passes.
+    /// The body exceeds [`MAX_BODY_BYTES`].
     #[error("the body is over 33 MiB")]
     TooLarge,
-    /// The client's connection or its framing ended it.
+    /// The client's connection or the body's framing broke off.
     #[error("the body broke off")]
-    Broken,
-    /// Slower than any honest client.
+    Incomplete,
+    /// The client sends too slowly.
     #[error("the body did not come in time")]
-    Slow,
-    /// The node holds all that it may.
+    TooSlow,
+    /// The node's buffers are full.
     #[error("no room for the body")]
-    NoRoom,
+    BufferLimit,
 }
 
-/// What a client still sends.
-struct Source {
+/// The part of a body that the client still has to send.
+struct BodySource {
     body: Incoming,
-    paced: Paced,
+    pace: PaceTracker,
 }
 
-impl Source {
-    /// The next piece; `None` at the end.
+impl BodySource {
+    /// The next chunk; `None` at the end.
     async fn next(&mut self) -> Result<Option<Bytes>, IntakeError> {
         loop {
-            let (begun, patience) = (Instant::now(), self.paced.patience());
-            let frame = timeout(patience, self.body.frame()).await;
-            let Some(frame) = frame.map_err(|_| IntakeError::Slow)? else { return Ok(None) };
-            if let Ok(data) = frame.map_err(|_| IntakeError::Broken)?.into_data() {
-                // Where it took longer, this process was held up, and when the data came is not known.
-                let waited = Some(begun.elapsed()).filter(|waited| *waited <= patience).unwrap_or_default();
-                self.paced.came(data.len(), waited);
+            let (started, timeout_after) = (Instant::now(), self.pace.next_timeout());
+            let frame = timeout(timeout_after, self.body.frame()).await;
+            let Some(frame) = frame.map_err(|_| IntakeError::TooSlow)? else { return Ok(None) };
+            if let Ok(data) = frame.map_err(|_| IntakeError::Incomplete)?.into_data() {
+                // A longer wait means that this process was held up, and when the data arrived is unknown.
+                let waited =
+                    Some(started.elapsed()).filter(|waited| *waited <= timeout_after).unwrap_or_default();
+                self.pace.received(data.len(), waited);
                 return Ok(Some(data));
             }
         }
     }
 }
 
-/// A body as it comes in.
-pub struct Intake {
-    source: Source,
+/// A request body being received.
+pub struct BodyIntake {
+    source: BodySource,
     length: Option<u64>,
-    /// What has come so far.
-    pub held: BufferedBody,
+    /// The part received so far.
+    pub buffered: BufferedBody,
 }
 
-impl Intake {
-    /// Nothing read yet. One whose length is too large is refused before any of it is read.
+impl BodyIntake {
+    /// Starts without reading anything. A body whose declared length exceeds the limit is rejected at once.
     pub fn new(budget: &Rc<Budget>, body: Incoming) -> Result<Self, IntakeError> {
-        if body.size_hint().lower() > MOST_BODY {
+        if body.size_hint().lower() > MAX_BODY_BYTES {
             return Err(IntakeError::TooLarge);
         }
         let length = body.size_hint().exact();
-        Ok(Intake {
-            source: Source { body, paced: PACE.start() },
+        Ok(BodyIntake {
+            source: BodySource { body, pace: BODY_PACE.start() },
             length,
-            held: BufferedBody::new(budget.body_lease()),
+            buffered: BufferedBody::new(budget.body_lease()),
         })
     }
 
-    /// Holds what comes; false where it is long, and the rest is to pass through.
-    pub async fn hold(&mut self) -> Result<bool, IntakeError> {
-        if self.length.is_some_and(|l| l > HELD) {
+    /// Buffers the body; returns false where it is too long for that and its remainder is to be streamed.
+    pub async fn buffer(&mut self) -> Result<bool, IntakeError> {
+        if self.length.is_some_and(|length| length > MAX_BUFFERED_REQUEST_BYTES) {
             return Ok(false);
         }
         while let Some(data) = self.source.next().await? {
-            if !self.held.push(data) {
-                return Err(IntakeError::NoRoom);
+            if !self.buffered.push(data) {
+                return Err(IntakeError::BufferLimit);
             }
-            if self.held.len() > HELD {
+            if self.buffered.len() > MAX_BUFFERED_REQUEST_BYTES {
                 return Ok(false);
             }
         }
         Ok(true)
     }
 
-    /// The message, and what brings its rest where that is still to come.
-    pub fn into_message(self, whole: bool) -> (Rc<Message>, Option<Upload>) {
-        if whole {
-            return (Message::whole(self.held), None);
+    /// The message, and the upload of its remainder where the body is not complete.
+    pub fn into_message(self, complete: bool) -> (Rc<Message>, Option<BodyUpload>) {
+        if complete {
+            return (Message::buffered(self.buffered), None);
         }
-        let (to, rest) = rest();
-        let upload = Upload { source: self.source, came: self.held.len(), to: Some(to) };
-        (Message::long(self.held, rest, self.length), Some(upload))
+        let (sender, remainder) = remainder_channel();
+        let upload = BodyUpload { source: self.source, received: self.buffered.len(), sender: Some(sender) };
+        (Message::streamed(self.buffered, remainder, self.length), Some(upload))
     }
 }
 
-/// The rest of a long body on its way to whoever takes it.
-pub struct Upload {
-    source: Source,
-    came: u64,
-    /// Nobody, once the one who took it has gone.
-    to: Option<mpsc::Sender<Piece>>,
+/// The remainder of a streamed body on its way to the attempt that takes it.
+pub struct BodyUpload {
+    source: BodySource,
+    received: u64,
+    /// `None` once the receiver has gone or has stalled.
+    sender: Option<mpsc::Sender<BodyChunk>>,
 }
 
-impl Upload {
-    /// Brings it, until the client's last byte has come. What nobody takes any more is read all the same: a close would
-    /// take an early answer with it.
+impl BodyUpload {
+    /// Forwards the remainder until the client's last byte has arrived. Data that no attempt accepts any more is still
+    /// read: closing the connection with unread data would reset it and lose an early response.
     pub async fn run(mut self) -> Result<(), IntakeError> {
         while let Some(data) = self.source.next().await? {
-            self.came += data.len() as u64;
-            if self.came > MOST_BODY {
+            self.received += data.len() as u64;
+            if self.received > MAX_BODY_BYTES {
                 return Err(IntakeError::TooLarge);
             }
-            self.bring(Piece::Data(data)).await;
+            self.forward(BodyChunk::Data(data)).await;
         }
-        self.bring(Piece::End).await;
+        self.forward(BodyChunk::End).await;
         Ok(())
     }
 
-    async fn bring(&mut self, piece: Piece) {
-        if let Some(to) = &self.to {
-            if !matches!(timeout(UNTAKEN, to.send(piece)).await, Ok(Ok(()))) {
-                self.to = None;
+    async fn forward(&mut self, chunk: BodyChunk) {
+        if let Some(sender) = &self.sender {
+            if !matches!(timeout(UPSTREAM_STALL_TIMEOUT, sender.send(chunk)).await, Ok(Ok(()))) {
+                self.sender = None;
             }
         }
     }
--- a/crates/http/src/socket.rs
+++ b/crates/http/src/socket.rs
@@ -1,7 +1,7 @@
-//! One TCP connection, shared between hyper and the node: hyper reads and writes it, the node asks what has
-//! gone over it.
+//! One TCP connection, shared between hyper, which reads and writes it, and the node, which asks what has been
+//! transferred.
 
-use crate::body::MOST_BODY;
+use crate::body::MAX_BODY_BYTES;
 use laurelroute_core::call::SendProgress;
 use laurelroute_core::{peer, retry_io};
 use std::cell::Cell;
@@ -13,119 +13,120 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A connection and what the node has to know of it.
+/// A connection and the state of its transfers.
 #[derive(Debug)]
 pub struct Socket {
     stream: TcpStream,
-    /// Something has come since the node last cleared this.
-    pub heard: Cell<bool>,
-    /// Another process has it: nothing more is read here.
-    given: Cell<bool>,
-    /// Something has gone either way since the node last cleared this.
-    pub moved: Cell<bool>,
-    /// An answer has been given to hyper, and the kernel may not have all of it yet.
-    pub unsent: Cell<bool>,
-    outgoing: Cell<Outgoing>,
-    incoming: Option<Cell<Incoming>>,
+    /// Data has been received since the node last cleared this flag.
+    pub data_received: Cell<bool>,
+    /// Another process has the connection: nothing more is read here.
+    handed_over: Cell<bool>,
+    /// Data has been transferred in either direction since the node last cleared this flag.
+    pub progressed: Cell<bool>,
+    /// hyper has been given a response of which the kernel may not have every byte yet.
+    pub response_unsent: Cell<bool>,
+    request_progress: Cell<RequestProgress>,
+    request_framing: Option<Cell<RequestFraming>>,
 }
 
-/// How much of a request has been handed to the kernel. A request of which it does not have the last byte
-/// cannot have run, and only that proves that an unsafe one may be sent again.
+/// How much of a request has been passed to the kernel. A request whose last byte has not been passed cannot have run,
+/// and only that proves that one which is not idempotent may be sent again.
 #[derive(Clone, Copy, Debug, Default)]
-struct Outgoing {
-    /// How many bytes of the blank line that ends a head have just gone by.
-    blank: u8,
+struct RequestProgress {
+    /// The number of bytes matched of the blank line that ends a head.
+    blank_line_bytes: u8,
     head_done: bool,
-    body_left: u64,
+    body_remaining: u64,
 }
 
-impl Outgoing {
-    fn note(&mut self, bytes: &[u8]) {
+impl RequestProgress {
+    fn observe(&mut self, bytes: &[u8]) {
         let mut at = 0;
         while !self.head_done && at < bytes.len() {
-            self.blank = match (bytes[at], self.blank) {
+            self.blank_line_bytes = match (bytes[at], self.blank_line_bytes) {
                 (b'\r', 2) => 3,
                 (b'\r', _) => 1,
                 (b'\n', 1) => 2,
                 (b'\n', 3) => 4,
                 _ => 0,
             };
-            self.head_done = self.blank == 4;
+            self.head_done = self.blank_line_bytes == 4;
             at += 1;
         }
-        self.body_left = self.body_left.saturating_sub((bytes.len() - at) as u64);
+        self.body_remaining = self.body_remaining.saturating_sub((bytes.len() - at) as u64);
     }
 }
 
-/// The longest line of a head of which the framing is read: no sound length needs more.
-const FRAMING_LINE: usize = 48;
+/// The longest prefix of a header line that is examined for framing: no valid length field needs more.
+const MAX_FRAMING_LINE_BYTES: usize = 48;
 
-/// What the heads that a client sends say of their bodies' lengths. The parser behind drops a length that comes
-/// after a transfer coding before anybody sees it, and whoever takes the other one sees another request in the
-/// body. This guards against all requests whose end is in doubt: both framings, or more than one length. It
-/// follows the lengths from one request to the next, so that it would also catch such a request behind others;
-/// it would do harm to a client that sends the same length twice, which no rule asks us to take.
+/// The framing of a client's requests. hyper's parser drops a Content-Length that follows a Transfer-Encoding before
+/// the service sees it, and a server that goes by the length would find another request in the body (request
+/// smuggling). This detects every request whose end is ambiguous: both framings, or more than one length. It tracks the
+/// bodies from one request to the next, and so detects pipelined ones too; it harms clients that send the same length
+/// twice, which no rule requires us to accept.
 #[derive(Clone, Copy, Debug)]
-struct Incoming {
-    part: Part,
-    line: [u8; FRAMING_LINE],
-    len: usize,
-    /// Heads that are complete.
-    heads: u32,
-    lengths: u32,
-    length: Option<u64>,
-    coded: bool,
-    /// The head whose framing is at fault, counted from 1.
-    fault: Option<u32>,
+struct RequestFraming {
+    state: FramingState,
+    line: [u8; MAX_FRAMING_LINE_BYTES],
+    line_length: usize,
+    /// Complete heads so far.
+    heads_read: u32,
+    content_lengths: u32,
+    content_length: Option<u64>,
+    chunked: bool,
+    /// The first head whose framing is ambiguous, counted from 1.
+    ambiguous_head: Option<u32>,
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Part {
-    /// At the first line of a head, or in the empty lines ahead of it.
+enum FramingState {
+    /// Before or within the request line; empty lines may precede it.
     Start,
-    Fields,
+    HeaderFields,
     Body(u64),
-    /// At a chunk's size (RFC 9112, section 7.1), in a chunk with the line end behind it, in the trailer fields.
-    Size,
-    Chunk(u64),
+    /// The states of a chunked body (RFC 9112, section 7.1): a chunk's size line, its data with the line end behind it,
+    /// and the trailer fields.
+    ChunkSize,
+    ChunkData(u64),
     Trailers,
-    /// What comes is no message that ends where it says: the connection ends with this request.
-    Lost,
+    /// The framing is ambiguous or invalid: the connection is closed after this request.
+    Invalid,
 }
 
-impl Incoming {
-    const NEW: Incoming = Incoming {
-        part: Part::Start,
-        line: [0; FRAMING_LINE],
-        len: 0,
-        heads: 0,
-        lengths: 0,
-        length: None,
-        coded: false,
-        fault: None,
+impl RequestFraming {
+    const NEW: RequestFraming = RequestFraming {
+        state: FramingState::Start,
+        line: [0; MAX_FRAMING_LINE_BYTES],
+        line_length: 0,
+        heads_read: 0,
+        content_lengths: 0,
+        content_length: None,
+        chunked: false,
+        ambiguous_head: None,
     };
 
-    fn note(&mut self, mut bytes: &[u8]) {
+    fn observe(&mut self, mut bytes: &[u8]) {
         while let Some(&byte) = bytes.first() {
-            match self.part {
-                Part::Lost => return,
-                Part::Body(left) | Part::Chunk(left) => {
+            match self.state {
+                FramingState::Invalid => return,
+                FramingState::Body(left) | FramingState::ChunkData(left) => {
                     let skip = left.min(bytes.len() as u64);
                     bytes = &bytes[skip as usize..];
-                    self.part = match (self.part, left - skip) {
-                        (Part::Chunk(_), 0) => Part::Size,
-                        (Part::Chunk(_), left) => Part::Chunk(left),
-                        (_, 0) => Part::Start,
-                        (_, left) => Part::Body(left),
+                    self.state = match (self.state, left - skip) {
+                        (FramingState::ChunkData(_), 0) => FramingState::ChunkSize,
+                        (FramingState::ChunkData(_), left) => FramingState::ChunkData(left),
+                        (_, 0) => FramingState::Start,
+                        (_, left) => FramingState::Body(left),
                     };
                     continue;
                 }
                 _ if byte == b'\n' => self.end_of_line(),
                 _ => {
-                    if let Some(place) = self.line.get_mut(self.len) {
-                        *place = byte;
+                    if let Some(slot) = self.line.get_mut(self.line_length) {
+                        *slot = byte;
                     }
-                    self.len += 1;
+                    self.line_length += 1;
                 }
             }
             bytes = &bytes[1..];
@@ -133,164 +134,173 @@
     }
 
     fn end_of_line(&mut self) {
-        let cut = self.len > FRAMING_LINE;
+        let truncated = self.line_length > MAX_FRAMING_LINE_BYTES;
         let line = self.line;
-        let line = line[..self.len.min(FRAMING_LINE)].trim_ascii();
-        self.len = 0;
-        match self.part {
-            Part::Start | Part::Trailers if line.is_empty() => self.part = Part::Start,
-            Part::Start => self.part = Part::Fields,
-            Part::Trailers => {}
-            Part::Size => self.part = chunk(line),
+        let line = line[..self.line_length.min(MAX_FRAMING_LINE_BYTES)].trim_ascii();
+        self.line_length = 0;
+        match self.state {
+            FramingState::Start | FramingState::Trailers if line.is_empty() => {
+                self.state = FramingState::Start
+            }
+            FramingState::Start => self.state = FramingState::HeaderFields,
+            FramingState::Trailers => {}
+            FramingState::ChunkSize => self.state = after_chunk_size(line),
             _ if line.is_empty() => self.end_of_head(),
             _ => {
                 let colon = line.iter().position(|b| *b == b':').unwrap_or(line.len());
                 let (name, value) = line.split_at(colon);
                 if name.trim_ascii().eq_ignore_ascii_case(b"content-length") {
-                    self.lengths += 1;
+                    self.content_lengths += 1;
                     let digits = std::str::from_utf8(value).ok().map(|v| v.trim_start_matches(':').trim());
-                    self.length = digits.filter(|_| !cut).and_then(|d| d.parse().ok());
+                    self.content_length = digits.filter(|_| !truncated).and_then(|d| d.parse().ok());
                 } else if name.trim_ascii().eq_ignore_ascii_case(b"transfer-encoding") {
-                    self.coded = true;
+                    self.chunked = true;
                 }
             }
         }
     }
 
     fn end_of_head(&mut self) {
-        self.heads += 1;
-        let unclear = self.lengths == 1 && self.length.is_none();
-        if self.lengths + u32::from(self.coded) > 1 || unclear {
-            self.fault.get_or_insert(self.heads);
+        self.heads_read += 1;
+        let invalid_length = self.content_lengths == 1 && self.content_length.is_none();
+        if self.content_lengths + u32::from(self.chunked) > 1 || invalid_length {
+            self.ambiguous_head.get_or_insert(self.heads_read);
         }
-        self.part = match self.length {
-            _ if self.fault.is_some() => Part::Lost,
-            _ if self.coded => Part::Size,
-            Some(length) if length > 0 => Part::Body(length),
-            _ => Part::Start,
+        self.state = match self.content_length {
+            _ if self.ambiguous_head.is_some() => FramingState::Invalid,
+            _ if self.chunked => FramingState::ChunkSize,
+            Some(length) if length > 0 => FramingState::Body(length),
+            _ => FramingState::Start,
         };
-        (self.lengths, self.length, self.coded) = (0, None, false);
+        (self.content_lengths, self.content_length, self.chunked) = (0, None, false);
     }
 }
 
-/// What follows a chunk's first line.
-fn chunk(line: &[u8]) -> Part {
+/// The state that follows a chunk's size line.
+fn after_chunk_size(line: &[u8]) -> FramingState {
     let digits = line.split(|b| *b == b';').next().unwrap_or_default().trim_ascii();
     let size = std::str::from_utf8(digits).ok().and_then(|d| u64::from_str_radix(d, 16).ok());
     match size {
-        Some(0) => Part::Trailers,
-        Some(size) => Part::Chunk(size.saturating_add(2)),
-        None => Part::Lost,
+        Some(0) => FramingState::Trailers,
+        Some(size) => FramingState::ChunkData(size.saturating_add(2)),
+        None => FramingState::Invalid,
     }
 }
 
 impl SendProgress for Socket {
     fn fully_sent(&self) -> bool {
-        self.written()
+        self.request_sent()
     }
 }
 
 impl Socket {
     /// A connection to a server.
     pub fn new(stream: TcpStream) -> Rc<Self> {
-        Self::with(stream, None)
+        Self::with_framing(stream, None)
     }
 
-    /// A client's connection, on which the framing of requests is watched.
-    pub fn of_client(stream: TcpStream) -> Rc<Self> {
-        Self::with(stream, Some(Cell::new(Incoming::NEW)))
+    /// A client connection, on which the framing of requests is tracked.
+    pub fn for_client(stream: TcpStream) -> Rc<Self> {
+        Self::with_framing(stream, Some(Cell::new(RequestFraming::NEW)))
     }
 
-    fn with(stream: TcpStream, incoming: Option<Cell<Incoming>>) -> Rc<Self> {
-        // Answers and requests are written whole: waiting to fill a segment would only delay them.
+    fn with_framing(stream: TcpStream, request_framing: Option<Cell<RequestFraming>>) -> Rc<Self> {
+        // Responses and requests are written in full: waiting to fill a segment would only delay them.
         let _ = stream.set_nodelay(true);
         Rc::new(Socket {
             stream,
-            heard: Cell::new(false),
-            given: Cell::new(false),
-            moved: Cell::new(true),
-            unsent: Cell::new(false),
-            outgoing: Cell::default(),
-            incoming,
+            data_received: Cell::new(false),
+            handed_over: Cell::new(false),
+            progressed: Cell::new(true),
+            response_unsent: Cell::new(false),
+            request_progress: Cell::default(),
+            request_framing,
         })
     }
 
-    /// Whether the lengths that the request with this number gives, counted from 1, contradict each other.
-    pub fn unclear(&self, request: u32) -> bool {
-        self.incoming.as_ref().is_some_and(|i| i.get().fault.is_some_and(|at| at <= request))
+    /// Whether the framing of the request with this number, counted from 1, or of an earlier one is ambiguous.
+    pub fn has_ambiguous_framing(&self, request: u32) -> bool {
+        self.request_framing
+            .as_ref()
+            .is_some_and(|framing| framing.get().ambiguous_head.is_some_and(|head| head <= request))
     }
 
-    /// No part of a further message has been read.
-    pub fn between(&self) -> bool {
-        let between = |i: Incoming| matches!(i.part, Part::Start) && i.len == 0;
-        self.incoming.as_ref().is_none_or(|i| between(i.get()))
+    /// Whether no part of a further request has been read.
+    pub fn is_between_requests(&self) -> bool {
+        let between = |framing: RequestFraming| {
+            matches!(framing.state, FramingState::Start) && framing.line_length == 0
+        };
+        self.request_framing.as_ref().is_none_or(|framing| between(framing.get()))
     }
 
-    /// The peer has closed or reset the connection, whatever is still unread.
-    pub fn left(&self) -> bool {
+    /// Whether the peer has closed or reset the connection, even if data is still unread.
+    pub fn peer_closed(&self) -> bool {
         peer::closed(&self.stream)
     }
 
-    /// The same for a request that has just been read, the connection's first or a later one.
-    pub async fn left_behind(&self, first: bool) -> bool {
+    /// Whether the peer has closed the connection behind a request that has just been read, the connection's first or a
+    /// later one.
+    pub async fn peer_closed_after_read(&self, first: bool) -> bool {
         peer::closed_after_read(&self.stream, first).await
     }
 
-    /// Whether the peer is there, as the kernel has it now.
-    pub fn presence(&self) -> peer::PeerState {
+    /// The state of the peer, as the kernel has it now.
+    pub fn peer_state(&self) -> peer::PeerState {
         peer::peer_state(&self.stream)
     }
 
-    /// A request with a body of this length is about to be written; one of no known length tells its end.
+    /// Called when a request with a body of this length is about to be written; [`Socket::body_finished`] ends a body
+    /// of unknown length.
     pub fn expect_request(&self, body: Option<u64>) {
-        self.outgoing.set(Outgoing { body_left: body.unwrap_or(u64::MAX), ..Outgoing::default() });
+        self.request_progress
+            .set(RequestProgress { body_remaining: body.unwrap_or(u64::MAX), ..RequestProgress::default() });
     }
 
-    /// A body of no known length has been read to its end: the request may be whole from here on.
-    pub fn body_ended(&self) {
-        let outgoing = self.outgoing.get();
-        if outgoing.body_left > MOST_BODY {
-            self.outgoing.set(Outgoing { body_left: 0, ..outgoing });
+    /// Called when a body of unknown length has been read to its end: the request may be complete from here on.
+    pub fn body_finished(&self) {
+        let progress = self.request_progress.get();
+        if progress.body_remaining > MAX_BODY_BYTES {
+            self.request_progress.set(RequestProgress { body_remaining: 0, ..progress });
         }
     }
 
-    /// The kernel has the last byte of the request: from here on it may have run.
-    pub fn written(&self) -> bool {
-        let o = self.outgoing.get();
-        o.head_done && o.body_left == 0
+    /// Whether the kernel has the last byte of the request: from then on it may have run.
+    pub fn request_sent(&self) -> bool {
+        let progress = self.request_progress.get();
+        progress.head_done && progress.body_remaining == 0
     }
 
-    /// Gives the connection to another process by `give`, which gets its descriptor and says whether that has it now.
-    /// From then on nothing is read here, whatever comes; what is left is to drop it.
-    pub fn give(&self, give: impl FnOnce(BorrowedFd<'_>) -> bool) -> bool {
-        self.given.set(give(self.stream.as_fd()));
-        self.given.get()
+    /// Hands the connection over to another process by `send`, which gets its descriptor and returns whether the other
+    /// process has it. From then on nothing is read here, and the connection only remains to be dropped.
+    pub fn hand_over(&self, send: impl FnOnce(BorrowedFd<'_>) -> bool) -> bool {
+        self.handed_over.set(send(self.stream.as_fd()));
+        self.handed_over.get()
     }
 
-    /// Nothing has come and the peer has not closed. This asks the kernel itself: what the runtime knows may
-    /// be older than a close that would lose the next request.
-    pub fn quiet(&self) -> bool {
+    /// Whether nothing has arrived and the peer has not closed. This asks the kernel: the runtime's state may be older
+    /// than a close that would lose the next request.
+    pub fn is_quiescent(&self) -> bool {
         peer::is_quiescent(&self.stream)
     }
 }
 
-/// The side of a [`Socket`] that hyper holds.
+/// The I/O side of a [`Socket`], which hyper owns.
 pub struct SocketIo(pub Rc<Socket>);
 
 impl AsyncRead for SocketIo {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        if self.0.given.get() {
+        if self.0.handed_over.get() {
             return Poll::Pending;
         }
         let before = buf.filled().len();
         let read = ready!(retry_io::poll_read(&self.0.stream, cx, buf))?;
-        if let Some(incoming) = &self.0.incoming {
-            let mut state = incoming.get();
-            state.note(&buf.filled()[before..]);
-            incoming.set(state);
+        if let Some(framing) = &self.0.request_framing {
+            let mut state = framing.get();
+            state.observe(&buf.filled()[before..]);
+            framing.set(state);
         }
-        self.0.heard.set(self.0.heard.get() | (read > 0));
-        self.0.moved.set(true);
+        self.0.data_received.set(self.0.data_received.get() | (read > 0));
+        self.0.progressed.set(true);
         Poll::Ready(Ok(()))
     }
 }
@@ -306,14 +316,14 @@
         slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = ready!(retry_io::poll_write(&self.0.stream, cx, slices))?;
-        self.0.moved.set(true);
-        let (mut outgoing, mut left) = (self.0.outgoing.get(), written);
+        self.0.progressed.set(true);
+        let (mut progress, mut unaccounted) = (self.0.request_progress.get(), written);
         for slice in slices {
-            let part = left.min(slice.len());
-            outgoing.note(&slice[..part]);
-            left -= part;
+            let part = unaccounted.min(slice.len());
+            progress.observe(&slice[..part]);
+            unaccounted -= part;
         }
-        self.0.outgoing.set(outgoing);
+        self.0.request_progress.set(progress);
         Poll::Ready(Ok(written))
     }
 
@@ -322,8 +332,8 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // hyper asks for this once it has written all that it holds.
-        self.0.unsent.set(false);
+        // hyper flushes once it has written all that it has.
+        self.0.response_unsent.set(false);
         Poll::Ready(Ok(()))
     }
 
@@ -337,55 +347,55 @@
     use super::*;
 
     #[test]
-    fn a_request_is_written_with_its_last_byte() {
+    fn a_request_is_sent_with_its_last_byte() {
         let request = b"POST /a HTTP/1.1\r\nA: b\r\r\r\n\r\nbody";
-        let mut o = Outgoing { body_left: 4, ..Outgoing::default() };
+        let mut progress = RequestProgress { body_remaining: 4, ..RequestProgress::default() };
         for (k, byte) in request.iter().enumerate() {
-            assert!(!(o.head_done && o.body_left == 0), "done after {k} bytes");
-            o.note(&[*byte]);
+            assert!(!(progress.head_done && progress.body_remaining == 0), "done after {k} bytes");
+            progress.observe(&[*byte]);
         }
-        assert!(o.head_done && o.body_left == 0);
+        assert!(progress.head_done && progress.body_remaining == 0);
     }
 
-    fn fault(bytes: &[u8]) -> Option<u32> {
-        let mut whole = Incoming::NEW;
-        whole.note(bytes);
-        let mut bytewise = Incoming::NEW;
-        bytes.iter().for_each(|b| bytewise.note(&[*b]));
-        assert_eq!(whole.fault, bytewise.fault);
-        whole.fault
+    fn ambiguous_head(bytes: &[u8]) -> Option<u32> {
+        let mut whole = RequestFraming::NEW;
+        whole.observe(bytes);
+        let mut bytewise = RequestFraming::NEW;
+        bytes.iter().for_each(|b| bytewise.observe(&[*b]));
+        assert_eq!(whole.ambiguous_head, bytewise.ambiguous_head);
+        whole.ambiguous_head
     }
 
     #[test]
-    fn a_message_in_part_is_none() {
+    fn a_partial_message_is_not_between_requests() {
         let request = b"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n";
-        let mut incoming = Incoming::NEW;
+        let mut framing = RequestFraming::NEW;
         for (k, byte) in request.iter().enumerate() {
-            let between = matches!(incoming.part, Part::Start) && incoming.len == 0;
+            let between = matches!(framing.state, FramingState::Start) && framing.line_length == 0;
             assert_eq!(between, k == 0, "after {k} bytes");
-            incoming.note(&[*byte]);
+            framing.observe(&[*byte]);
         }
-        assert!(matches!(incoming.part, Part::Start) && incoming.len == 0);
+        assert!(matches!(framing.state, FramingState::Start) && framing.line_length == 0);
     }
 
     #[test]
-    fn unclear_lengths_are_seen_in_any_order_and_behind_others() {
+    fn ambiguous_lengths_are_detected_in_any_order_and_behind_other_requests() {
         let plain = b"POST /a HTTP/1.1\r\nContent-Length: 2\r\n\r\n\n\n\r\nGET /a HTTP/1.1\r\nA: b\r\n\r\n";
-        assert_eq!(fault(plain), None);
+        assert_eq!(ambiguous_head(plain), None);
         let chunked = b"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n\
             4;a=\"b\"\r\n\r\n\r\n\r\nA\r\n0123456789\r\n0\r\nContent-Length: 3\r\n\r\n";
-        assert_eq!(fault(chunked), None);
-        for both in [
+        assert_eq!(ambiguous_head(chunked), None);
+        for framing in [
             &b"Transfer-Encoding: chunked\r\nContent-Length: 3\r\n"[..],
             b"content-length: 3\nTRANSFER-ENCODING : chunked\n",
             b"Content-Length: 3\r\nContent-Length: 3\r\n",
             b"Content-Length: 3, 3\r\n",
             b"Content-Length: 00000000000000000000000000000000000000000000003\r\n",
         ] {
-            let head = [b"POST /a HTTP/1.1\r\n", both, b"\r\n"].concat();
-            assert_eq!(fault(&head), Some(1));
-            assert_eq!(fault(&[plain, &head[..]].concat()), Some(3));
-            assert_eq!(fault(&[plain, &chunked[..], &head[..]].concat()), Some(4));
+            let head = [b"POST /a HTTP/1.1\r\n", framing, b"\r\n"].concat();
+            assert_eq!(ambiguous_head(&head), Some(1));
+            assert_eq!(ambiguous_head(&[plain, &head[..]].concat()), Some(3));
+            assert_eq!(ambiguous_head(&[plain, &chunked[..], &head[..]].concat()), Some(4));
         }
     }
 }
--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -1,6 +1,8 @@
-//! Towards the servers: one attempt over one connection, and how it ended.
+//! The upstream side: one attempt over one connection, and its outcome.
 
-use crate::body::{rest, Message, Piece, PieceBody, MOST_BODY, WHOLE};
+use crate::body::{
+    remainder_channel, BodyChunk, Message, MessageBody, MAX_BODY_BYTES, MAX_BUFFERED_RESPONSE_BYTES,
+};
 use crate::socket::{Socket, SocketIo};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
@@ -26,45 +28,46 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
-/// HTTP's place among a server's addresses.
+/// The index of HTTP among a server's addresses.
 pub const HTTP: Wire = Wire(0);
 
-/// Read buffer of a connection to a server: it bounds what 1,000 of them hold.
-const BUFFER: usize = 16 * 1024;
-/// Servers write an answer when it is ready. One that has begun and stands still for this long is no answer: its
-/// length is wrong, its head has no end, or the machine is gone, and nobody will say so. 1xx answers may come
-/// well ahead of the rest, so that a head is given more time than a body. It would do harm to servers that write
-/// bodies bit by bit with pauses, which PROTOCOL does not have.
-const HEAD_STALL: Duration = Duration::from_millis(1000);
-const BODY_STALL: Duration = Duration::from_millis(800);
-/// A long answer that has begun to a client is given longer: nothing can take its place.
-const LONG_STALL: Duration = Duration::from_millis(2_500);
-/// An answer of no known length that is not whole after this begins to its client.
-const UNKNOWN_LENGTH: Duration = Duration::from_millis(100);
-/// A server's whole answer, ready to be passed on.
+/// The read buffer of a connection to a server, which bounds the memory of 1,000 of them.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
+/// Servers write a response when it is ready. One that has begun and makes no progress for this long is broken: its
+/// length is wrong, its head has no end, or the machine is gone without a close. 1xx responses may come well ahead of
+/// the final one, so a head is given more time than a body. This harms servers that write bodies bit by bit with
+/// pauses, which PROTOCOL does not have.
+const HEAD_STALL_TIMEOUT: Duration = Duration::from_millis(1000);
+const BODY_STALL_TIMEOUT: Duration = Duration::from_millis(800);
+/// A streamed response is given longer: once it has begun to its client, no other can replace it.
+const STREAM_STALL_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// A response of unknown length that is not complete after this time is streamed to its client.
+const STREAM_UNKNOWN_LENGTH_AFTER: Duration = Duration::from_millis(100);
+
+/// A server's response, ready to be forwarded.
 #[derive(Debug)]
-pub struct Served {
-    /// The message's own headers, without length and framing.
+pub struct UpstreamResponse {
+    /// The end-to-end headers, without length and framing.
     pub headers: HeaderMap,
-    /// The body; of a long one, the rest is on its way.
+    /// The body; the remainder of a streamed one is still arriving.
     pub body: Rc<Message>,
 }
 
-/// A client's request as every attempt sends it, and the place of its answer.
+/// A client's request as every attempt sends it, and the slot for its response.
 #[derive(Debug)]
 pub struct HttpExchange {
     /// Method, unchanged.
     pub method: Method,
     /// Path and query, unchanged.
     pub uri: Uri,
-    /// The message's own headers.
+    /// The end-to-end headers.
     pub headers: HeaderMap,
-    /// The body; of a long one, one attempt can take the rest.
+    /// The body; only one attempt can take the remainder of a streamed one.
     pub body: Rc<Message>,
-    /// For how many milliseconds an answer is waited for, where that does not count yet.
-    pub wait: Option<u64>,
-    /// Where the front waits.
-    pub reply: ResponseSlot<Served>,
+    /// The client's timeout in milliseconds, where it does not run yet because the body is still being received.
+    pub client_timeout_ms: Option<u64>,
+    /// Where the front waits for the response.
+    pub reply: ResponseSlot<UpstreamResponse>,
     /// The client's connection.
     pub client: Rc<Socket>,
 }
@@ -72,196 +75,204 @@
 impl Exchange for HttpExchange {
     fn start_attempt(self: Rc<Self>, attempt: Attempt) -> AbortHandle {
         tokio::task::spawn_local(async move {
-            if let Err(ending) = exchange(&self, &attempt).await {
-                attempt.fail(ending);
+            if let Err(outcome) = run_attempt(&self, &attempt).await {
+                attempt.fail(outcome);
             }
         })
         .abort_handle()
     }
 
-    fn send_local_reply(&self, end: LocalReply) {
-        self.reply.send(FinalResponse::Local(end));
+    fn send_local_reply(&self, reply: LocalReply) {
+        self.reply.send(FinalResponse::Local(reply));
     }
 
     fn client_state(&self) -> PeerState {
-        self.client.presence()
+        self.client.peer_state()
     }
 }
 
-/// A connection with hyper's two halves. There is no task behind it: whoever uses it drives it.
-struct Link {
+/// An upstream connection with hyper's two halves. No task drives it: whoever uses it does.
+struct UpstreamConnection {
     socket: Rc<Socket>,
-    sender: SendRequest<PieceBody>,
-    connection: Option<Connection<TokioIo<SocketIo>, PieceBody>>,
-    _held: ConnectionPermit,
+    sender: SendRequest<MessageBody>,
+    driver: Option<Connection<TokioIo<SocketIo>, MessageBody>>,
+    _permit: ConnectionPermit,
 }
 
-impl PooledConnection for Link {
+impl PooledConnection for UpstreamConnection {
     fn is_reusable(&self) -> bool {
-        self.socket.quiet()
+        self.socket.is_quiescent()
     }
 }
 
-impl Link {
-    fn turn(&mut self, cx: &mut Context<'_>) {
-        if let Some(connection) = &mut self.connection {
-            if Pin::new(connection).poll(cx).is_ready() {
-                self.connection = None;
+impl UpstreamConnection {
+    fn poll_driver(&mut self, cx: &mut Context<'_>) {
+        if let Some(driver) = &mut self.driver {
+            if Pin::new(driver).poll(cx).is_ready() {
+                self.driver = None;
             }
         }
     }
 
-    /// Waits for something on the connection while that goes on.
+    /// Awaits a future while driving the connection.
     async fn drive<F: Future>(&mut self, future: F) -> F::Output {
         let mut future = pin!(future);
         poll_fn(|cx| {
-            self.turn(cx);
+            self.poll_driver(cx);
             future.as_mut().poll(cx)
         })
         .await
     }
 
-    /// Whether the connection can carry another request, now that an answer is read to its end.
-    async fn reusable(&mut self) -> bool {
+    /// Whether the connection can carry another request, now that a response has been read to its end.
+    async fn is_ready_for_reuse(&mut self) -> bool {
         poll_fn(|cx| {
-            self.turn(cx);
+            self.poll_driver(cx);
             Poll::Ready(())
         })
         .await;
-        self.connection.is_some() && self.sender.is_ready()
+        self.driver.is_some() && self.sender.is_ready()
     }
 }
 
-async fn open(attempt: &Attempt, dial: SocketAddr) -> Result<Link, ConnectError> {
-    let (stream, held) = connect(attempt.gateway(), attempt.server(), HTTP, dial).await?;
+async fn open_connection(attempt: &Attempt, address: SocketAddr) -> Result<UpstreamConnection, ConnectError> {
+    let (stream, permit) = connect(attempt.gateway(), attempt.server(), HTTP, address).await?;
     let socket = Socket::new(stream);
     let mut builder = http1::Builder::new();
-    builder.max_buf_size(BUFFER);
+    builder.max_buf_size(READ_BUFFER_BYTES);
     let handshake = builder.handshake(TokioIo::new(SocketIo(socket.clone()))).await;
-    let (sender, connection) = handshake.map_err(|_| ConnectError::Failed)?;
-    Ok(Link { socket, sender, connection: Some(connection), _held: held })
+    let (sender, driver) = handshake.map_err(|_| ConnectError::Failed)?;
+    Ok(UpstreamConnection { socket, sender, driver: Some(driver), _permit: permit })
 }
 
-/// Plays one attempt to its end; an error is how it ended where it was not told of yet. Where the gateway has
-/// stopped waiting, the attempt may go on for a while, so that its connection can be kept.
-async fn exchange(message: &HttpExchange, attempt: &Attempt) -> Result<(), AttemptOutcome> {
-    let mut lines = ConnectionSource::new(attempt, HTTP)?;
+/// Runs one attempt to its end; an error is its outcome where that has not been reported yet. When the gateway has
+/// stopped waiting, the attempt may go on for a while so that its connection can be reused.
+async fn run_attempt(message: &HttpExchange, attempt: &Attempt) -> Result<(), AttemptOutcome> {
+    let mut source = ConnectionSource::new(attempt, HTTP)?;
     loop {
-        let mut line = lines.next(|dial| open(attempt, dial)).await?;
-        let link: &mut Link = &mut line.connection;
-        if !message.body.available() {
+        let mut attempt_connection = source.next(|address| open_connection(attempt, address)).await?;
+        let connection: &mut UpstreamConnection = &mut attempt_connection.connection;
+        if !message.body.is_available() {
             return Err(AttemptOutcome::NotSent);
         }
-        link.socket.expect_request(message.body.length());
-        attempt.set_send_progress(link.socket.clone());
-        let millis_left = message.wait.unwrap_or_else(|| attempt.remaining_ms());
-        let response = link.sender.send_request(request(message, millis_left, link.socket.clone()));
-        let socket = link.socket.clone();
-        return match head(link, response).await {
+        connection.socket.expect_request(message.body.length());
+        attempt.set_send_progress(connection.socket.clone());
+        let remaining_ms = message.client_timeout_ms.unwrap_or_else(|| attempt.remaining_ms());
+        let response =
+            connection.sender.send_request(build_request(message, remaining_ms, connection.socket.clone()));
+        let socket = connection.socket.clone();
+        return match read_head(connection, response).await {
             Ok(response) => {
-                if answer(message, attempt, link, response).await && link.reusable().await {
-                    lines.release(line);
+                if forward_response(message, attempt, connection, response).await
+                    && connection.is_ready_for_reuse().await
+                {
+                    source.release(attempt_connection);
                 }
                 Ok(())
             }
-            Err(_) if socket.written() => Err(AttemptOutcome::Reset),
-            Err(_) if line.reused && message.body.available() => continue,
+            Err(_) if socket.request_sent() => Err(AttemptOutcome::Reset),
+            Err(_) if attempt_connection.reused && message.body.is_available() => continue,
             Err(_) => Err(AttemptOutcome::ConnectFailed),
         };
     }
 }
 
-/// The head of the answer: waited for as long as it may take, but once it has begun it has to come to its end.
-async fn head<F, T>(link: &mut Link, response: F) -> Result<T, Broken>
+/// Reads the head of the response: waits as long as the attempt may take, but a head that has begun has to end within
+/// [`HEAD_STALL_TIMEOUT`].
+async fn read_head<F, T>(connection: &mut UpstreamConnection, response: F) -> Result<T, ResponseError>
 where
     F: Future<Output = hyper::Result<T>>,
 {
-    link.socket.heard.set(false);
-    let socket = link.socket.clone();
-    let mut response = pin!(link.drive(response));
-    let begun = poll_fn(|cx| match response.as_mut().poll(cx) {
-        Poll::Ready(answer) => Poll::Ready(Some(answer)),
-        Poll::Pending if socket.heard.get() => Poll::Ready(None),
+    connection.socket.data_received.set(false);
+    let socket = connection.socket.clone();
+    let mut response = pin!(connection.drive(response));
+    let started = poll_fn(|cx| match response.as_mut().poll(cx) {
+        Poll::Ready(response) => Poll::Ready(Some(response)),
+        Poll::Pending if socket.data_received.get() => Poll::Ready(None),
         Poll::Pending => Poll::Pending,
     })
     .await;
-    match begun {
-        Some(answer) => answer.map_err(Broken::from),
-        None => running::timeout(HEAD_STALL, response).await?.map_err(Broken::from),
+    match started {
+        Some(response) => response.map_err(ResponseError::from),
+        None => running::timeout(HEAD_STALL_TIMEOUT, response).await?.map_err(ResponseError::from),
     }
 }
 
-/// The client's request as it goes to a server, with the time that is left.
-fn request(message: &HttpExchange, millis_left: u64, socket: Rc<Socket>) -> Request<PieceBody> {
-    let mut request = Request::new(PieceBody::new(message.body.clone(), Some(socket)));
+/// Builds the request to a server, with the time that is left.
+fn build_request(message: &HttpExchange, remaining_ms: u64, socket: Rc<Socket>) -> Request<MessageBody> {
+    let mut request = Request::new(MessageBody::new(message.body.clone(), Some(socket)));
     *request.method_mut() = message.method.clone();
     *request.uri_mut() = message.uri.clone();
     let mut headers = message.headers.clone();
-    headers.insert(TIMEOUT, HeaderValue::from(millis_left));
+    headers.insert(TIMEOUT_MS, HeaderValue::from(remaining_ms));
     *request.headers_mut() = headers;
     request
 }
 
-/// How long the sender waits, in milliseconds.
-pub const TIMEOUT: HeaderName = HeaderName::from_static("x-timeout-ms");
-/// A server's word that the request never ran.
+/// The header that carries how long the sender waits, in milliseconds.
+pub const TIMEOUT_MS: HeaderName = HeaderName::from_static("x-timeout-ms");
+/// The header by which a server states that it has not processed the request.
 const NOT_PROCESSED: HeaderName = HeaderName::from_static("x-not-processed");
 
-/// Why an answer is none. The request has run, or may have.
+/// Why a response is unusable. The request has run, or may have.
 #[derive(Debug, thiserror::Error)]
-enum Broken {
+enum ResponseError {
     #[error("{0}")]
     Http(#[from] hyper::Error),
-    #[error("it stands still")]
-    Still(#[from] running::TimedOut),
-    #[error("longer than any answer")]
+    #[error("the response has stalled")]
+    Stalled(#[from] running::TimedOut),
+    #[error("the response is too long")]
     TooLong,
-    #[error("where it ends is not clear")]
-    Unclear,
-    #[error("the node has no room for it")]
-    NoRoom,
+    #[error("the framing of the response is ambiguous")]
+    AmbiguousFraming,
+    #[error("the node's buffers are full")]
+    BufferLimit,
 }
 
-/// Takes an answer and tells of it; true where the connection came to the answer's end.
-async fn answer(
+/// Reads a response and reports the attempt's outcome; true where the connection has reached the end of the response.
+async fn forward_response(
     message: &HttpExchange,
     attempt: &Attempt,
-    link: &mut Link,
+    connection: &mut UpstreamConnection,
     response: Response<Incoming>,
 ) -> bool {
     let budget = &attempt.gateway().budget;
     let (head, body) = response.into_parts();
     let not_processed = head.headers.get(NOT_PROCESSED).is_some_and(|v| v == "1");
-    let turned_away = matches!(head.status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT);
+    let rejected = matches!(head.status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT);
     if head.status != StatusCode::OK {
-        let ending =
-            if turned_away && not_processed { AttemptOutcome::Rejected } else { AttemptOutcome::Error };
-        attempt.fail(ending);
-        let unwanted = take(link, body, &head.headers, BufferedBody::new(budget.body_lease()));
-        let read = running::timeout(BODY_STALL, unwanted).await;
-        return matches!(read, Ok(Ok(Taken::Whole(_))));
+        let outcome =
+            if rejected && not_processed { AttemptOutcome::Rejected } else { AttemptOutcome::Error };
+        attempt.fail(outcome);
+        let discard = read_body(connection, body, &head.headers, BufferedBody::new(budget.body_lease()));
+        let read = running::timeout(BODY_STALL_TIMEOUT, discard).await;
+        return matches!(read, Ok(Ok(BodyRead::Complete(_))));
     }
-    let taken = take(link, body, &head.headers, BufferedBody::new(budget.body_lease())).await;
+    let body_read = read_body(connection, body, &head.headers, BufferedBody::new(budget.body_lease())).await;
     let mut headers = head.headers;
-    strip(&mut headers);
+    strip_hop_by_hop(&mut headers);
     headers.remove(header::CONTENT_LENGTH);
-    match taken {
-        Ok(Taken::Whole(pieces)) => {
+    match body_read {
+        Ok(BodyRead::Complete(buffered)) => {
             if attempt.succeed() {
-                message.reply.send(FinalResponse::Upstream(Served { headers, body: Message::whole(pieces) }));
+                message.reply.send(FinalResponse::Upstream(UpstreamResponse {
+                    headers,
+                    body: Message::buffered(buffered),
+                }));
             }
             true
         }
-        Ok(Taken::Part(pieces, body)) => {
-            // Nobody waits for it: its end is not worth reading it.
+        Ok(BodyRead::Partial(buffered, body)) => {
+            // No client waits for it, so its remainder is not worth reading.
             if !attempt.succeed() {
                 return false;
             }
-            let (sender, rest) = rest();
-            let (came, length) = (pieces.len(), body.size_hint().exact().map(|left| left + pieces.len()));
-            let whole = Message::long(pieces, rest, length);
-            message.reply.send(FinalResponse::Upstream(Served { headers, body: whole }));
-            pass_on(link, body, came, sender).await
+            let (sender, remainder) = remainder_channel();
+            let (received, length) =
+                (buffered.len(), body.size_hint().exact().map(|remaining| remaining + buffered.len()));
+            let streamed = Message::streamed(buffered, remainder, length);
+            message.reply.send(FinalResponse::Upstream(UpstreamResponse { headers, body: streamed }));
+            stream_body(connection, body, received, sender).await
         }
         Err(_) => {
             attempt.fail(AttemptOutcome::Reset);
@@ -270,88 +281,95 @@
     }
 }
 
-/// What was read of an answer's body.
-enum Taken {
-    Whole(BufferedBody),
-    /// It is long, and the rest is still to come.
-    Part(BufferedBody, Incoming),
+/// How much of a response's body was read.
+enum BodyRead {
+    Complete(BufferedBody),
+    /// The buffered part of a long body, and its remainder.
+    Partial(BufferedBody, Incoming),
 }
 
-/// How an answer's end is told (RFC 9112, section 6.3).
+/// How the end of a response is determined (RFC 9112, section 6.3).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Framing {
-    /// By its length.
+    /// By Content-Length.
     Length,
-    /// By its last chunk.
-    Chunks,
-    /// By the close of its connection. A reset is no close, and an answer that is reset is none.
+    /// By the last chunk.
+    Chunked,
+    /// By the close of the connection. A reset is not a close, and a response that ends with a reset is broken.
     Close,
 }
 
 impl Framing {
-    /// `None` where the head names two ends.
+    /// `None` where the head has both framings.
     fn of(headers: &HeaderMap) -> Option<Framing> {
         let length = headers.contains_key(header::CONTENT_LENGTH);
         match (length, headers.contains_key(header::TRANSFER_ENCODING)) {
             (true, true) => None,
             (true, false) => Some(Framing::Length),
-            (false, true) => Some(Framing::Chunks),
+            (false, true) => Some(Framing::Chunked),
             (false, false) => Some(Framing::Close),
         }
     }
 }
 
-/// Reads an answer's body, whole if it is not long. Held back until its end has come, an answer that turns out to be
-/// spoilt is never begun to a client and can still be replaced by another server's. This guards against all that can
-/// be wrong with an answer's length: two, one that is larger than what comes or than any answer may be.
-async fn take(
-    link: &mut Link,
+/// Reads a response's body, in full unless it is long. As nothing is sent before its end has arrived, a broken response
+/// is never begun to a client and can still be replaced by another server's. This guards against all invalid lengths:
+/// both framings, a length that exceeds the data or the limit.
+async fn read_body(
+    connection: &mut UpstreamConnection,
     mut body: Incoming,
     headers: &HeaderMap,
-    mut pieces: BufferedBody,
-) -> Result<Taken, Broken> {
-    let framing = Framing::of(headers).ok_or(Broken::Unclear)?;
-    if body.size_hint().lower() > MOST_BODY {
-        return Err(Broken::TooLong);
+    mut buffered: BufferedBody,
+) -> Result<BodyRead, ResponseError> {
+    let framing = Framing::of(headers).ok_or(ResponseError::AmbiguousFraming)?;
+    if body.size_hint().lower() > MAX_BODY_BYTES {
+        return Err(ResponseError::TooLong);
     }
-    let begun = Instant::now();
-    while let Some(frame) = running::timeout(BODY_STALL, link.drive(body.frame())).await? {
+    let started = Instant::now();
+    while let Some(frame) = running::timeout(BODY_STALL_TIMEOUT, connection.drive(body.frame())).await? {
         let Ok(data) = frame?.into_data() else { continue };
-        if !pieces.push(data) {
-            return Err(Broken::NoRoom);
+        if !buffered.push(data) {
+            return Err(ResponseError::BufferLimit);
         }
-        // One that ends with its connection is held back: whether it comes whole is known only then.
-        let late = framing == Framing::Chunks && begun.elapsed() > UNKNOWN_LENGTH;
-        if pieces.len() + body.size_hint().lower() > WHOLE || (late && !body.is_end_stream()) {
-            return Ok(Taken::Part(pieces, body));
+        // A body that ends with its connection is buffered: whether it is complete is known only then.
+        let overdue = framing == Framing::Chunked && started.elapsed() > STREAM_UNKNOWN_LENGTH_AFTER;
+        if buffered.len() + body.size_hint().lower() > MAX_BUFFERED_RESPONSE_BYTES
+            || (overdue && !body.is_end_stream())
+        {
+            return Ok(BodyRead::Partial(buffered, body));
         }
     }
-    Ok(Taken::Whole(pieces))
+    Ok(BodyRead::Complete(buffered))
 }
 
-/// Passes the rest of a long answer on as it comes, no faster than its client takes it; true where it came to its end.
-/// Where it does not, the client sees that: its connection is cut.
-async fn pass_on(link: &mut Link, mut body: Incoming, mut came: u64, client: mpsc::Sender<Piece>) -> bool {
-    while let Ok(frame) = running::timeout(LONG_STALL, link.drive(body.frame())).await {
+/// Forwards the remainder of a streamed response as it arrives, no faster than its client reads it; true where it came
+/// to its end. Otherwise the client's connection is cut, by which the client notices.
+async fn stream_body(
+    connection: &mut UpstreamConnection,
+    mut body: Incoming,
+    mut received: u64,
+    client: mpsc::Sender<BodyChunk>,
+) -> bool {
+    while let Ok(frame) = running::timeout(STREAM_STALL_TIMEOUT, connection.drive(body.frame())).await {
         let data = match frame {
             None => {
-                // A client that has its length does not wait for this.
-                let _ = client.send(Piece::End).await;
+                // A client that knows the length does not wait for this.
+                let _ = client.send(BodyChunk::End).await;
                 return true;
             }
             Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
             Some(Err(_)) => return false,
         };
-        came += data.len() as u64;
-        if came > MOST_BODY || client.send(Piece::Data(data)).await.is_err() {
+        received += data.len() as u64;
+        if received > MAX_BODY_BYTES || client.send(BodyChunk::Data(data)).await.is_err() {
             return false;
         }
     }
     false
 }
 
-/// Headers that belong to one connection and not to the message.
-pub fn strip(headers: &mut HeaderMap) {
+/// Removes the hop-by-hop headers.
+pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     if let Some(named) = headers.remove(header::CONNECTION) {
         for name in named.to_str().unwrap_or_default().split(',') {
             headers.remove(name.trim());
--- a/crates/http/tests/service.rs
+++ b/crates/http/tests/service.rs
@@ -1,4 +1,4 @@
-//! Where requests name their services.
+//! How requests name their services.
 
 use hyper::header::HeaderName;
 use hyper::http::request::Parts;
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_host_is_a_service_without_its_port_and_in_lower_case() {
+fn the_host_names_a_service_without_its_port_and_in_lower_case() {
     let service = |host: &str| ServiceNameSource::Host.service_name(&head("/read", &[("host", host)]));
     for (host, name) in [
         ("shop", "shop"),
@@ -29,36 +29,36 @@
     let longest = "x".repeat(256);
     assert_eq!(service(&longest), Ok(longest.clone()));
     assert_eq!(service(&format!("{longest}:80")), Ok(longest.clone()));
-    assert_eq!(service(&format!("{longest}x")), Err(NameError::Name));
-    for bad in ["", ":80", "a@b", "a/b"] {
-        assert_eq!(service(bad), Err(NameError::Host), "{bad}");
+    assert_eq!(service(&format!("{longest}x")), Err(NameError::Invalid));
+    for invalid in ["", ":80", "a@b", "a/b"] {
+        assert_eq!(service(invalid), Err(NameError::Host), "{invalid}");
     }
-    assert_eq!(service("a b"), Err(NameError::Name));
-    let twice = head("/read", &[("host", "a"), ("host", "b")]);
-    assert_eq!(ServiceNameSource::Host.service_name(&twice), Err(NameError::Host));
+    assert_eq!(service("a b"), Err(NameError::Invalid));
+    let two_hosts = head("/read", &[("host", "a"), ("host", "b")]);
+    assert_eq!(ServiceNameSource::Host.service_name(&two_hosts), Err(NameError::Host));
     assert_eq!(ServiceNameSource::Host.service_name(&head("/read", &[])), Err(NameError::Host));
-    // The target's own host counts before the header.
+    // The host of an absolute target takes precedence over the header.
     let target = head("http://Other.svc:80/read", &[("host", "shop")]);
     assert_eq!(ServiceNameSource::Host.service_name(&target).as_deref(), Ok("other.svc"));
 }
 
 #[test]
-fn a_header_names_a_service_as_it_stands() {
-    let place = ServiceNameSource::Header(HeaderName::from_static("x-service"));
+fn a_header_names_a_service_unchanged() {
+    let source = ServiceNameSource::Header(HeaderName::from_static("x-service"));
     let service = |values: &[&str]| {
         let headers: Vec<_> = values.iter().map(|v| ("x-service", *v)).collect();
-        place.service_name(&head("/read", &headers))
+        source.service_name(&head("/read", &headers))
     };
     assert_eq!(service(&["Shop:8080"]).as_deref(), Ok("Shop:8080"));
-    assert_eq!(service(&[]).as_deref(), Ok(""), "the service without a name");
-    assert_eq!(service(&["a", "b"]), Err(NameError::Several));
-    assert_eq!(service(&[""]), Err(NameError::Name));
-    assert_eq!(service(&["a b"]), Err(NameError::Name));
-    assert_eq!(service(&["x".repeat(257).as_str()]), Err(NameError::Name));
+    assert_eq!(service(&[]).as_deref(), Ok(""), "the unnamed service");
+    assert_eq!(service(&["a", "b"]), Err(NameError::Multiple));
+    assert_eq!(service(&[""]), Err(NameError::Invalid));
+    assert_eq!(service(&["a b"]), Err(NameError::Invalid));
+    assert_eq!(service(&["x".repeat(257).as_str()]), Err(NameError::Invalid));
 }
 
 #[test]
-fn where_none_is_said_there_is_one_service() {
+fn without_a_name_source_all_requests_are_for_the_unnamed_service() {
     assert_eq!(
         ServiceNameSource::Unnamed.service_name(&head("/read", &[("host", "shop")])).as_deref(),
         Ok("")
