--- a/crates/node/src/fleet/cli.rs
+++ b/crates/node/src/fleet/cli.rs
@@ -45,6 +45,7 @@
     InvalidResponse(#[from] serde_json::Error),
 }
 
+/// Runs a subcommand against the node at `at` and prints the result.
 pub(crate) fn run(call: &FleetCommand, at: Option<SocketAddr>) -> Result<(), FleetCommandError> {
     let text = match call {
         FleetCommand::Members { json: true } => request(&ManagementRequest::Fleet, at)?,
@@ -69,6 +70,7 @@
     Ok(serde_json::from_str(&request(call, at)?)?)
 }
 
+/// Compares two nodes' replicas; an error where they differ.
 fn differ(a: SocketAddr, b: SocketAddr) -> Result<String, FleetCommandError> {
     let replica = |at| query(&ManagementRequest::FleetState(None), Some(at));
     let lines = differences(&replica(a)?, &replica(b)?);
@@ -105,6 +107,7 @@
     replica["entries"].as_array().map_or(&[], Vec::as_slice)
 }
 
+/// Formats a replica's entries as a table.
 fn state(replica: &Value) -> String {
     let record = |record: &Value| match record["version"].as_u64() {
         Some(version) => format!("list {version}"),
@@ -158,6 +161,7 @@
     fleet["members"].as_array().map_or(&[], Vec::as_slice)
 }
 
+/// Summarises the node's view in one line.
 fn view_summary(fleet: &Value) -> String {
     match fleet["view"].as_u64() {
         None => format!("{} is not in a view and asks to join", text(&fleet["me"])),
@@ -172,6 +176,7 @@
     }
 }
 
+/// Formats the members as a table.
 fn members(fleet: &Value) -> String {
     let row = |m: &Value| {
         let silent = m["silent_ms"].as_u64().map_or("-".to_owned(), |ms| format!("{ms} ms"));
@@ -187,6 +192,7 @@
     [view_summary(fleet), header].into_iter().chain(rows).chain(learned).collect::<Vec<_>>().join("\n")
 }
 
+/// Explains why a member is in or out of the view.
 fn explain(fleet: &Value, name: &str) -> Result<String, String> {
     let member = rows(fleet).iter().find(|m| m["name"] == name);
     let Some(member) = member else { return Err(format!("no member is called `{name}`")) };
--- a/crates/node/src/fleet/history.rs
+++ b/crates/node/src/fleet/history.rs
@@ -16,10 +16,12 @@
 }
 
 impl History {
+    /// Opens the file for appending, creating it if necessary.
     pub(super) fn open(path: &Path) -> io::Result<History> {
         Ok(History { file: File::options().create(true).append(true).open(path)?, written: 0 })
     }
 
+    /// Appends a line unless [`MAX_BYTES`] is reached.
     fn append(&mut self, line: &serde_json::Value) {
         let line = format!("{line}\n");
         if self.written + line.len() <= MAX_BYTES && self.file.write_all(line.as_bytes()).is_ok() {
@@ -38,12 +40,14 @@
         fields
     }
 
+    /// Appends an event with one value.
     pub(super) fn record(&mut self, machine: &Machine, what: &str, value: &str) {
         let mut line = Self::header(machine, what);
         line.insert("value".to_owned(), value.into());
         self.append(&line.into());
     }
 
+    /// Appends an installed view.
     pub(super) fn view(&mut self, machine: &Machine, view: &View) {
         let mut line = Self::header(machine, "view");
         line.insert("number".to_owned(), view.number.into());
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -55,7 +55,7 @@
     machine: RefCell<Machine>,
     replica: Rc<LocalReplica>,
     socket: RefCell<Option<Rc<UdpSocket>>>,
-    /// The old process of a takeover still holds the port.
+    /// The old process still holds the port during a takeover.
     waiting_for_port: Cell<bool>,
     history: RefCell<Option<History>>,
     /// When the refusal of a seat for a reason was last logged.
@@ -118,17 +118,18 @@
 ) -> (Machine, laurelroute_replica::Machine) {
     use laurelroute_membership::defect::{Defect, Planted};
     use laurelroute_replica::defect as replica_defect;
-    let named = std::env::var("LAURELROUTE_PLANTED").unwrap_or_default();
-    if let Some(defect) = Defect::ALL.into_iter().find(|d| format!("{d:?}") == named) {
+    let defect_name = std::env::var("LAURELROUTE_PLANTED").unwrap_or_default();
+    if let Some(defect) = Defect::ALL.into_iter().find(|d| format!("{d:?}") == defect_name) {
         machine.plant(Planted::some(defect));
     }
-    if let Some(defect) = replica_defect::Defect::ALL.into_iter().find(|d| format!("{d:?}") == named) {
+    if let Some(defect) = replica_defect::Defect::ALL.into_iter().find(|d| format!("{d:?}") == defect_name) {
         replica.plant(replica_defect::Planted::some(defect));
     }
     (machine, replica)
 }
 
 impl FleetMember {
+    /// Binds the socket, then drives the membership and replica state machines for good.
     async fn run(self: Rc<Self>, gateway: Rc<Gateway>) {
         let socket = loop {
             match UdpSocket::bind(self.config.listen).await {
@@ -184,6 +185,7 @@
         }
     }
 
+    /// Passes a datagram to the state machine that it is for: a replica datagram has the high bit of its first byte set.
     fn receive(&self, gateway: &Rc<Gateway>, seat: Seat, body: &[u8]) {
         let now = gateway.clock.now();
         if body.first().is_some_and(|version| version & 0x80 != 0) {
@@ -214,6 +216,7 @@
         equal.then_some(body)
     }
 
+    /// Appends the tag to an outgoing datagram.
     fn seal(&self, mut bytes: Vec<u8>) -> Vec<u8> {
         if let Some(key) = &self.config.key {
             let tag = hmac::sign(key, &bytes);
@@ -222,6 +225,7 @@
         bytes
     }
 
+    /// Carries out what the membership state machine requests.
     fn apply_outputs(&self, gateway: &Rc<Gateway>, outputs: Vec<Output>) {
         let now = gateway.clock.now();
         for output in outputs {
@@ -244,6 +248,7 @@
         }
     }
 
+    /// Records a new view and logs who joined and who was removed.
     fn install_view(&self, now: Nanos, view: View) {
         let name = |seat: &Seat| self.config.roster.name(*seat).to_owned();
         let (previous, _) = self.current_view.replace((Some(view.clone()), now));
@@ -268,12 +273,13 @@
         }
     }
 
+    /// Logs a refused datagram, at most once per [`REFUSAL_LOG_INTERVAL`] for the same seat and reason.
     fn log_refusal(&self, now: Nanos, seat: Seat, reason: Reason) {
         let mut refused = self.refused.borrow_mut();
         if refused.get(&(seat, reason)).is_some_and(|at| now.saturating_sub(*at) < REFUSAL_LOG_INTERVAL) {
             return;
         }
-        // Versions come from the network: their number has to be bounded.
+        // One entry per seat and reason. Reasons contain versions received from the network, so the map has to be bounded.
         if refused.len() >= 8 * self.config.addresses.len() {
             refused.clear();
         }
@@ -290,6 +296,7 @@
         }
     }
 
+    /// Records this member's accusations in the history whenever they change.
     fn record_accusations(&self) {
         let accused = self.machine.borrow().accuses().to_vec();
         if *self.accused.borrow() != accused {
@@ -299,6 +306,7 @@
         }
     }
 
+    /// Appends an event to the history, if there is one.
     fn record(&self, what: &str, value: &str) {
         if let Some(history) = &mut *self.history.borrow_mut() {
             history.record(&self.machine.borrow(), what, value);
@@ -311,7 +319,7 @@
         let roster = &self.config.roster;
         let (view, installed_at) = &*self.current_view.borrow();
         let silent: BTreeMap<Seat, Nanos> = machine.silences().collect();
-        let rows: Vec<_> = roster
+        let members: Vec<_> = roster
             .seats()
             .map(|seat| {
                 let life = view.as_ref().and_then(|v| v.members.get(&seat));
@@ -337,7 +345,7 @@
             "share": machine.share(now),
             "pauses": machine.pauses(),
             "learnt": self.replica.learned_from.borrow().as_ref().map(|(from, servers)| serde_json::json!({"from": from, "servers": servers})),
-            "members": rows,
+            "members": members,
         })
     }
 }
--- a/crates/node/src/fleet/table.rs
+++ b/crates/node/src/fleet/table.rs
@@ -62,6 +62,7 @@
 }
 
 impl FleetTable {
+    /// Checks the section and sorts the members by name, as the roster does.
     pub(crate) fn validate(self, validator: &Validator<'_>) -> Result<FleetConfig, SiteError> {
         if self.site.get_ref().is_empty() {
             return Err(validator.error_at(&self.site, "`fleet.site` must not be empty"));
--- a/crates/node/src/services/directory.rs
+++ b/crates/node/src/services/directory.rs
@@ -59,17 +59,18 @@
 pub(crate) struct Directory {
     /// The process's first gateway, which serves the unnamed service.
     unnamed_gateway: Rc<Gateway>,
+    /// The subscription's state, with all that is known of services.
     pub(crate) subscriber: RefCell<Subscriber>,
     /// Notified when a service is wanted that has not been requested from the planner yet.
     pub(crate) wanted: Notify,
     /// Gateways of the named services. Bounded by the subscriber: one for each service that it holds.
     gateways: RefCell<HashMap<String, ServiceGateway>>,
-    /// Bounded by the number of waiting requests.
+    /// Waiting requests by service; bounded by their number.
     waiters: Waiters,
     /// Recently used services, and when each was last used; the next sweep removes those without a gateway.
     last_used: RefCell<BTreeMap<String, Nanos>>,
-    /// Guidance from other nodes' hints about servers, by service; no entry where there are no hints.
-    guides: RefCell<BTreeMap<String, NodePlan>>,
+    /// Directives from other nodes' hints about servers, by service; no entry where there are no hints.
+    node_plans: RefCell<BTreeMap<String, NodePlan>>,
     /// Since when there has been no planner.
     no_planner_since: Cell<Option<Nanos>>,
     /// There has been no planner for longer than [`HINT_TTL`], and hints no longer apply.
@@ -83,6 +84,7 @@
 }
 
 impl Directory {
+    /// Creates a directory without services.
     pub(crate) fn new(
         unnamed_gateway: Rc<Gateway>,
         settings: subscriber::Settings,
@@ -97,7 +99,7 @@
             gateways: RefCell::default(),
             waiters: Waiters::default(),
             last_used: RefCell::default(),
-            guides: RefCell::default(),
+            node_plans: RefCell::default(),
             no_planner_since: Cell::new(None),
             hints_expired: Cell::new(false),
             last_reported: RefCell::default(),
@@ -106,6 +108,7 @@
         })
     }
 
+    /// Current time on the node's clock.
     pub(crate) fn now(&self) -> Nanos {
         self.unnamed_gateway.clock.now()
     }
@@ -150,15 +153,15 @@
                 Change::Hints { service, words } => {
                     let Some(gateway) = self.gateway(&service) else { continue };
                     if words.is_empty() {
-                        self.guides.borrow_mut().remove(&service);
+                        self.node_plans.borrow_mut().remove(&service);
                         gateway.apply_plan(NodePlan::default());
                         continue;
                     }
                     let view = View { words, trust: 1.0, ..View::default() };
                     let known = |name: &str| gateway.fleet(|f| f.endpoint_of(name));
-                    let guide = lead::guide(&view, known, &[], std::iter::empty());
-                    gateway.apply_plan(self.effective_guide(&guide));
-                    self.guides.borrow_mut().insert(service, guide);
+                    let plan = lead::guide(&view, known, &[], std::iter::empty());
+                    gateway.apply_plan(self.effective_plan(&plan));
+                    self.node_plans.borrow_mut().insert(service, plan);
                 }
                 Change::Unknown(service) | Change::Dropped(service) => self.drop_service(&service),
             }
@@ -169,10 +172,10 @@
         arrived.iter().for_each(|service| self.wake(service));
     }
 
-    /// The guide with no trust once hints have expired.
-    fn effective_guide(&self, guide: &NodePlan) -> NodePlan {
-        let trust = if self.hints_expired.get() { 0.0 } else { guide.trust };
-        NodePlan { trust, ..guide.clone() }
+    /// The plan, without trust once hints have expired.
+    fn effective_plan(&self, plan: &NodePlan) -> NodePlan {
+        let trust = if self.hints_expired.get() { 0.0 } else { plan.trust };
+        NodePlan { trust, ..plan.clone() }
     }
 
     /// Expires hints after [`HINT_TTL`] without a planner and restores them with the next planner.
@@ -183,9 +186,9 @@
         self.no_planner_since.set(since);
         let hints_expired = since.is_some_and(|at| now.saturating_sub(at) >= HINT_TTL);
         if self.hints_expired.replace(hints_expired) != hints_expired {
-            for (service, guide) in &*self.guides.borrow() {
+            for (service, plan) in &*self.node_plans.borrow() {
                 if let Some(gateway) = self.gateway(service) {
-                    gateway.apply_plan(self.effective_guide(guide));
+                    gateway.apply_plan(self.effective_plan(plan));
                 }
             }
         }
@@ -198,8 +201,9 @@
         }
     }
 
+    /// Removes a service that was dropped or turned out to be unknown.
     fn drop_service(&self, service: &str) {
-        self.guides.borrow_mut().remove(service);
+        self.node_plans.borrow_mut().remove(service);
         if service.is_empty() {
             self.unnamed_gateway.update_servers(ListKind::Full, Vec::new());
         } else if let Some(removed) = self.gateways.borrow_mut().remove(service) {
--- a/crates/node/src/services/table.rs
+++ b/crates/node/src/services/table.rs
@@ -104,6 +104,7 @@
 }
 
 impl ForwarderServicesTable {
+    /// Checks the keys and applies the defaults; `None` without `services = true`.
     pub(crate) fn validate(
         self,
         validator: &Validator<'_>,
@@ -166,10 +167,12 @@
 }
 
 impl PlannerServicesTable {
+    /// Whether `services = true` is set.
     pub(crate) fn enabled(&self) -> bool {
         self.services.as_ref().is_some_and(|on| *on.get_ref())
     }
 
+    /// Checks the keys and applies the defaults; `None` without `services = true`.
     pub(crate) fn validate(self, validator: &Validator<'_>) -> Result<Option<PlannerServices>, SiteError> {
         if !self.enabled() {
             let keys = [
--- a/crates/node/src/shift/cli.rs
+++ b/crates/node/src/shift/cli.rs
@@ -69,6 +69,7 @@
     Terminal(#[from] std::io::Error),
 }
 
+/// Runs a subcommand against the node at `at` and prints the result.
 pub(crate) fn run(command: &ShiftCommand, at: Option<SocketAddr>) -> Result<(), ShiftCommandError> {
     let (verb, options) = match command {
         ShiftCommand::Start(options) => (Verb::Start, options),
@@ -93,6 +94,7 @@
     Ok(serde_json::from_str(&request(&ManagementRequest::ShiftStatus, at)?)?)
 }
 
+/// Prints the status as JSON or text, on demand with its history.
 fn print_status(at: Option<SocketAddr>, json: bool, history: bool) -> Result<(), ShiftCommandError> {
     let status = fetch_status(at)?;
     if json {
--- a/crates/node/src/shift/mod.rs
+++ b/crates/node/src/shift/mod.rs
@@ -21,14 +21,14 @@
 
 /// Evaluations between two writes of the evidence: up to 10 s of it are lost when the process is killed.
 const EVIDENCE_EVERY: u32 = 40;
-/// Writes queued for the disk. Once half of them are in use, evidence is no longer queued, so that changes still are when the
-/// disk hangs.
+/// Writes queued for the disk. Once half of the queue is used, evidence is no longer queued, so that there is room for changes
+/// while the disk hangs.
 const MAX_QUEUED_WRITES: usize = 256;
 
 /// Why a node cannot start with the configured shift.
 #[derive(Debug, thiserror::Error)]
 pub enum ShiftStartError {
-    /// The cells to compare cannot be built.
+    /// The cells for the comparison of the pools cannot be built.
     #[error("`shift`: {0}")]
     Cells(#[from] CellsError),
     /// The journal cannot be read or written.
@@ -106,6 +106,7 @@
     writes
 }
 
+/// Carries out one write and waits for the disk.
 fn write_journal(path: &Path, file: &mut File, write: &JournalWrite) -> io::Result<()> {
     match write {
         JournalWrite::Append(lines) => {
@@ -115,9 +116,9 @@
         JournalWrite::Replace(text) => {
             // Renamed into place: a process that ends meanwhile leaves either the old or the new journal.
             let draft = path.with_extension("new");
-            let mut new = File::create(&draft)?;
-            new.write_all(text.as_bytes())?;
-            new.sync_data()?;
+            let mut replacement = File::create(&draft)?;
+            replacement.write_all(text.as_bytes())?;
+            replacement.sync_data()?;
             std::fs::rename(&draft, path)?;
             *file = OpenOptions::new().append(true).open(path)?;
             Ok(())
@@ -125,6 +126,7 @@
     }
 }
 
+/// Evaluates the shift at each interval, logs its changes and queues them for the journal.
 async fn run(gateway: Rc<Gateway>, writes: Option<mpsc::Sender<JournalWrite>>) {
     let mut evaluations = 0;
     let (mut logged, mut bytes_since_compaction) = (0, 0);
@@ -157,7 +159,7 @@
             JournalWrite::Append(text)
         };
         if writes.try_send(write).is_err() {
-            tracing::warn!("the queue of the shift's journal is full: the disk does not respond");
+            tracing::warn!("the shift's journal is incomplete: its write queue is full, the disk does not respond");
         }
     }
 }
@@ -165,10 +167,10 @@
 /// Returns the changes after the first `logged` ones and advances `logged` past them.
 fn new_changes(follower: &Follower, logged: &mut u64) -> Vec<Change> {
     let count = follower.course.changed();
-    let new = (count - *logged) as usize;
+    let new_count = (count - *logged) as usize;
     *logged = count;
     let retained = follower.course.changes().count();
-    follower.course.changes().skip(retained.saturating_sub(new)).cloned().collect()
+    follower.course.changes().skip(retained.saturating_sub(new_count)).cloned().collect()
 }
 
 /// Logs a change of state as one structured line.
--- a/crates/node/src/shift/table.rs
+++ b/crates/node/src/shift/table.rs
@@ -99,11 +99,13 @@
     }
 }
 
+/// Compiles wildcard patterns.
 fn patterns(texts: &[String]) -> Vec<WildMatch> {
     texts.iter().map(|t| WildMatch::new(t)).collect()
 }
 
 impl PoolTable {
+    /// Converts the conditions under `shift.{key}` to a predicate on servers.
     fn predicate(&self, validator: &Validator<'_>, key: &str) -> Result<Predicate, SiteError> {
         let network = |text: &Spanned<String>| {
             text.get_ref().parse::<IpNet>().map_err(|_| {
@@ -126,6 +128,7 @@
 }
 
 impl ShiftTable {
+    /// Checks the section against the configured classes, if they are known.
     pub(crate) fn validate(
         self,
         validator: &Validator<'_>,
@@ -232,6 +235,7 @@
 }
 
 impl SplitTable {
+    /// Checks a split and compiles its patterns.
     fn validate(&self, validator: &Validator<'_>) -> Result<Split, SiteError> {
         let name = self.name.get_ref();
         let not_a_list = |group: &str| {
--- a/crates/node/src/shift/watch.rs
+++ b/crates/node/src/shift/watch.rs
@@ -14,6 +14,7 @@
 /// Minimum and maximum interval between two updates, in seconds.
 const INTERVAL_SECONDS: (f64, f64) = (0.2, 3600.0);
 
+/// Shows the status every `every` seconds until the view is closed.
 pub(super) fn run(at: Option<SocketAddr>, every: f64) -> Result<(), ShiftCommandError> {
     let interval = Duration::from_secs_f64(if every.is_finite() {
         every.clamp(INTERVAL_SECONDS.0, INTERVAL_SECONDS.1)
@@ -79,6 +80,7 @@
     }
 }
 
+/// Draws the whole view.
 fn draw(frame: &mut Frame<'_>, status: &Status) {
     let classes = status.shares.len().clamp(1, 4) as u16;
     let areas = Layout::vertical([
--- a/crates/node/src/upgrade/link.rs
+++ b/crates/node/src/upgrade/link.rs
@@ -66,6 +66,7 @@
         }
     }
 
+    /// Sends a packet, waiting for room in the socket's buffer.
     pub(super) async fn send(
         &self,
         message: &Message,
