--- a/crates/node/src/shift/mod.rs
+++ b/crates/node/src/shift/mod.rs
@@ -159,7 +159,9 @@
             JournalWrite::Append(text)
         };
         if writes.try_send(write).is_err() {
-            tracing::warn!("the shift's journal is incomplete: its write queue is full, the disk does not respond");
+            tracing::warn!(
+                "the shift's journal is incomplete: its write queue is full, the disk does not respond"
+            );
         }
     }
 }
