--- a/crates/core/src/accept.rs
+++ b/crates/core/src/accept.rs
@@ -1,7 +1,7 @@
-//! Accepting clients, the same on every wire.
+//! The accept loop for client connections, shared by all protocols.
 
 use crate::budget::Budget;
-use crate::connect::{exhausted, of_this_machine};
+use crate::connect::{is_descriptor_exhaustion, is_local_failure};
 use crate::retry_io::{classify_error, ErrorClass};
 use std::io;
 use std::rc::Rc;
@@ -9,130 +9,134 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{watch, Notify};
 
-/// Without a descriptor, accepting again at once would only spin: something has to close first.
-const EXHAUSTED: Duration = Duration::from_millis(10);
-/// A place for a client that waits is looked for this often.
-const FULL: Duration = Duration::from_millis(20);
-/// Where none of those that are to end has ended for so long, one more is told to.
-const ONE_MORE_AFTER: Duration = Duration::from_millis(100);
+/// Pause after a failed accept that a resource shortage caused. Without a free descriptor an immediate retry would only
+/// spin: a connection has to close first.
+const EXHAUSTED_PAUSE: Duration = Duration::from_millis(10);
+/// How often a waiting client checks for a free slot.
+const FULL_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// If none of the connections asked to close has closed within this time, one more is asked to.
+const ESCALATION_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Whether clients are accepted.
+/// Whether the accept loop takes new connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptState {
-    /// They are.
+    /// New connections are accepted.
     Accepting,
-    /// Not now: another process of the node takes them from the same queue, or this one does not serve yet.
+    /// Accepting is suspended: another process of the node accepts from the same queue, or this one does not serve yet.
     Paused,
-    /// Never more, once what the kernel has accepted for us is taken.
+    /// Accepting has ended for good, once the connections that the kernel has already accepted for us are taken.
     Closed,
 }
 
-/// A front's connections.
+/// Handles the connections that a listener accepts.
 pub trait ConnectionHandler {
-    /// A client has connected.
+    /// Serves a newly accepted connection.
     fn serve(self: &Rc<Self>, stream: TcpStream);
 
-    /// A client has connected for whom there is no place: it is served beyond the places where its answer can tell it to
-    /// come back on another connection and a descriptor is free, and is given back where not.
+    /// Serves a connection for which there is no regular slot, if its response can ask the client to reconnect and a
+    /// descriptor is free; returns the connection otherwise.
     fn serve_overflow(self: &Rc<Self>, stream: TcpStream) -> Result<(), TcpStream> {
         Err(stream)
     }
 
-    /// Told whenever a connection has gone.
+    /// Notified whenever a connection has closed.
     fn connection_closed(&self) -> &Notify;
 }
 
-/// How much a new client needs a place.
+/// How urgently a new client needs a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SlotDemand {
-    /// It has one, and those that come next will have none.
+    /// The client has a slot, but the next ones will not.
     Upcoming,
-    /// It has waited for one for so long.
+    /// The client has waited this long for a slot.
     Waiting(Duration),
 }
 
 impl SlotDemand {
-    /// Connections that should be about to end for the sake of one client that waits: one, and one more for each span in
-    /// which none of them has.
+    /// Number of connections that should be closing on behalf of one waiting client: one, and one more for each
+    /// [`ESCALATION_INTERVAL`] in which none of them has closed.
     pub fn connections_to_close(self) -> usize {
         match self {
             SlotDemand::Upcoming => 0,
-            SlotDemand::Waiting(waited) => 1 + (waited.as_millis() / ONE_MORE_AFTER.as_millis()) as usize,
+            SlotDemand::Waiting(waited) => {
+                1 + (waited.as_millis() / ESCALATION_INTERVAL.as_millis()) as usize
+            }
         }
     }
 }
 
-/// Ends a connection, on whichever front, if there is one that can be spared: all of them share the descriptors, and
-/// idle clients of one wire must not keep those of another out.
+/// Closes a client connection that can be spared, on any front. All fronts share the descriptors, and idle clients of
+/// one protocol must not keep out those of another.
 pub type EvictClient = Rc<dyn Fn(SlotDemand)>;
 
-/// Accepts while the gate is open, and until it is shut. What the kernel has accepted for us by then is taken.
+/// Accepts connections in the state `Accepting`, until the state is `Closed` and the connections that the kernel has
+/// accepted by then are taken.
 pub async fn accept<D: ConnectionHandler>(
-    door: Rc<D>,
+    handler: Rc<D>,
     budget: Rc<Budget>,
-    make_room: EvictClient,
+    evict_client: EvictClient,
     listener: Rc<TcpListener>,
-    mut gate: watch::Receiver<AcceptState>,
+    mut accept_state: watch::Receiver<AcceptState>,
 ) {
-    // One client for whom there is no place yet, and since when it waits: room is made only for somebody. The kernel holds
-    // those behind it.
+    // One accepted client that has no slot yet, and since when it waits: connections are evicted only on behalf of a
+    // waiting client. Those behind it stay in the kernel's queue.
     let mut waiting: Option<(TcpStream, Instant)> = None;
     loop {
-        let now = *gate.borrow_and_update();
+        let now = *accept_state.borrow_and_update();
         let (open, shut) = (now != AcceptState::Paused, now == AcceptState::Closed);
         if let Some((stream, since)) = waiting.take() {
-            // Once no further ones are accepted, nothing comes of keeping this one waiting.
+            // Once no further connections are accepted, there is no point in keeping this one waiting.
             if !budget.clients_exhausted() || now != AcceptState::Accepting {
-                door.serve(stream);
+                handler.serve(stream);
             } else {
-                waiting = open_full(&door, &make_room, stream, since);
+                waiting = serve_when_full(&handler, &evict_client, stream, since);
             }
         }
-        // What does not find a place any more as the door shuts stays with the kernel.
+        // Connections that find no slot while the listener closes stay in the kernel's queue.
         let takes = open && waiting.is_none() && !(shut && budget.clients_exhausted());
         tokio::select! {
             biased;
-            _ = door.connection_closed().notified(), if waiting.is_some() => {}
-            _ = tokio::time::sleep(FULL), if waiting.is_some() => {}
+            _ = handler.connection_closed().notified(), if waiting.is_some() => {}
+            _ = tokio::time::sleep(FULL_POLL_INTERVAL), if waiting.is_some() => {}
             accepted = listener.accept(), if takes => match accepted {
                 Ok((stream, _)) if budget.clients_exhausted() => waiting = Some((stream, Instant::now())),
                 Ok((stream, _)) => {
                     if budget.clients() >= budget.max_clients() {
-                        make_room(SlotDemand::Upcoming);
+                        evict_client(SlotDemand::Upcoming);
                     }
-                    door.serve(stream);
+                    handler.serve(stream);
                 }
-                Err(error) => not_accepted(&error, &make_room).await,
+                Err(error) => handle_accept_error(&error, &evict_client).await,
             },
             _ = std::future::ready(()), if shut => return,
-            changed = gate.changed() => if changed.is_err() {
+            changed = accept_state.changed() => if changed.is_err() {
                 return;
             },
         }
     }
 }
 
-/// Serves a client that has waited since then where all places are taken, or gives it back and makes room for it.
-fn open_full<D: ConnectionHandler>(
-    door: &Rc<D>,
-    make_room: &EvictClient,
+/// Serves a client that has waited since `since` as overflow, or returns it and asks for a connection to be evicted.
+fn serve_when_full<D: ConnectionHandler>(
+    handler: &Rc<D>,
+    evict_client: &EvictClient,
     stream: TcpStream,
     since: Instant,
 ) -> Option<(TcpStream, Instant)> {
-    let stream = door.serve_overflow(stream).err()?;
-    make_room(SlotDemand::Waiting(since.elapsed()));
+    let stream = handler.serve_overflow(stream).err()?;
+    evict_client(SlotDemand::Waiting(since.elapsed()));
     Some((stream, since))
 }
 
-async fn not_accepted(error: &io::Error, make_room: &EvictClient) {
-    if exhausted(error) {
-        make_room(SlotDemand::Waiting(Duration::ZERO));
-        tokio::time::sleep(EXHAUSTED).await;
-    } else if of_this_machine(error) && classify_error(error) != ErrorClass::Interrupted {
-        // Memory or buffers that are short for a moment come back no sooner for being asked at once.
-        tokio::time::sleep(EXHAUSTED).await;
+async fn handle_accept_error(error: &io::Error, evict_client: &EvictClient) {
+    if is_descriptor_exhaustion(error) {
+        evict_client(SlotDemand::Waiting(Duration::ZERO));
+        tokio::time::sleep(EXHAUSTED_PAUSE).await;
+    } else if is_local_failure(error) && classify_error(error) != ErrorClass::Interrupted {
+        // A temporary shortage of memory or buffers does not pass sooner if the call is repeated at once.
+        tokio::time::sleep(EXHAUSTED_PAUSE).await;
     } else {
-        // Interrupted, or a client that left while it waited: nothing to do with the next one.
+        // The call was interrupted, or a client disconnected while queued: the next one is unaffected.
         tokio::task::yield_now().await;
     }
 }
--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -1,100 +1,105 @@
-//! What the node may hold: file descriptors and bytes of bodies.
+//! Resource limits of the process: file descriptors and the memory that request and response bodies may take.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Descriptors that are neither a client's nor a server's: standard streams, listeners and a client at each for whom there is
-/// no place yet, poller, discovery, the other process of the node while one takes over.
-const OWN_SOCKETS: usize = 20;
-/// Descriptors for calls on the second address, where there is one.
+/// Descriptors that belong to neither a client nor a server: standard streams, the listeners and one client waiting for
+/// a slot at each, the poller, discovery, and the link to the other process of the node during a takeover.
+const OWN_DESCRIPTORS: usize = 20;
+/// Descriptors reserved for connections to the management address, if there is one.
 pub const MANAGEMENT_SOCKETS: usize = 16;
-/// Part of the rest that clients may hold in any case: a third for those that ask, and some for those that do not. Each of
-/// their requests may have two attempts out, and attempts that were given up hold theirs for a while.
-const CLIENT_PART: f64 = 0.42;
-/// ... and this part of what connections to servers leave free beyond a margin that they may grow by.
-const CROWD_PART: f64 = 0.66;
-const MARGIN: f64 = 0.12;
-/// Beside the part of clients, one place for each so many in it, and one at least: for clients that leave with their answer
-/// ([`Budget::acquire_overflow`]).
-const OVERFLOW_PART: usize = 16;
-/// Part of the memory limit that bodies may fill; connection buffers and the heap's slack need the rest.
-const BODY_PART: f64 = 0.35;
-/// Bookkeeping for one piece of a body: without it a body of one-byte chunks would cost far more than counted.
-const PIECE: usize = 64;
-
-/// Counts what is held against the limits of the configuration.
+/// Fraction of the shared descriptors that clients may always hold: a third for clients with a request in flight, and
+/// some for idle ones. Each request may have two attempts in flight, and abandoned attempts hold their connections for
+/// a while.
+const CLIENT_FRACTION: f64 = 0.42;
+/// Beyond that, clients may hold descriptors that connections to servers leave free, up to this fraction of the shared
+/// ones, less [`SERVER_MARGIN`].
+const MAX_CLIENT_FRACTION: f64 = 0.66;
+/// Fraction of the shared descriptors that stays free for connections to servers to grow into.
+const SERVER_MARGIN: f64 = 0.12;
+/// One overflow slot per this many regular client slots, and at least one ([`Budget::acquire_overflow`]): for clients
+/// whose connection is closed with the response.
+const CLIENTS_PER_OVERFLOW_SLOT: usize = 16;
+/// Fraction of the memory limit that bodies may fill; connection buffers and heap fragmentation need the rest.
+const BODY_FRACTION: f64 = 0.35;
+/// Bytes of overhead per chunk of a body: without them a body of one-byte chunks would take far more memory than
+/// counted.
+const CHUNK_OVERHEAD: usize = 64;
+
+/// Counts descriptors and body bytes in use against the configured limits.
 #[derive(Debug)]
 pub struct Budget {
-    rest: Cell<usize>,
-    /// What it is without another process of the node beside this one.
-    whole_rest: usize,
-    most_bytes: usize,
+    /// Descriptors that clients and servers share.
+    shared: Cell<usize>,
+    /// The same as long as no other process of the node runs beside this one.
+    full_shared: usize,
+    max_body_bytes: usize,
     own: usize,
     clients: Cell<usize>,
-    /// Of the clients, those beyond the places.
+    /// The clients that hold an overflow slot; `clients` includes them.
     overflow: Cell<usize>,
     servers: Cell<usize>,
-    bytes: Cell<usize>,
+    body_bytes: Cell<usize>,
 }
 
 impl Budget {
-    /// Splits `sockets` descriptors and `memory_mb` MiB among clients, servers and messages; `kept` more descriptors are
-    /// neither's.
-    pub fn new(sockets: usize, memory_mb: u64, kept: usize) -> Rc<Self> {
-        let own = OWN_SOCKETS + kept;
-        let rest = rest_of(sockets, own);
+    /// Splits `descriptors` and `memory_mb` MiB among clients, servers and bodies; `reserved` of the descriptors are
+    /// for neither clients nor servers.
+    pub fn new(descriptors: usize, memory_mb: u64, reserved: usize) -> Rc<Self> {
+        let own = OWN_DESCRIPTORS + reserved;
+        let shared = shared_descriptors(descriptors, own);
         Rc::new(Budget {
-            rest: Cell::new(rest),
-            whole_rest: rest,
-            most_bytes: (memory_mb as f64 * BODY_PART) as usize * 1024 * 1024,
+            shared: Cell::new(shared),
+            full_shared: shared,
+            max_body_bytes: (memory_mb as f64 * BODY_FRACTION) as usize * 1024 * 1024,
             own,
             clients: Cell::new(0),
             overflow: Cell::new(0),
             servers: Cell::new(0),
-            bytes: Cell::new(0),
+            body_bytes: Cell::new(0),
         })
     }
 
-    /// From now on the process may hold so many descriptors. What is above it goes as it is given back.
-    pub fn resize(&self, sockets: usize) {
-        self.rest.set(rest_of(sockets, self.own));
+    /// Changes the number of descriptors that the process may hold. A surplus disappears as descriptors are released.
+    pub fn resize(&self, descriptors: usize) {
+        self.shared.set(shared_descriptors(descriptors, self.own));
     }
 
-    /// Places for clients: their own part, and in a crowd of them what servers do not need.
-    fn client_places(&self) -> usize {
-        self.client_places_of(self.rest.get())
+    /// Slots for clients: their own fraction, or more if servers do not need it.
+    fn client_slots(&self) -> usize {
+        self.client_slots_of(self.shared.get())
     }
 
-    fn client_places_of(&self, rest: usize) -> usize {
-        let part = |of: f64| (rest as f64 * of) as usize;
-        let margin = part(MARGIN).max(overflow_places(rest));
-        let free = rest.saturating_sub(self.servers.get() + margin);
-        part(CLIENT_PART).max(free.min(part(CROWD_PART)))
+    fn client_slots_of(&self, shared: usize) -> usize {
+        let part = |fraction: f64| (shared as f64 * fraction) as usize;
+        let margin = part(SERVER_MARGIN).max(overflow_slots(shared));
+        let free = shared.saturating_sub(self.servers.get() + margin);
+        part(CLIENT_FRACTION).max(free.min(part(MAX_CLIENT_FRACTION)))
     }
 
-    /// Places for connections to servers: what clients and their overflow leave of the rest, and more than their own part
-    /// to none.
-    fn server_places(&self) -> usize {
-        let rest = self.rest.get();
-        let kept = self.clients.get().saturating_sub(self.overflow.get());
-        let of_clients = ((rest as f64 * CLIENT_PART) as usize).max(kept);
-        rest.saturating_sub(of_clients + overflow_places(rest))
+    /// Slots for connections to servers: the shared descriptors that neither the clients' fraction, or the slots that
+    /// clients hold if these are more, nor the overflow slots take.
+    fn server_slots(&self) -> usize {
+        let shared = self.shared.get();
+        let regular_clients = self.clients.get().saturating_sub(self.overflow.get());
+        let for_clients = ((shared as f64 * CLIENT_FRACTION) as usize).max(regular_clients);
+        shared.saturating_sub(for_clients + overflow_slots(shared))
     }
 
     /// Connections that clients may hold before new ones are refused.
     pub fn max_clients(&self) -> usize {
-        most_of(self.client_places())
+        regular_slots(self.client_slots())
     }
 
-    /// So many clients hold more than half of the places that there are without another process of the node beside this
-    /// one. While one takes over from another, either may have places for a few only: that makes no crowd of its clients.
+    /// Whether this many clients hold more than half of the slots that the process has when it is the node's only one.
+    /// During a takeover either process may have only a few slots, which does not make its clients a crowd.
     pub fn is_crowded(&self, clients: usize) -> bool {
-        clients > most_of(self.client_places_of(self.whole_rest)) / 2
+        clients > regular_slots(self.client_slots_of(self.full_shared)) / 2
     }
 
-    /// More connections are open to servers than may be.
+    /// Whether more connections to servers are open than there are slots for.
     pub fn servers_over_limit(&self) -> bool {
-        self.servers.get() > self.server_places()
+        self.servers.get() > self.server_slots()
     }
 
     /// Descriptors that this process holds.
@@ -102,60 +107,61 @@
         self.clients.get() + self.servers.get() + self.own
     }
 
-    /// Connections that clients hold.
+    /// Number of client connections.
     pub fn clients(&self) -> usize {
         self.clients.get()
     }
 
-    /// No further client may even be turned away: the backlog has to hold it.
+    /// Whether there is no slot left even to refuse a client: further ones have to stay in the listener's backlog.
     pub fn clients_exhausted(&self) -> bool {
-        self.clients.get() >= self.client_places()
+        self.clients.get() >= self.client_slots()
     }
 
-    /// A place for one more client.
+    /// Takes a slot for one more client.
     pub fn acquire_client(self: &Rc<Self>) -> Slot {
         Slot::take(self, |b| &b.clients)
     }
 
-    /// A place beyond those for clients, for one whose answer tells it to come back on another connection, if there is any.
-    /// A descriptor has to be free: a lease that has just fallen may be held by more clients and servers than it has places for.
+    /// Takes an overflow slot if there is one: for a client whose response asks it to reconnect. A descriptor has to be
+    /// free as well: after the limit was lowered, clients and servers may hold more descriptors than there are slots.
     pub fn acquire_overflow(self: &Rc<Self>) -> Option<OverflowSlot> {
-        let free = self.clients.get() + self.servers.get() < self.rest.get();
-        (free && self.overflow.get() < overflow_places(self.rest.get())).then(|| OverflowSlot {
+        let free = self.clients.get() + self.servers.get() < self.shared.get();
+        (free && self.overflow.get() < overflow_slots(self.shared.get())).then(|| OverflowSlot {
             _client: self.acquire_client(),
             _overflow: Slot::take(self, |b| &b.overflow),
         })
     }
 
-    /// A place for one more connection to a server, if there is any.
+    /// Takes a slot for one more connection to a server, if there is one.
     pub fn acquire_server(self: &Rc<Self>) -> Option<Slot> {
-        (self.servers.get() < self.server_places()).then(|| Slot::take(self, |b| &b.servers))
+        (self.servers.get() < self.server_slots()).then(|| Slot::take(self, |b| &b.servers))
     }
 
-    /// Nothing held yet; it grows with `BodyLease::grow`.
+    /// An empty lease for the bytes of one body; [`BodyLease::grow`] adds to it.
     pub fn body_lease(self: &Rc<Self>) -> BodyLease {
-        BodyLease { budget: self.clone(), held: 0 }
+        BodyLease { budget: self.clone(), bytes: 0 }
     }
 }
 
-/// What clients and servers share.
-fn rest_of(sockets: usize, own: usize) -> usize {
-    sockets.saturating_sub(own).max(8)
+/// Descriptors that clients and servers share.
+fn shared_descriptors(descriptors: usize, own: usize) -> usize {
+    descriptors.saturating_sub(own).max(8)
 }
 
-/// Places beyond those for clients ([`Budget::acquire_overflow`]), of what clients and servers share. No connection to a server takes
-/// one of them.
-fn overflow_places(rest: usize) -> usize {
-    let part = (rest as f64 * CLIENT_PART) as usize;
-    (part / OVERFLOW_PART).max(1)
+/// Number of overflow slots ([`Budget::acquire_overflow`]) among the shared descriptors. Connections to servers never
+/// use them.
+fn overflow_slots(shared: usize) -> usize {
+    let client_slots = (shared as f64 * CLIENT_FRACTION) as usize;
+    (client_slots / CLIENTS_PER_OVERFLOW_SLOT).max(1)
 }
 
-/// Of so many places, those for clients that are not only told to come back: for these one in eight is kept.
-fn most_of(places: usize) -> usize {
-    (places - places / 8).max(1)
+/// The client slots in which requests are served. One slot in eight is kept for clients that are only refused and asked
+/// to come back.
+fn regular_slots(slots: usize) -> usize {
+    (slots - slots / 8).max(1)
 }
 
-/// One descriptor in use, given back when dropped.
+/// One descriptor in use, released when dropped.
 #[derive(Debug)]
 pub struct Slot {
     budget: Rc<Budget>,
@@ -176,36 +182,36 @@
     }
 }
 
-/// A client's descriptor beyond the places, given back when dropped.
+/// A client's overflow slot, released when dropped.
 #[derive(Debug)]
 pub struct OverflowSlot {
     _client: Slot,
     _overflow: Slot,
 }
 
-/// Bytes of one body, given back when dropped.
+/// The bytes that one body accounts for, released when dropped.
 #[derive(Debug)]
 pub struct BodyLease {
     budget: Rc<Budget>,
-    held: usize,
+    bytes: usize,
 }
 
 impl BodyLease {
-    /// Takes one more piece into account; false where the budget has no room for it.
+    /// Accounts for one more chunk; returns false if the budget has no room for it.
     pub fn grow(&mut self, bytes: usize) -> bool {
-        let cost = bytes + PIECE;
-        let sum = self.budget.bytes.get() + cost;
-        if sum > self.budget.most_bytes {
+        let cost = bytes + CHUNK_OVERHEAD;
+        let sum = self.budget.body_bytes.get() + cost;
+        if sum > self.budget.max_body_bytes {
             return false;
         }
-        self.budget.bytes.set(sum);
-        self.held += cost;
+        self.budget.body_bytes.set(sum);
+        self.bytes += cost;
         true
     }
 }
 
 impl Drop for BodyLease {
     fn drop(&mut self) {
-        self.budget.bytes.set(self.budget.bytes.get() - self.held);
+        self.budget.body_bytes.set(self.budget.body_bytes.get() - self.bytes);
     }
 }
--- a/crates/core/src/call.rs
+++ b/crates/core/src/call.rs
@@ -1,4 +1,4 @@
-//! The seam between the wires and the gateway.
+//! The interface between the protocol fronts and the gateway.
 
 use crate::events::Label;
 use crate::gateway::Attempt;
@@ -9,74 +9,74 @@
 use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
 
-/// Which wire a connection to a server speaks: an index into the server's addresses.
+/// The wire protocol of a connection to a server: an index into the server's addresses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Wire(pub u8);
 
-/// What a front has read of a client's request, in the decision module's words. The module's own number for it,
-/// `request.id`, is filled in by the gateway.
+/// A client's request as its front has parsed it, in the decision module's terms. The gateway fills in the module's own
+/// number for it, `request.id`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Call {
-    /// Class, tenant, route key, hints and when the client gives up.
+    /// Class, tenant, route key, hints and the client's deadline.
     pub request: Request,
-    /// When no answer is of use any more; attempts are called off then.
+    /// The time after which a response is of no use; attempts are cancelled then.
     pub give_up_at: Nanos,
-    /// What the client calls it, for those who look into an incident.
+    /// The client's request id, for incident analysis.
     pub label: Label,
 }
 
-/// One request in the form of its wire, and the place of its answer. The first two methods are called while the gateway is
-/// at work: they may start tasks and put answers, and must not call the gateway back.
+/// One request in the form of its protocol, and the slot for its response. The gateway calls the first two methods
+/// while its state is borrowed: they may start tasks and set responses, but must not call back into the gateway.
 pub trait Exchange: 'static {
-    /// Starts carrying one attempt over one connection. The task tells the attempt how it ended, exactly once;
-    /// the handle ends it early, which tells nothing.
+    /// Starts one attempt over one connection. The task reports to the attempt how it ended, exactly once; the returned
+    /// handle aborts the task without such a report.
     fn start_attempt(self: Rc<Self>, attempt: Attempt) -> AbortHandle;
 
-    /// The final answer is none of a server's.
-    fn send_local_reply(&self, end: LocalReply);
+    /// Answers the client with a response that the node makes itself.
+    fn send_local_reply(&self, reply: LocalReply);
 
-    /// Whether the client is still there, as the kernel has it now.
+    /// The current state of the client's connection, as the kernel reports it.
     fn client_state(&self) -> PeerState;
 }
 
-/// A final answer that the node itself makes.
+/// A final response that the node makes itself instead of relaying a server's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LocalReply {
-    /// Turned away: known never to have run, or harmless to repeat.
+    /// The request was refused: it is known not to have run, or is harmless to repeat.
     Refused {
-        /// Advice when to come back, in nanoseconds; 0 for none.
+        /// Advised delay before a retry, in nanoseconds; 0 for none.
         retry_after: Nanos,
     },
-    /// Failed, with no word on its effect.
+    /// The request failed, and it is unknown whether it took effect.
     Failed {
-        /// Its time is up.
+        /// Its deadline has passed.
         late: bool,
     },
 }
 
-/// How a request ended, for its front.
+/// The final response to a request, for its front.
 #[derive(Debug)]
 pub enum FinalResponse<A> {
-    /// A server's answer.
+    /// A server's response.
     Upstream(A),
-    /// An answer of the node's own.
+    /// A response of the node's own.
     Local(LocalReply),
 }
 
-/// Where the one final answer is put; what is put after it is dropped.
+/// Holds the one final response of a request; any later response is dropped.
 pub struct ResponseSlot<A>(Cell<Option<oneshot::Sender<FinalResponse<A>>>>);
 
 impl<A> ResponseSlot<A> {
-    /// A place and the end at which its front waits.
+    /// An empty slot, and the receiver on which the front waits for the response.
     pub fn new() -> (Self, oneshot::Receiver<FinalResponse<A>>) {
         let (sender, receiver) = oneshot::channel();
         (ResponseSlot(Cell::new(Some(sender))), receiver)
     }
 
-    /// Puts the answer, if none is there. Whether anybody waits for it is the receiver's matter.
-    pub fn send(&self, verdict: FinalResponse<A>) {
+    /// Sends the response, unless one was sent before. It is not an error if the receiver is gone.
+    pub fn send(&self, response: FinalResponse<A>) {
         if let Some(sender) = self.0.take() {
-            let _ = sender.send(verdict);
+            let _ = sender.send(response);
         }
     }
 }
@@ -87,8 +87,8 @@
     }
 }
 
-/// What an upstream knows of the request that it writes.
+/// How far an upstream connection has got in sending its request.
 pub trait SendProgress {
-    /// The kernel has the last byte of the request: from here on it may have run.
+    /// Whether the kernel has the last byte of the request: from then on it may run.
     fn fully_sent(&self) -> bool;
 }
--- a/crates/core/src/clock.rs
+++ b/crates/core/src/clock.rs
@@ -1,10 +1,10 @@
-//! The node's one clock. It begins at what the wall clock says and only goes forward from there: where that was wrong or is
-//! stepped later, spans of time stay right. Times of other machines are brought to it in [`crate::age`].
+//! The node's clock. It starts at the wall clock's time and is monotonic from there: intervals stay correct even if the
+//! wall clock was wrong or is stepped later. Times of other machines are converted to it in [`crate::start_time`].
 
 use laurelroute_policy::interface::Nanos;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The system's clock is read once; from then on time only goes forward.
+/// A monotonic clock that starts at the wall clock's time.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     epoch: Nanos,
@@ -12,23 +12,23 @@
 }
 
 impl Clock {
-    /// Reads the system's clock.
+    /// Starts a clock at the wall clock's current time.
     pub fn start() -> Self {
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { epoch: since.as_nanos() as Nanos, start: Instant::now() }
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Clock { epoch: since_epoch.as_nanos() as Nanos, start: Instant::now() }
     }
 
-    /// Nanoseconds on the node's own clock.
+    /// The current time on this clock, in nanoseconds.
     pub fn now(&self) -> Nanos {
         self.epoch + self.start.elapsed().as_nanos() as Nanos
     }
 
-    /// What the wall clock says now, nanoseconds since the Unix epoch.
+    /// The current wall clock time, in nanoseconds since the Unix epoch.
     pub fn wall(&self) -> Nanos {
         SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as Nanos
     }
 
-    /// The instant of a point in time, for timers.
+    /// Converts a time on this clock to a runtime instant, for timers.
     pub fn instant(&self, at: Nanos) -> tokio::time::Instant {
         (self.start + Duration::from_nanos(at.saturating_sub(self.epoch))).into()
     }
--- a/crates/core/src/connect.rs
+++ b/crates/core/src/connect.rs
@@ -1,4 +1,4 @@
-//! New connections to servers, within the node's descriptors and the server's own cap.
+//! Opening connections to servers, within the node's descriptor limit and the cap on connections to one server.
 
 use crate::budget::Slot;
 use crate::call::Wire;
@@ -12,67 +12,70 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Descriptors used up: for the process and for the system.
+/// The process has no descriptor left.
 const EMFILE: i32 = 24;
+/// The system has no descriptor left.
 const ENFILE: i32 = 23;
 
-/// Buffers used up, for which the library has no kind of error.
+/// No buffer space is left; the standard library has no [`io::ErrorKind`] for it.
 const ENOBUFS: i32 = 105;
-/// A connection that could not be begun for such a reason is begun again so often, after this pause.
-const TRIES: u32 = 3;
-const PAUSE: Duration = Duration::from_millis(2);
+/// Number of attempts to open a connection that fails for want of a local resource.
+const MAX_CONNECT_TRIES: u32 = 3;
+/// Pause between these attempts.
+const CONNECT_RETRY_PAUSE: Duration = Duration::from_millis(2);
 
-/// Whether an error says that no descriptor is left.
-pub fn exhausted(error: &io::Error) -> bool {
+/// Whether an error means that no descriptor is left.
+pub fn is_descriptor_exhaustion(error: &io::Error) -> bool {
     matches!(error.raw_os_error(), Some(EMFILE | ENFILE))
 }
 
-/// Whether it is this machine that could not begin a connection: nothing is known of the other side then.
-pub(crate) fn of_this_machine(error: &io::Error) -> bool {
+/// Whether a connection could not be opened for a reason on this machine, which says nothing about the peer.
+pub(crate) fn is_local_failure(error: &io::Error) -> bool {
     use io::ErrorKind::{AddrNotAvailable, NetworkUnreachable, OutOfMemory};
-    exhausted(error)
+    is_descriptor_exhaustion(error)
         || classify_error(error) != ErrorClass::Fatal
         || matches!(error.kind(), AddrNotAvailable | NetworkUnreachable | OutOfMemory)
         || error.raw_os_error() == Some(ENOBUFS)
 }
 
-/// Connects; what this machine is short of for a moment is waited for a little.
+/// Opens a TCP connection; retries after a short pause if a resource of this machine is temporarily exhausted.
 pub async fn connect_with_retry(address: SocketAddr) -> io::Result<TcpStream> {
-    for _ in 1..TRIES {
+    for _ in 1..MAX_CONNECT_TRIES {
         match TcpStream::connect(address).await {
-            Err(e) if of_this_machine(&e) => tokio::time::sleep(PAUSE).await,
+            Err(e) if is_local_failure(&e) => tokio::time::sleep(CONNECT_RETRY_PAUSE).await,
             connected => return connected,
         }
     }
     TcpStream::connect(address).await
 }
 
-/// Why no connection was to be had.
+/// Why no connection to a server could be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectError {
-    /// The server's side: it counts against the server.
+    /// The server's side failed: this counts against the server.
     Failed,
-    /// The node itself has no descriptor left, or the server holds as many connections of ours as it may.
+    /// The node itself has no descriptor left, or the server already has the maximum number of this node's connections.
     Exhausted,
 }
 
-/// What a connection holds for as long as it is open.
+/// The slots that a connection occupies for as long as it is open.
 #[derive(Debug)]
 pub struct ConnectionPermit {
     _slot: Slot,
-    _place: ServerConnectionSlot,
+    _server_slot: ServerConnectionSlot,
 }
 
-/// Connects to a server, making room where the node's descriptors or the server's connections are used up.
+/// Connects to a server. If the node's descriptors or the server's connections are used up, idle connections are closed
+/// to make room.
 pub async fn connect(
     gateway: &Rc<Gateway>,
     server: Endpoint,
     wire: Wire,
-    dial: SocketAddr,
+    address: SocketAddr,
 ) -> Result<(TcpStream, ConnectionPermit), ConnectError> {
-    let place = loop {
+    let server_slot = loop {
         match gateway.fleet(|f| f.reserve_connection(server, wire)) {
-            Some(place) => break place,
+            Some(server_slot) => break server_slot,
             None if gateway.evict_from_other_services(server) => {}
             None => return Err(ConnectError::Exhausted),
         }
@@ -87,13 +90,13 @@
         if !gateway.abort_lingering() {
             return Err(ConnectError::Exhausted);
         }
-        // What was told to stop gives its descriptor back when the runtime gets to it.
+        // An aborted task releases its descriptor only when the runtime next polls it.
         tokio::task::yield_now().await;
     };
     let limit = Duration::from_nanos(gateway.config.connect_timeout);
-    match tokio::time::timeout(limit, connect_with_retry(dial)).await {
-        Ok(Ok(stream)) => Ok((stream, ConnectionPermit { _slot: slot, _place: place })),
-        Ok(Err(e)) if of_this_machine(&e) => Err(ConnectError::Exhausted),
+    match tokio::time::timeout(limit, connect_with_retry(address)).await {
+        Ok(Ok(stream)) => Ok((stream, ConnectionPermit { _slot: slot, _server_slot: server_slot })),
+        Ok(Err(e)) if is_local_failure(&e) => Err(ConnectError::Exhausted),
         Ok(Err(_)) | Err(_) => Err(ConnectError::Failed),
     }
 }
--- a/crates/core/src/connection_source.rs
+++ b/crates/core/src/connection_source.rs
@@ -1,4 +1,4 @@
-//! The connections that one attempt tries: a kept one first, then new ones.
+//! The connections that one attempt uses: a pooled one first, then new ones.
 
 use crate::call::Wire;
 use crate::connect::ConnectError;
@@ -8,32 +8,33 @@
 use std::future::Future;
 use std::net::SocketAddr;
 
-/// A connection that an attempt has.
+/// A connection checked out by an attempt.
 pub struct AttemptConnection<C> {
     /// The connection.
     pub connection: Box<C>,
-    /// It has carried requests before. Where a request's last byte could not be handed over on such a one, the server
-    /// was just closing it: the attempt has not begun, and a new connection tells whether the server is there.
+    /// Whether it has carried requests before. If a request's last byte could not be written to a reused connection,
+    /// the server was just closing it: the attempt has not begun, and a new connection shows whether the server is up.
     pub reused: bool,
-    opened: Nanos,
+    opened_at: Nanos,
 }
 
-/// Connections to an attempt's server on one wire.
+/// Provides an attempt with connections to its server over one protocol.
 pub struct ConnectionSource<'a> {
     attempt: &'a Attempt,
     wire: Wire,
-    dial: SocketAddr,
-    fresh: bool,
+    address: SocketAddr,
+    /// Only new connections from now on: the pool has been tried.
+    pool_tried: bool,
 }
 
 impl<'a> ConnectionSource<'a> {
-    /// For an attempt that begins now; an error is how it ended.
+    /// A source for an attempt that begins now; an error is the attempt's outcome.
     pub fn new(attempt: &'a Attempt, wire: Wire) -> Result<Self, AttemptOutcome> {
-        let dial = attempt.address(wire).ok_or(AttemptOutcome::NotSent)?;
-        Ok(ConnectionSource { attempt, wire, dial, fresh: false })
+        let address = attempt.address(wire).ok_or(AttemptOutcome::NotSent)?;
+        Ok(ConnectionSource { attempt, wire, address, pool_tried: false })
     }
 
-    /// The next connection: the first time a kept one, if there is any that is still good, else one that `open` makes.
+    /// The next connection: on the first call a pooled one if any is still usable, otherwise one that `open` makes.
     pub async fn next<C, F>(
         &mut self,
         open: impl FnOnce(SocketAddr) -> F,
@@ -43,33 +44,35 @@
         F: Future<Output = Result<C, ConnectError>>,
     {
         let (gateway, server) = (self.attempt.gateway(), self.attempt.server());
-        let kept = match std::mem::replace(&mut self.fresh, true) {
+        let pooled = match std::mem::replace(&mut self.pool_tried, true) {
             false => gateway.fleet(|f| f.checkout(server, self.wire, gateway.idle_cutoff())),
             true => None,
         };
-        let line = match kept {
-            Some((connection, opened)) => AttemptConnection { connection, reused: true, opened },
-            None => match open(self.dial).await {
+        let connection = match pooled {
+            Some((connection, opened_at)) => AttemptConnection { connection, reused: true, opened_at },
+            None => match open(self.address).await {
                 Ok(connection) => AttemptConnection {
                     connection: Box::new(connection),
                     reused: false,
-                    opened: gateway.clock.now(),
+                    opened_at: gateway.clock.now(),
                 },
                 Err(ConnectError::Failed) => return Err(AttemptOutcome::ConnectFailed),
                 Err(ConnectError::Exhausted) => return Err(AttemptOutcome::NotSent),
             },
         };
-        // Connecting takes time, and much may have changed meanwhile.
+        // Connecting takes time, and the client, the deadline or the server may have changed meanwhile.
         match self.attempt.may_begin(self.wire).await {
-            Ok(dial) if dial == self.dial => Ok(line),
+            Ok(address) if address == self.address => Ok(connection),
             _ => Err(AttemptOutcome::NotSent),
         }
     }
 
-    /// Keeps a connection that has come to its answer's end.
-    pub fn release<C: PooledConnection>(&self, line: AttemptConnection<C>) {
+    /// Returns a connection to the pool after a complete response.
+    pub fn release<C: PooledConnection>(&self, connection: AttemptConnection<C>) {
         let gateway = self.attempt.gateway();
-        let times = (line.opened, gateway.clock.now());
-        gateway.fleet(|f| f.checkin(self.attempt.server(), (self.wire, self.dial), line.connection, times));
+        let times = (connection.opened_at, gateway.clock.now());
+        gateway.fleet(|f| {
+            f.checkin(self.attempt.server(), (self.wire, self.address), connection.connection, times)
+        });
     }
 }
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -1,50 +1,51 @@
-//! Whether an attempt may begin, and whether a request may be refused: the one locality that decides it for every wire.
+//! Decides for every protocol whether an attempt may begin and whether a request may be refused.
 //!
-//! The decision module says what it wants; this is asked right before it is done. What must not be done is not done, and
-//! where the module should have known, it is counted as a violation of the node's own invariants ([`crate::events`]).
+//! These checks run right before an action of the decision module is carried out. A forbidden action is dropped, and if
+//! the module had the information to avoid it, it is counted as a violation of the node's own invariants
+//! ([`crate::events`]).
 
 use laurelroute_policy::interface::{AttemptOutcome, DedupGroup, Idempotency, Nanos};
 
 /// Why an attempt may not begin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Denied {
-    /// The request has its final answer.
+    /// The request already has its final response.
     #[error("the request is answered")]
     Answered,
-    /// As many attempts were made as the settings allow.
+    /// The maximum number of attempts has been made.
     #[error("no attempt is left")]
     NoAttemptLeft,
     /// The client has closed or reset its connection.
     #[error("the client has gone")]
     ClientGone,
-    /// The client waits no longer.
+    /// The client's deadline has passed.
     #[error("its time is up")]
     DeadlinePassed,
-    /// The server drains or is gone.
+    /// The server is draining or gone.
     #[error("the server takes nothing new")]
     ServerClosed,
-    /// A keyed request may have run, and servers drop its repeats no longer.
+    /// A keyed request may have run, and the window in which servers deduplicate its repeats is over.
     #[error("its window is over")]
     WindowOver,
-    /// A keyed request may have run at a server that shares nothing with this one.
+    /// A keyed request may have run on a server outside this server's deduplication group.
     #[error("the server is of another group")]
     OtherGroup,
-    /// A request that must not run twice may have run.
+    /// A request that must not run more than once may have run.
     #[error("it may have run")]
     MayHaveRun,
-    /// Another attempt is out, and two must not be.
+    /// Another attempt is in flight, and the settings forbid concurrent attempts.
     #[error("another attempt is out")]
     SecondCopy,
 }
 
 impl Denied {
-    /// The decision module knew all that it takes to see this.
+    /// Whether the decision module had the information to avoid this.
     pub fn is_violation(self) -> bool {
         matches!(self, Denied::OtherGroup | Denied::MayHaveRun | Denied::SecondCopy)
     }
 }
 
-/// Where a server belongs.
+/// A server's location.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Locality {
     /// Its zone.
@@ -53,12 +54,12 @@
     pub cell: u16,
 }
 
-/// An attempt that was made before.
+/// An earlier attempt of the same request.
 #[derive(Clone, Copy, Debug)]
 pub struct PriorAttempt {
-    /// Where; `None` where that is forgotten.
+    /// The server's location; `None` if it is no longer known.
     pub locality: Option<Locality>,
-    /// How it ended; `None` while it is out.
+    /// How it ended; `None` while it is in flight.
     pub ending: Option<AttemptOutcome>,
     /// When it was sent.
     pub sent_at: Nanos,
@@ -70,43 +71,43 @@
     }
 }
 
-/// What the settings say of a request's class and of attempts.
+/// The settings that govern retries of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryPolicy {
-    /// What a repeat does.
+    /// The effect of repeating the request.
     pub effect: Idempotency,
-    /// Who drops repeats of a keyed request.
+    /// The group of servers that deduplicates repeats of a keyed request.
     pub group: DedupGroup,
-    /// For how long.
+    /// How long servers deduplicate repeats.
     pub window: Nanos,
-    /// Two attempts of a request may be out at once.
+    /// Whether two attempts of a request may be in flight at once.
     pub hedging: bool,
 }
 
-/// Whether one more attempt may be made at a server, by what became of the earlier ones.
+/// Whether one more attempt may be sent to a server, given the earlier ones.
 pub fn may_retry(
-    terms: &RetryPolicy,
+    policy: &RetryPolicy,
     earlier: impl Iterator<Item = PriorAttempt> + Clone,
     locality: Option<Locality>,
     now: Nanos,
 ) -> Result<(), Denied> {
-    if !terms.hedging && earlier.clone().any(|e| e.ending.is_none()) {
+    if !policy.hedging && earlier.clone().any(|e| e.ending.is_none()) {
         return Err(Denied::SecondCopy);
     }
     let mut ran = earlier.filter(PriorAttempt::may_have_run);
-    match terms.effect {
+    match policy.effect {
         Idempotency::Safe => Ok(()),
         Idempotency::Unsafe => ran.next().map_or(Ok(()), |_| Err(Denied::MayHaveRun)),
         Idempotency::Keyed => ran.try_for_each(|e| {
-            if now >= e.sent_at.saturating_add(terms.window) {
+            if now >= e.sent_at.saturating_add(policy.window) {
                 return Err(Denied::WindowOver);
             }
-            same_group(terms.group, e.locality, locality).then_some(()).ok_or(Denied::OtherGroup)
+            same_group(policy.group, e.locality, locality).then_some(()).ok_or(Denied::OtherGroup)
         }),
     }
 }
 
-/// Whether two servers drop the repeats of each other's requests.
+/// Whether two servers deduplicate the repeats of each other's requests.
 fn same_group(group: DedupGroup, one: Option<Locality>, other: Option<Locality>) -> bool {
     match (group, one, other) {
         (DedupGroup::All, ..) => true,
@@ -116,14 +117,14 @@
     }
 }
 
-/// Whether a client may be told that trying again is harmless.
+/// Whether a request may be refused, which tells the client that a retry is harmless.
 pub fn may_refuse(
-    terms: &RetryPolicy,
+    policy: &RetryPolicy,
     mut earlier: impl Iterator<Item = PriorAttempt>,
 ) -> Result<(), Denied> {
-    let harmless = match terms.effect {
+    let harmless = match policy.effect {
         Idempotency::Safe => true,
-        Idempotency::Keyed if terms.group == DedupGroup::All => true,
+        Idempotency::Keyed if policy.group == DedupGroup::All => true,
         Idempotency::Keyed | Idempotency::Unsafe => !earlier.any(|e| e.may_have_run()),
     };
     harmless.then_some(()).ok_or(Denied::MayHaveRun)
--- a/crates/core/src/events.rs
+++ b/crates/core/src/events.rs
@@ -1,60 +1,60 @@
-//! What the node has done with requests and connections and why: counts by kind, and the last events with their requests.
+//! Events on requests and connections: counters by kind, and the most recent events with their requests.
 //!
-//! Counts are kept for good; the last events are a ring of fixed size, for whoever looks into an incident. Both are read at the
-//! operators' address.
+//! Counters run for the lifetime of the process; recent events are in a ring buffer of fixed size, for incident
+//! analysis. Both are served at the management address.
 
 use laurelroute_policy::interface::Nanos;
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::fmt::Write;
 
-/// Events that are remembered.
-const MOST_EVENTS: usize = 256;
-/// Bytes that are kept of a request's id: its end, which tells requests apart.
-const LABEL: usize = 16;
+/// Capacity of the ring buffer of recent events.
+const MAX_RECENT_EVENTS: usize = 256;
+/// Bytes kept of a request's id: its end, where ids differ.
+const LABEL_BYTES: usize = 16;
 
-/// What has happened.
+/// The kind of an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// A first attempt was begun.
+    /// A request's first attempt began.
     AttemptBegun,
-    /// A further attempt or a second copy was begun.
+    /// A retry or a hedged attempt began.
     AttemptRepeated,
-    /// An attempt was not begun: the client had gone.
+    /// An attempt was not started because the client had disconnected.
     DeniedClientGone,
-    /// ... the server drains or is gone.
+    /// An attempt was not started because the server was draining or gone.
     DeniedServerClosed,
-    /// ... a keyed request's window was over.
+    /// An attempt was not started because the deduplication window of a keyed request was over.
     DeniedWindowOver,
-    /// ... the client's time was up.
+    /// An attempt was not started because the client's deadline had passed.
     DeniedDeadline,
-    /// ... the request was answered, or no attempt was left.
+    /// An attempt was not started because the request was answered or had used up its attempts.
     DeniedOver,
-    /// The decision module wanted what a rule forbids.
+    /// The decision module requested an action that a rule forbids.
     Violation,
-    /// A client was told to come back: by the decision module.
+    /// The decision module refused a request; the client may retry it.
     Refused,
-    /// ... for want of room.
+    /// A request was refused because a resource limit was reached.
     RefusedNoRoom,
     /// A request failed.
     Failed,
-    /// A request failed for want of time.
+    /// A request failed because its deadline passed.
     FailedLate,
-    /// A client left before its answer.
+    /// A client disconnected before its response.
     ClientLeft,
-    /// A client's connection was closed as it rested.
+    /// An idle client connection was closed.
     ClosedIdle,
-    /// ... as what it sent stood still.
+    /// A client connection was closed because its request made no progress.
     ClosedSlow,
-    /// ... to make room.
+    /// A client connection was closed to free its slot.
     ClosedForRoom,
-    /// ... as it did not take its answer.
+    /// A client connection was closed because the client did not read its response.
     ClosedStuck,
-    /// A close was put off: something had come in the meantime.
+    /// A close was postponed because data had arrived in the meantime.
     CloseCrossed,
 }
 
-/// All kinds, with the names that operators read.
+/// All kinds, in the order of the enum, with the names that operators see.
 const NAMES: [(Kind, &str); 18] = [
     (Kind::AttemptBegun, "attempt_begun"),
     (Kind::AttemptRepeated, "attempt_repeated"),
@@ -81,21 +81,21 @@
         NAMES.iter().find(|(kind, _)| *kind == self).map_or("", |(_, name)| name)
     }
 
-    /// Every request has one: too common to be remembered one by one.
-    fn is_common(self) -> bool {
+    /// Whether events of this kind are too frequent to be kept individually: every request has one.
+    fn is_frequent(self) -> bool {
         matches!(self, Kind::AttemptBegun | Kind::ClosedIdle)
     }
 }
 
-/// The end of a request's id as its client gave it.
+/// The end of a request's id as sent by its client.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Label([u8; LABEL]);
+pub struct Label([u8; LABEL_BYTES]);
 
 impl Label {
-    /// Of an id.
+    /// The label for a request id.
     pub fn of(id: &[u8]) -> Label {
-        let mut label = [0; LABEL];
-        let end = &id[id.len().saturating_sub(LABEL)..];
+        let mut label = [0; LABEL_BYTES];
+        let end = &id[id.len().saturating_sub(LABEL_BYTES)..];
         label[..end.len()].copy_from_slice(end);
         Label(label)
     }
@@ -114,40 +114,40 @@
 }
 
 #[derive(Debug, Default)]
-struct Log {
+struct EventLog {
     counts: [u64; NAMES.len()],
-    last: VecDeque<Event>,
+    recent: VecDeque<Event>,
 }
 
 thread_local! {
-    static LOG: RefCell<Log> = RefCell::default();
+    static LOG: RefCell<EventLog> = RefCell::default();
 }
 
-/// Notes an event of a request.
+/// Records an event of a request.
 pub fn record(at: Nanos, kind: Kind, label: Label) {
     LOG.with_borrow_mut(|log| {
         log.counts[kind as usize] += 1;
-        if kind.is_common() {
+        if kind.is_frequent() {
             return;
         }
-        if log.last.len() >= MOST_EVENTS {
-            log.last.pop_front();
+        if log.recent.len() >= MAX_RECENT_EVENTS {
+            log.recent.pop_front();
         }
-        log.last.push_back(Event { at, kind, label });
+        log.recent.push_back(Event { at, kind, label });
     });
 }
 
-/// Notes an event of a connection.
+/// Records an event of a connection.
 pub fn record_for_connection(at: Nanos, kind: Kind) {
     record(at, kind, Label::default());
 }
 
-/// How often something has happened on this thread.
+/// How many events of this kind this thread has recorded.
 pub fn count_of(kind: Kind) -> u64 {
     LOG.with_borrow(|log| log.counts[kind as usize])
 }
 
-/// All counts, a line each.
+/// All counters, one per line.
 pub fn counts() -> String {
     LOG.with_borrow(|log| {
         let mut text = String::new();
@@ -160,11 +160,11 @@
     })
 }
 
-/// The last events, oldest first, a line each: how long ago, what, and the request.
+/// The recent events, oldest first, one per line: how long ago, the kind, and the request.
 pub fn recent(now: Nanos) -> String {
     LOG.with_borrow(|log| {
         let mut text = String::new();
-        for event in &log.last {
+        for event in &log.recent {
             let ago = now.saturating_sub(event.at) as f64 / 1e9;
             let _ = writeln!(text, "-{ago:.3} s {} {}", event.kind.name(), event.label.text());
         }
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -1,4 +1,5 @@
-//! The fleet: which servers the list has named, where each listens on each wire, and the connections kept to them.
+//! The known servers: those that discovery has listed, their addresses by protocol, and the pool of idle connections to
+//! them.
 
 use crate::call::Wire;
 use crate::process::ProcessState;
@@ -11,53 +12,53 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Servers that left are remembered for this long, for what is still under way to them.
+/// How long removed servers are kept, for attempts that are still in flight to them.
 const REMOVED_SERVER_TTL: Nanos = 60_000_000_000;
 
-/// One entry of the list of servers.
+/// An entry of the server list.
 #[derive(Clone, Debug)]
 pub struct ServerEntry {
-    /// The server's name, the same at every node.
+    /// The server's name, the same on every node.
     pub host: String,
-    /// Where it listens, by [`Wire`].
+    /// The server's addresses, by [`Wire`].
     pub addresses: Addresses,
-    /// All that the module is told; the endpoint is filled in by the fleet.
+    /// The server as the decision module sees it; the fleet fills in the endpoint.
     pub server: Server,
-    /// What else is said of it, where somebody goes by that.
+    /// Further attributes, if they are used.
     pub attributes: Option<Box<ServerAttributes>>,
 }
 
-/// What the list says of a server beside what the module is told.
+/// Attributes of a server that the decision module does not use.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServerAttributes {
-    /// Its machine kind, by name.
+    /// The name of the server's machine kind.
     pub kind: String,
-    /// What it runs.
+    /// The software version.
     pub version: String,
-    /// Whatever else.
+    /// Other metadata.
     pub metadata: BTreeMap<String, String>,
-    /// The services that it serves; none is the one without a name.
+    /// The server's services; an empty list means the unnamed service.
     pub services: Vec<String>,
 }
 
-/// A server's addresses, by [`Wire`]; `None` where it does not speak that one.
+/// A server's addresses, by [`Wire`]; `None` for a protocol that it does not support.
 pub type Addresses = Vec<Option<SocketAddr>>;
 
-/// A connection that can carry another request.
+/// A pooled connection that can carry further requests.
 pub trait PooledConnection: Any {
-    /// Nothing has come on it and the peer has not closed.
+    /// Whether no data has arrived on the connection and the peer has not closed it.
     fn is_reusable(&self) -> bool;
 }
 
-/// A kept connection.
-pub struct Idle {
+/// An idle connection in the pool.
+pub struct IdleConnection {
     wire: Wire,
     connection: Box<dyn PooledConnection>,
-    opened: Nanos,
-    since: Nanos,
+    opened_at: Nanos,
+    idle_since: Nanos,
 }
 
-/// One connection to a server, counted over all wires; given back when dropped.
+/// One connection to a server, counted over all protocols; released when dropped.
 #[derive(Debug)]
 pub struct ServerConnectionSlot(Rc<Cell<u32>>);
 
@@ -70,58 +71,60 @@
 struct Upstream {
     host: String,
     addresses: Addresses,
-    /// As it counts here.
+    /// The server with local bans and drains applied.
     server: Server,
-    /// As the list has it, with its start on the node's own clock; gone where the list has it no more.
+    /// The server as listed, with its start time on the node's own clock; its phase is `Removed` once it is no longer
+    /// listed.
     listed: Server,
-    /// Its start as the list words it.
+    /// The start time as listed, in Unix time.
     listed_start: Nanos,
-    /// Connections open to it.
+    /// Number of open connections to the server.
     open: Rc<Cell<u32>>,
-    /// Since when it takes nothing new.
+    /// Since when the server takes no new requests.
     closed_at: Option<Nanos>,
-    /// Oldest first: the newest is used first, so that the others can age and close.
-    idle: Vec<Idle>,
+    /// Idle connections, oldest first. The newest is used first, so that the others can age and be closed.
+    idle: Vec<IdleConnection>,
 }
 
-/// The servers that the list has named, by the identity under which the module knows them.
+/// The servers that discovery has listed, by the endpoint under which the decision module knows them.
 #[derive(Default)]
 pub struct Fleet {
     upstreams: BTreeMap<Endpoint, Upstream>,
-    /// Who may be sent anything new at an address of the first wire: one process listens there.
-    holders: BTreeMap<SocketAddr, Endpoint>,
-    /// Those that the list does not have any more, by when they were closed.
+    /// The server that owns each address of the first protocol and may be sent new requests there: one process listens
+    /// at an address.
+    address_owners: BTreeMap<SocketAddr, Endpoint>,
+    /// Servers that are no longer listed, by the time they were closed.
     removed: BTreeSet<(Nanos, Endpoint)>,
-    /// Servers that may have kept connections; those that turn out to have none go with the next sweep.
+    /// Servers that may have idle connections; the next sweep removes those that have none.
     with_idle: BTreeSet<Endpoint>,
     /// See [`Fleet::servers_examined`].
     servers_examined: u64,
-    /// Connections that one server may hold of this node's, over all wires.
+    /// Maximum number of connections from this node to one server, over all protocols.
     max_connections: Option<u32>,
-    /// Servers that operators have taken out of use, whatever the list says.
+    /// Servers that operators have detached, whatever the list says.
     pub bans: Bans,
-    /// Servers that drain by others' word, ahead of the list.
+    /// Servers that other nodes have reported as draining, ahead of the list.
     drained: BTreeSet<String>,
-    /// Servers that were put back and may be used from now on.
+    /// Servers that operators have reattached and that have come into use, until [`Fleet::take_restored`].
     restored: Vec<Endpoint>,
-    /// Connections count together with those of other services.
+    /// Shared counts of connections, if the process has several services.
     process: Option<Rc<ProcessState>>,
-    /// What the wall clock says beyond the node's own; negative where it is behind.
+    /// Offset of the wall clock from the node's own clock; negative if it is behind.
     wall_clock_offset: i64,
-    /// The last sign of life from discovery; none before the first list.
+    /// The last contact with discovery; `None` before the first list.
     last_contact_at: Option<Nanos>,
 }
 
-/// The module sorts by identity, and all nodes must agree on the order: it comes from the name, which is the
-/// same everywhere, and not from the address, which is not.
-fn identity(host: &str, probe: u8) -> Endpoint {
+/// The endpoint under which the decision module knows a server. The module sorts by endpoint, and all nodes must agree
+/// on the order: it is derived from the name, which is the same everywhere, and not from the address, which is not.
+fn endpoint_for(host: &str, collisions: u8) -> Endpoint {
     let mut name = host.as_bytes().to_vec();
-    name.extend((probe > 0).then_some(probe));
+    name.extend((collisions > 0).then_some(collisions));
     let h = crate::stable_hash(&name).to_be_bytes();
     Endpoint { address: [h[0], h[1], h[2], h[3]], port: u16::from_be_bytes([h[4], h[5]]) }
 }
 
-/// The count of connections to a server.
+/// The counter of open connections to a server.
 fn connection_count(process: &Option<Rc<ProcessState>>, addresses: &Addresses) -> Rc<Cell<u32>> {
     match (process, addresses.first()) {
         (Some(process), Some(Some(address))) => process.open_connections(*address),
@@ -129,23 +132,23 @@
     }
 }
 
-/// A server does not hold its address any more.
-fn release_address(holders: &mut BTreeMap<SocketAddr, Endpoint>, endpoint: Endpoint, upstream: &Upstream) {
-    if let Some(Some(dial)) = upstream.addresses.first() {
-        if holders.get(dial) == Some(&endpoint) {
-            holders.remove(dial);
+/// Removes a server as the owner of its address.
+fn release_address(owners: &mut BTreeMap<SocketAddr, Endpoint>, endpoint: Endpoint, upstream: &Upstream) {
+    if let Some(Some(address)) = upstream.addresses.first() {
+        if owners.get(address) == Some(&endpoint) {
+            owners.remove(address);
         }
     }
 }
 
 impl Fleet {
-    /// An empty fleet whose servers each hold at most so many connections of this node's, over all wires.
-    pub fn with_cap(max_connections: Option<u32>) -> Self {
+    /// An empty fleet with a maximum number of connections to each server, over all protocols.
+    pub fn with_max_connections(max_connections: Option<u32>) -> Self {
         Fleet { max_connections, ..Fleet::default() }
     }
 
-    /// An empty fleet with the same cap, to which the same words on servers count.
-    pub(crate) fn with_same_limits(&self) -> Self {
+    /// An empty fleet with the same connection limit, bans and drains.
+    pub(crate) fn with_same_settings(&self) -> Self {
         Fleet {
             max_connections: self.max_connections,
             bans: self.bans.clone(),
@@ -154,12 +157,12 @@
         }
     }
 
-    /// From now on connections to a server count together with those of other services.
+    /// Counts connections to servers together with those of other services from now on.
     pub(crate) fn share_connection_counts(&mut self, process: Rc<ProcessState>) {
         self.process = Some(process);
     }
 
-    /// Closes a kept connection to a server; false where none is idle.
+    /// Closes the oldest idle connection to a server; returns false if there is none.
     pub(crate) fn evict_from(&mut self, host: &str) -> bool {
         let upstream = self.upstreams.get_mut(&self.endpoint(host)).filter(|u| !u.idle.is_empty());
         upstream.map(|u| u.idle.remove(0)).is_some()
@@ -167,10 +170,14 @@
 
     fn endpoint(&self, host: &str) -> Endpoint {
         let free = |e: &Endpoint| self.upstreams.get(e).is_none_or(|u| u.host == host);
-        (0..=u8::MAX).map(|probe| identity(host, probe)).find(free).unwrap_or(identity(host, 0))
+        (0..=u8::MAX)
+            .map(|collisions| endpoint_for(host, collisions))
+            .find(free)
+            .unwrap_or(endpoint_for(host, 0))
     }
 
-    /// Takes over a list or changes to it, and puts it into the module's words. Starts are told as Unix time.
+    /// Applies a server list, or changes to it, and returns the servers for the decision module. Listed start times are
+    /// Unix time.
     pub fn update(&mut self, now: Nanos, kind: ListKind, entries: Vec<ServerEntry>) -> Vec<Server> {
         let servers = self.apply(now, kind, entries);
         if matches!(kind, ListKind::Full | ListKind::Changes) {
@@ -179,12 +186,12 @@
         servers
     }
 
-    /// The wall clock says so much more than the node's own from now on; negative where it is behind.
-    pub fn set_wall_clock_offset(&mut self, ahead: i64) {
-        self.wall_clock_offset = ahead;
+    /// Sets the offset of the wall clock from the node's own clock; negative if it is behind.
+    pub fn set_wall_clock_offset(&mut self, offset: i64) {
+        self.wall_clock_offset = offset;
     }
 
-    /// Discovery has given a sign of life: all that it told so far is all that it had to tell.
+    /// Records a contact with discovery that brought no changes: the list is current.
     pub fn record_discovery_contact(&mut self, now: Nanos) {
         if self.last_contact_at.is_some() {
             self.last_contact_at = Some(now);
@@ -197,7 +204,7 @@
         for entry in entries {
             let endpoint = self.endpoint(&entry.host);
             let listed_start = entry.server.started_at;
-            // Brought to the node's own clock once for each start.
+            // Each start time is converted to the node's own clock only once.
             let started_at = match self.upstreams.get(&endpoint).filter(|u| u.listed_start == listed_start) {
                 Some(upstream) => upstream.listed.started_at,
                 None => start_time::started_at(listed_start, clocks, self.last_contact_at),
@@ -222,11 +229,11 @@
                 self.removed.remove(&(at, endpoint));
             }
             if upstream.addresses != addresses || upstream.server.started_at != server.started_at {
-                // Another process: what was connected to the old one leads nowhere.
+                // A different server process: connections to the previous one are of no use.
                 if self.process.is_some() && upstream.addresses.first() != addresses.first() {
                     upstream.open = connection_count(&self.process, &addresses);
                 }
-                release_address(&mut self.holders, endpoint, upstream);
+                release_address(&mut self.address_owners, endpoint, upstream);
                 upstream.addresses = addresses;
                 upstream.idle.clear();
             }
@@ -236,7 +243,7 @@
                     self.restored.push(endpoint);
                 }
             } else {
-                release_address(&mut self.holders, endpoint, upstream);
+                release_address(&mut self.address_owners, endpoint, upstream);
                 let at = upstream.close(now);
                 if listed.phase == Phase::Removed {
                     self.removed.insert((at, endpoint));
@@ -249,18 +256,18 @@
             let listed: BTreeSet<_> = servers.iter().map(|s| s.endpoint).collect();
             self.servers_examined += self.upstreams.len() as u64;
             for (endpoint, absent) in self.upstreams.iter_mut().filter(|(e, _)| !listed.contains(e)) {
-                release_address(&mut self.holders, *endpoint, absent);
+                release_address(&mut self.address_owners, *endpoint, absent);
                 absent.listed.phase = Phase::Removed;
                 self.removed.insert((absent.close(now), *endpoint));
             }
         }
-        self.displace(now, &mut servers);
-        self.forget(now);
+        self.close_replaced(now, &mut servers);
+        self.drop_expired(now);
         servers
     }
 
-    /// Forgets those that left long ago.
-    fn forget(&mut self, now: Nanos) {
+    /// Drops servers that were removed long ago.
+    fn drop_expired(&mut self, now: Nanos) {
         while let Some((at, endpoint)) = self.removed.first().copied() {
             if now.saturating_sub(at) < REMOVED_SERVER_TTL {
                 break;
@@ -270,12 +277,12 @@
         }
     }
 
-    /// Servers looked at so far to follow lists and to sweep, one for each look.
+    /// Number of servers examined so far to apply lists and to sweep idle connections: a measure of their cost.
     pub fn servers_examined(&self) -> u64 {
         self.servers_examined
     }
 
-    /// What has changed by the operators' last word on these servers, in the module's words.
+    /// Applies bans and drains to these servers again, and returns the servers for the decision module.
     pub fn reapply(&mut self, now: Nanos, hosts: &[String]) -> Vec<Server> {
         let known = hosts.iter().filter_map(|host| self.upstreams.get(&self.endpoint(host)));
         let entry = |u: &Upstream| ServerEntry {
@@ -288,106 +295,107 @@
         self.apply(now, ListKind::Changes, entries)
     }
 
-    /// A server drains by others' word, or does no longer; whether that is news.
-    pub fn set_drained(&mut self, host: &str, drains: bool) -> bool {
-        match drains {
+    /// Sets whether other nodes report a server as draining; returns whether this is a change.
+    pub fn set_drained(&mut self, host: &str, draining: bool) -> bool {
+        match draining {
             true => self.drained.insert(host.to_owned()),
             false => self.drained.remove(host),
         }
     }
 
-    /// The servers that were put back and have come into use since this was last asked.
+    /// Takes the servers that operators have reattached and that have come into use since the last call.
     pub fn take_restored(&mut self) -> Vec<Endpoint> {
         std::mem::take(&mut self.restored)
     }
 
-    /// Whether the list has a server of this name.
+    /// Whether a server of this name is listed.
     pub fn is_listed(&self, host: &str) -> bool {
         self.upstreams.get(&self.endpoint(host)).is_some_and(|u| u.listed.phase != Phase::Removed)
     }
 
-    /// Only the first wire's addresses count: they tell processes apart, while those of others may follow from a rule
-    /// of the operator's, whose slip must not take servers out of use on every wire.
+    /// Closes servers whose address is now used by a newer one. Only one process listens at an address: the older
+    /// server is gone even if it is still listed, and requests sent to it would reach the newer one without being
+    /// counted there.
     ///
-    /// One process listens at an address. Where a newer server has it, the older one is gone, also while the
-    /// list still names it: what is sent there reaches the newer one, past all that is counted for it.
-    fn displace(&mut self, now: Nanos, servers: &mut Vec<Server>) {
-        // Who is not in this list holds an address alone, or none.
-        let mut here = BTreeSet::new();
+    /// Only addresses of the first protocol are compared. They identify processes, while those of other protocols may
+    /// be derived by an operator's rule, and a mistake in it must not take servers out of use for all protocols.
+    fn close_replaced(&mut self, now: Nanos, servers: &mut Vec<Server>) {
+        // A server outside this list is the only owner of its address, or owns none.
+        let mut candidates = BTreeSet::new();
         for endpoint in servers.iter().map(|s| s.endpoint) {
-            if let Some(dial) = self.address(endpoint, Wire(0)) {
-                here.insert(endpoint);
-                here.extend(self.holders.get(&dial));
+            if let Some(address) = self.address(endpoint, Wire(0)) {
+                candidates.insert(endpoint);
+                candidates.extend(self.address_owners.get(&address));
             }
         }
-        self.servers_examined += here.len() as u64;
-        let mut holders: BTreeMap<SocketAddr, (Nanos, Endpoint)> = BTreeMap::new();
-        let mut gone = Vec::new();
-        for u in here.iter().filter_map(|endpoint| self.upstreams.get(endpoint)) {
-            let Some(Some(dial)) = u.addresses.first() else { continue };
-            // One list's starts compare as they are told.
+        self.servers_examined += candidates.len() as u64;
+        let mut newest: BTreeMap<SocketAddr, (Nanos, Endpoint)> = BTreeMap::new();
+        let mut replaced = Vec::new();
+        for u in candidates.iter().filter_map(|endpoint| self.upstreams.get(endpoint)) {
+            let Some(Some(address)) = u.addresses.first() else { continue };
+            // Start times within one list are compared as listed.
             let own = (u.listed_start, u.listed.endpoint);
-            let Some(other) = holders.insert(*dial, own) else { continue };
+            let Some(other) = newest.insert(*address, own) else { continue };
             let (older, newer) = if other.0 > own.0 { (own, other) } else { (other, own) };
-            holders.insert(*dial, newer);
-            gone.push(older.1);
+            newest.insert(*address, newer);
+            replaced.push(older.1);
         }
-        self.holders.extend(holders.into_iter().map(|(dial, (_, endpoint))| (dial, endpoint)));
-        if gone.is_empty() {
+        self.address_owners.extend(newest.into_iter().map(|(address, (_, endpoint))| (address, endpoint)));
+        if replaced.is_empty() {
             return;
         }
-        let told = servers.iter().enumerate().rev();
-        let places: BTreeMap<Endpoint, usize> = told.map(|(at, s)| (s.endpoint, at)).collect();
-        for endpoint in gone {
+        let indexed = servers.iter().enumerate().rev();
+        let positions: BTreeMap<Endpoint, usize> = indexed.map(|(at, s)| (s.endpoint, at)).collect();
+        for endpoint in replaced {
             let Some(upstream) = self.upstreams.get_mut(&endpoint) else { continue };
             upstream.close(now);
             let server = Server { phase: Phase::Removed, ..upstream.server };
-            match places.get(&endpoint) {
+            match positions.get(&endpoint) {
                 Some(at) => servers[*at] = server,
                 None => servers.push(server),
             }
         }
     }
 
-    /// Sets how many connections of this node's one server may hold from now on. What is above it is closed as it is
-    /// given back.
-    pub fn set_max_connections(&mut self, most: Option<u32>) {
-        self.max_connections = most;
+    /// Sets the maximum number of connections from this node to one server. Surplus connections are closed when they
+    /// are checked in.
+    pub fn set_max_connections(&mut self, max: Option<u32>) {
+        self.max_connections = max;
     }
 
-    /// Under which identity the module knows a server, while it is remembered.
+    /// The endpoint under which the decision module knows a server; `None` if the server is unknown or was dropped.
     pub fn endpoint_of(&self, host: &str) -> Option<Endpoint> {
         let endpoint = self.endpoint(host);
         self.upstreams.contains_key(&endpoint).then_some(endpoint)
     }
 
-    /// A server's name.
+    /// The name of a server.
     pub fn host_of(&self, server: Endpoint) -> Option<&str> {
         self.upstreams.get(&server).map(|u| u.host.as_str())
     }
 
-    /// Where a server listens, as long as it may be sent anything new.
+    /// The address of a server, as long as it may be sent new requests.
     pub fn address(&self, server: Endpoint, wire: Wire) -> Option<SocketAddr> {
         let upstream = self.upstreams.get(&server).filter(|u| u.closed_at.is_none())?;
         upstream.addresses.get(usize::from(wire.0)).copied().flatten()
     }
 
-    /// Where a server belongs, as long as it is remembered.
+    /// The location of a server; `None` if the server is unknown or was dropped.
     pub fn locality(&self, server: Endpoint) -> Option<crate::dispatch::Locality> {
         let server = self.upstreams.get(&server)?.server;
         Some(crate::dispatch::Locality { zone: server.zone, cell: server.cell })
     }
 
-    /// A place for one more connection to a server; where it holds all that it may, one that is kept on another
-    /// wire makes room, and `None` says that there is none.
+    /// Takes a slot for one more connection to a server. At the limit, an idle connection of another protocol is closed
+    /// to free one; `None` if there is no such connection.
     pub(crate) fn reserve_connection(
         &mut self,
         server: Endpoint,
         wire: Wire,
     ) -> Option<ServerConnectionSlot> {
-        let most = self.max_connections.unwrap_or(u32::MAX);
+        let max = self.max_connections.unwrap_or(u32::MAX);
         let upstream = self.upstreams.get_mut(&server)?;
-        while upstream.open.get() >= most {
+        while upstream.open.get() >= max {
             let other = upstream.idle.iter().position(|i| i.wire != wire)?;
             upstream.idle.remove(other);
         }
@@ -395,57 +403,58 @@
         Some(ServerConnectionSlot(upstream.open.clone()))
     }
 
-    /// The newest kept connection of the wire that is still good, and when it was opened.
+    /// Takes the newest idle connection of a protocol that is still usable, with the time it was opened.
     pub fn checkout<C: PooledConnection>(
         &mut self,
         server: Endpoint,
         wire: Wire,
-        oldest: Nanos,
+        cutoff: Nanos,
     ) -> Option<(Box<C>, Nanos)> {
         let upstream = self.upstreams.get_mut(&server)?;
         while let Some(newest) = upstream.idle.iter().rposition(|i| i.wire == wire) {
             let idle = upstream.idle.remove(newest);
-            // One that the server has closed, or on which it said something unasked, would lose a request.
-            if idle.since >= oldest && idle.connection.is_reusable() {
+            // A connection that the server has closed, or on which it sent unsolicited data, would lose a request.
+            if idle.idle_since >= cutoff && idle.connection.is_reusable() {
                 let connection: Box<dyn Any> = idle.connection;
-                return connection.downcast().ok().map(|c| (c, idle.opened));
+                return connection.downcast().ok().map(|c| (c, idle.opened_at));
             }
         }
         None
     }
 
-    /// Keeps a connection that was opened then to that address, unless the server has left or moved since.
+    /// Returns a connection to the pool with the times it was opened and became idle, unless the server has since been
+    /// closed or its address or process has changed.
     pub fn checkin(
         &mut self,
         server: Endpoint,
-        (wire, dial): (Wire, SocketAddr),
+        (wire, address): (Wire, SocketAddr),
         connection: Box<dyn PooledConnection>,
-        (opened, since): (Nanos, Nanos),
+        (opened_at, idle_since): (Nanos, Nanos),
     ) {
-        let current = self.address(server, wire) == Some(dial);
-        let most = self.max_connections.unwrap_or(u32::MAX);
+        let current = self.address(server, wire) == Some(address);
+        let max = self.max_connections.unwrap_or(u32::MAX);
         if let Some(u) = self.upstreams.get_mut(&server).filter(|_| current) {
-            if u.server.started_at <= opened && u.open.get() <= most {
-                u.idle.push(Idle { wire, connection, opened, since });
+            if u.server.started_at <= opened_at && u.open.get() <= max {
+                u.idle.push(IdleConnection { wire, connection, opened_at, idle_since });
                 self.with_idle.insert(server);
             }
         }
     }
 
-    /// Closes what has stood idle since before `oldest` or was closed by its server.
-    pub fn sweep(&mut self, oldest: Nanos) {
+    /// Closes connections that have been idle since before `cutoff` or were closed by their server.
+    pub fn sweep(&mut self, cutoff: Nanos) {
         self.servers_examined += self.with_idle.len() as u64;
         let upstreams = &mut self.upstreams;
         self.with_idle.retain(|server| {
             let Some(upstream) = upstreams.get_mut(server) else { return false };
-            upstream.idle.retain(|i| i.since >= oldest && i.connection.is_reusable());
+            upstream.idle.retain(|i| i.idle_since >= cutoff && i.connection.is_reusable());
             !upstream.idle.is_empty()
         });
     }
 
-    /// Closes the connection that has stood idle longest; false where none is idle.
+    /// Closes the connection that has been idle longest; returns false if none is idle.
     pub fn evict(&mut self) -> bool {
-        let since = |server: &&Endpoint| Some(self.upstreams.get(server)?.idle.first()?.since);
+        let since = |server: &&Endpoint| Some(self.upstreams.get(server)?.idle.first()?.idle_since);
         let with_idle = self.with_idle.iter().filter(|server| since(server).is_some());
         let longest = with_idle.min_by_key(since).copied();
         let upstream = longest.and_then(|server| self.upstreams.get_mut(&server));
@@ -454,7 +463,7 @@
 }
 
 impl Upstream {
-    /// Since when it is closed.
+    /// Closes the server, and returns since when it is closed.
     fn close(&mut self, now: Nanos) -> Nanos {
         self.idle.clear();
         *self.closed_at.get_or_insert(now)
--- a/crates/core/src/gateway.rs
+++ b/crates/core/src/gateway.rs
@@ -1,5 +1,5 @@
-//! Between the sockets and the module: what happens becomes an event, what the module wants is carried out, in
-//! order. The gateway owns the balancer, the requests that are under way and all timers.
+//! Connects the sockets to the decision module: translates what happens into events, and carries out the module's
+//! actions in order. The gateway owns the balancer, the requests in flight and all timers.
 //!
 //! Everything runs on one thread. The state is borrowed only inside the methods here, never across an await.
 
@@ -36,70 +36,71 @@
 pub use attempt::Attempt;
 pub use claim::PendingRequest;
 
-/// How long an attempt that was given up may go on, so that its connection can be used again. Giving it up by
-/// closing costs the server a new handshake, and the work goes on there all the same.
-const LINGER: Nanos = 1_000_000_000;
+/// How long an abandoned attempt may continue, so that its connection can be reused. Closing the connection would cost
+/// the server a new handshake without stopping the work there.
+const LINGER_TIME: Nanos = 1_000_000_000;
 
-/// With nothing to wait for, timers are looked at this often. One process has hundreds of gateways at rest.
-const REST: Nanos = 600_000_000_000;
+/// How often an idle gateway checks its timers. A process may have hundreds of idle gateways.
+const IDLE_TIMER_INTERVAL: Nanos = 600_000_000_000;
 
-/// Part of the idle time after which a server may close that a kept connection is used.
-const IDLE_PART: f64 = 0.6;
+/// A pooled connection is reused only within this fraction of the server's idle timeout.
+const IDLE_REUSE_FRACTION: f64 = 0.6;
 
-/// A request's client is looked at as it comes; an attempt that begins within this does not look again.
-const LOOKED_AT: Nanos = 5_000_000;
+/// A client's connection is checked when its request arrives; an attempt that begins within this time does not check
+/// again.
+const CLIENT_CHECK_TTL: Nanos = 5_000_000;
 
-/// What the node is told of its config, apart from who its servers are.
+/// Configuration of the gateway, apart from its servers.
 #[derive(Clone, Debug)]
 pub struct GatewayConfig {
-    /// What the decision module is told.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// Settles all random draws.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Descriptors that the process may hold.
+    /// Maximum number of descriptors of the process.
     pub max_descriptors: usize,
-    /// Descriptors of those that are neither for clients nor for servers.
+    /// The descriptors of these that are reserved for neither clients nor servers.
     pub reserved_descriptors: usize,
-    /// Memory that the process may hold, in MiB.
+    /// Memory limit of the process, in MiB.
     pub memory_mb: u64,
-    /// A server may close a connection that has stood idle for this long.
+    /// Idle timeout of the servers: a server may close a connection that has been idle for this long.
     pub server_idle_timeout: Nanos,
-    /// A connection that is not up after this has failed.
+    /// Timeout for opening a connection to a server.
     pub connect_timeout: Nanos,
-    /// Connections that one server may hold of this node's, over all wires; `None` where nobody says.
+    /// Maximum number of connections from this node to one server, over all protocols; `None` for no limit.
     pub max_connections_per_server: Option<u32>,
-    /// NameIndex of the classes, in the order of the settings.
+    /// Names of the classes, in the order of the settings.
     pub classes: Vec<String>,
-    /// NameIndex of the tenants, in the order of the settings.
+    /// Names of the tenants, in the order of the settings.
     pub tenants: NameIndex,
 }
 
 impl GatewayConfig {
-    /// A tenant's place in the settings. One that they do not name has no share to be over.
+    /// A tenant's index in the settings; `u32::MAX` for a tenant that they do not name, which has no quota to exceed.
     pub fn tenant_index(&self, name: Option<&[u8]>) -> u32 {
         name.and_then(|name| self.tenants.find(name)).unwrap_or(u32::MAX)
     }
 
-    /// Advice when to come back, in seconds, where the settings allow it and there is any.
+    /// The value of `retry-after` in seconds, if there is one and the settings allow it.
     pub fn retry_after_seconds(&self, retry_after: Nanos) -> Option<f64> {
         let allowed = self.settings.retry_after && retry_after > 0;
         allowed.then(|| retry_after.min(self.settings.max_retry_after) as f64 / 1e9)
     }
 }
 
-/// A route key in the module's form: a number where it is one in hexadecimal, else a hash.
+/// Converts a route key for the decision module: its value if it is a hexadecimal number, otherwise its hash.
 pub fn route_key(text: &[u8]) -> u64 {
     let hex = std::str::from_utf8(text).ok().and_then(|t| u64::from_str_radix(t, 16).ok());
     hex.unwrap_or_else(|| crate::stable_hash(text))
 }
 
-/// Why a server is neither taken out nor put back.
+/// Why a server could not be detached or attached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ServerControlError {
-    /// Nobody has this name.
+    /// There is no server of this name.
     #[error("no server has this name")]
     Unknown,
-    /// No further ban can be remembered.
+    /// The ban list is full.
     #[error("{0}")]
     Bans(#[from] BanError),
 }
@@ -110,39 +111,39 @@
     number: u8,
 }
 
-type Handed = Rc<RefCell<Option<Rc<dyn SendProgress>>>>;
+type ProgressSlot = Rc<RefCell<Option<Rc<dyn SendProgress>>>>;
 
-struct Sent {
+struct SentAttempt {
     server: Endpoint,
     sent_at: Nanos,
     open: bool,
-    /// How it ended, once it has.
+    /// How the attempt ended, once it has.
     ending: Option<AttemptOutcome>,
     locality: Option<Locality>,
-    /// The connection that it has, once it has one.
-    handed: Handed,
+    /// The send progress of its connection, once it has one.
+    progress: ProgressSlot,
     task: Option<AbortHandle>,
 }
 
-impl Sent {
-    /// Its last byte is with the kernel: from here on it may run.
+impl SentAttempt {
+    /// Whether the kernel has the last byte of the request: from then on it may run.
     fn fully_sent(&self) -> bool {
-        self.handed.borrow().as_ref().is_some_and(|h| h.fully_sent())
+        self.progress.borrow().as_ref().is_some_and(|p| p.fully_sent())
     }
 }
 
-struct Live {
+struct RequestState {
     exchange: Rc<dyn Exchange>,
     label: Label,
-    came_at: Nanos,
+    arrived_at: Nanos,
     request: Request,
     give_up_at: Nanos,
-    /// The client has had no final answer yet.
-    owed: bool,
-    attempts: Vec<Sent>,
+    /// Whether the client still waits for its final response.
+    awaiting_response: bool,
+    attempts: Vec<SentAttempt>,
 }
 
-impl Live {
+impl RequestState {
     fn earlier(&self) -> impl Iterator<Item = PriorAttempt> + Clone + '_ {
         self.attempts.iter().map(|a| PriorAttempt {
             locality: a.locality,
@@ -153,7 +154,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Wake {
+enum Timer {
     Module(u32),
     Deadline(RequestId),
     AttemptTimeout(RequestId, u8),
@@ -162,57 +163,60 @@
 struct State {
     balancer: Balancer,
     fleet: Fleet,
-    /// Bounded by the clients' connections: each carries one request, and attempts outlive it by a deadline.
-    live: HashMap<RequestId, Live>,
-    /// Bounded by the rate of requests times the longest give-up time: an entry stays until it is due.
-    timers: BinaryHeap<Reverse<(Nanos, Wake)>>,
+    /// Requests in flight. Bounded by the client connections: each carries one request, whose entry stays until its
+    /// attempts have ended, at the latest at its deadline.
+    in_flight: HashMap<RequestId, RequestState>,
+    /// Timers by time. Bounded by the request rate times the longest deadline: an entry stays until it is due.
+    timers: BinaryHeap<Reverse<(Nanos, Timer)>>,
+    /// The time until which the timer task sleeps.
     armed: Nanos,
-    /// Attempts whose outcome is told already; bounded by the connections to servers.
+    /// Abandoned attempts whose outcome has been reported; bounded by the connections to servers.
     lingering: VecDeque<(Nanos, AbortHandle)>,
     next_id: RequestId,
     ids: Ids,
-    /// A shift from one pool of servers to another, where the operator's file names one.
+    /// The shift of traffic from one pool of servers to another, if the operator's file configures one.
     shift: Option<Box<Follower>>,
 }
 
-/// What the discovery task is asked to do, where the list has to be asked for.
+/// A request to the discovery task, if discovery has to be asked for the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListRequest {
-    /// Open a standing subscription.
+    /// Subscribe to the list.
     Subscribe,
-    /// Ask for the whole list once.
+    /// Fetch the complete list once.
     Fetch,
 }
 
-/// See the module's documentation.
+/// Connects the protocol fronts and the servers to the decision module.
 pub struct Gateway {
-    /// What the node was told.
+    /// The configuration.
     pub config: Rc<GatewayConfig>,
-    /// The node's one clock.
+    /// The node's clock.
     pub clock: Clock,
-    /// What may be held.
+    /// The resource limits of the process.
     pub budget: Rc<Budget>,
-    /// What it shares with the gateways of other services, where there are any.
+    /// The state shared with the gateways of other services, if there are any.
     pub process: Rc<ProcessState>,
-    /// Discovery has told the list, so that new clients may come.
+    /// Whether a server list has been received, so that clients can be served.
     pub ready: Cell<bool>,
-    now_ready: Notify,
-    /// Bounded by the module, which asks again only after an answer.
+    became_ready: Notify,
+    /// Requests to the discovery task. Bounded by the decision module, which sends the next one only after a reply.
     pub list_requests: mpsc::UnboundedSender<ListRequest>,
     state: RefCell<State>,
+    /// Wakes the timer task when an earlier timer was added.
     timer: Notify,
 }
 
 impl Gateway {
-    /// A gateway with nobody listed and nothing under way.
+    /// A gateway without servers and requests.
     pub fn new(
         config: GatewayConfig,
         list_requests: mpsc::UnboundedSender<ListRequest>,
     ) -> Result<Rc<Self>, SettingsError> {
         let budget = Budget::new(config.max_descriptors, config.memory_mb, config.reserved_descriptors);
-        let (fleet, seed) = (Fleet::with_cap(config.max_connections_per_server), config.seed);
+        let (fleet, seed) = (Fleet::with_max_connections(config.max_connections_per_server), config.seed);
         let settings = config.settings.clone();
-        Self::made(
+        Self::build(
             Rc::new(config),
             (settings, seed),
             fleet,
@@ -221,27 +225,28 @@
         )
     }
 
-    /// A gateway for a service of the same process: nobody is listed, and what operators have said of servers counts.
+    /// A gateway for a service of the same process: it starts without servers, and the operators' bans and drains apply
+    /// to it.
     pub fn for_service(self: &Rc<Self>, service: &str) -> Result<Rc<Self>, SettingsError> {
         let seed = self.config.seed ^ crate::stable_hash(service.as_bytes());
         let shared = (self.budget.clone(), self.clock, self.process.clone());
-        let mut fleet = self.fleet(|f| f.with_same_limits());
+        let mut fleet = self.fleet(|f| f.with_same_settings());
         fleet.share_connection_counts(self.process.clone());
-        let settings = self.process.settings_of_a_service(&self.config.settings);
+        let settings = self.process.service_settings(&self.config.settings);
         let gateway =
-            Self::made(self.config.clone(), (settings, seed), fleet, self.list_requests.clone(), shared)?;
+            Self::build(self.config.clone(), (settings, seed), fleet, self.list_requests.clone(), shared)?;
         gateway.ready.set(true);
         self.process.add(&gateway);
         Ok(gateway)
     }
 
-    /// Further gateways will be made beside this one: from now on the connections to a server count for all of them.
+    /// Prepares for further gateways in this process: from now on the connections to a server count for all of them.
     pub fn enable_services(self: &Rc<Self>) {
         self.fleet(|f| f.share_connection_counts(self.process.clone()));
         self.process.add(self);
     }
 
-    fn made(
+    fn build(
         config: Rc<GatewayConfig>,
         (settings, seed): (Settings, u64),
         fleet: Fleet,
@@ -251,7 +256,7 @@
         let state = State {
             balancer: Balancer::new(settings, seed)?,
             fleet,
-            live: HashMap::new(),
+            in_flight: HashMap::new(),
             timers: BinaryHeap::new(),
             armed: Nanos::MAX,
             lingering: VecDeque::new(),
@@ -264,7 +269,7 @@
             clock,
             process,
             ready: Cell::new(false),
-            now_ready: Notify::new(),
+            became_ready: Notify::new(),
             list_requests,
             state: RefCell::new(state),
             timer: Notify::new(),
@@ -272,46 +277,46 @@
         }))
     }
 
-    /// No request waits beyond this, however long its client would: the process ends soon after, and a connection that
-    /// ends with it gives no final answer.
+    /// Limits the deadlines of all requests to this time: the process exits soon after, and a connection that it closes
+    /// on exit would not deliver a final response.
     pub fn set_shutdown_deadline(self: &Rc<Self>, at: Nanos) {
         self.process.ends_at.set(Some(at));
-        self.end_live_by(at);
-        self.process.others(self).iter().for_each(|g| g.end_live_by(at));
+        self.cap_deadlines(at);
+        self.process.others(self).iter().for_each(|g| g.cap_deadlines(at));
     }
 
-    fn end_live_by(self: &Rc<Self>, at: Nanos) {
+    fn cap_deadlines(self: &Rc<Self>, at: Nanos) {
         let mut state = self.state.borrow_mut();
-        let beyond: Vec<_> =
-            state.live.iter().filter(|(_, l)| l.give_up_at > at).map(|(id, _)| *id).collect();
-        for id in beyond {
-            if let Some(live) = state.live.get_mut(&id) {
-                live.give_up_at = at;
+        let later: Vec<_> =
+            state.in_flight.iter().filter(|(_, l)| l.give_up_at > at).map(|(id, _)| *id).collect();
+        for id in later {
+            if let Some(entry) = state.in_flight.get_mut(&id) {
+                entry.give_up_at = at;
             }
-            self.start_timer(&mut state, at, Wake::Deadline(id));
+            self.start_timer(&mut state, at, Timer::Deadline(id));
         }
     }
 
-    /// Until then every request has its final answer.
+    /// The time by which every request has its final response.
     fn ends_at(&self) -> Nanos {
         self.process.ends_at.get().unwrap_or(Nanos::MAX)
     }
 
-    /// SIGTERM has come: no more requests on kept connections.
+    /// Whether the process is shutting down (SIGTERM): no further requests are taken on persistent connections.
     pub fn is_draining(&self) -> bool {
         self.process.draining.get()
     }
 
-    /// There is a list to go by.
+    /// Marks the gateway as ready: it has a server list.
     pub fn set_ready(&self) {
         self.ready.set(true);
-        self.now_ready.notify_waiters();
+        self.became_ready.notify_waiters();
     }
 
-    /// Waits until there is a list to go by.
+    /// Waits until the gateway has a server list.
     pub async fn wait_ready(&self) {
         loop {
-            let ready = self.now_ready.notified();
+            let ready = self.became_ready.notified();
             if self.ready.get() {
                 return;
             }
@@ -319,40 +324,42 @@
         }
     }
 
-    /// Runs `f` on the fleet's connections.
+    /// Runs `f` on the fleet.
     pub fn fleet<T>(&self, f: impl FnOnce(&mut Fleet) -> T) -> T {
         f(&mut self.state.borrow_mut().fleet)
     }
 
-    /// A kept connection to a server that stands idle since before this is not used again.
+    /// Connections to servers that have been idle since before this time are not reused.
     pub fn idle_cutoff(&self) -> Nanos {
-        let limit = (self.config.server_idle_timeout as f64 * IDLE_PART) as Nanos;
+        let limit = (self.config.server_idle_timeout as f64 * IDLE_REUSE_FRACTION) as Nanos;
         self.clock.now().saturating_sub(limit)
     }
 
-    /// Time in which this process ran, for limits on how long clients may stand still ([`crate::running`]).
+    /// Time for which this process has been running, for timeouts on clients ([`crate::running`]).
     pub fn running_time(&self) -> Nanos {
         self.process.running.at(self.clock.now())
     }
 
-    /// Counts running time, every [`crate::peer::PEER_CHECK_INTERVAL`].
+    /// Advances the running time; to be called every [`crate::peer::PEER_CHECK_INTERVAL`].
     pub fn tick_running_time(&self) {
         self.process.running.tick(self.clock.now());
     }
 
-    /// Closes kept connections that are too old or were closed by their servers.
+    /// Closes idle connections to servers that are too old or were closed by their servers.
     pub fn sweep_idle_connections(&self) {
         let oldest = self.idle_cutoff();
         self.fleet(|f| f.sweep(oldest));
     }
 
-    /// Takes a client's id, given as a hash, for a request that ends then; false where it is taken.
+    /// Reserves a client's request id, given as a hash, for a request with this deadline; returns false if it is in
+    /// use.
     pub fn claim_request_id(&self, id: u64, give_up_at: Nanos) -> bool {
-        let until = give_up_at.saturating_add(LINGER);
+        let until = give_up_at.saturating_add(LINGER_TIME);
         self.state.borrow_mut().ids.claim(self.clock.now(), id, until)
     }
 
-    /// Takes a request; its exchange hears the end. Where the claim is dropped first, the client has left.
+    /// Submits a request; its exchange receives the final response. Dropping the returned value before that reports
+    /// that the client has disconnected.
     pub fn submit(self: &Rc<Self>, call: Call, exchange: Rc<dyn Exchange>) -> PendingRequest {
         let mut state = self.state.borrow_mut();
         let id = state.next_id;
@@ -363,66 +370,67 @@
             request.split_position = shift.place(&request);
             shift.came(&request);
         }
-        state.live.insert(
+        state.in_flight.insert(
             id,
-            Live {
+            RequestState {
                 exchange,
                 label: call.label,
-                came_at: self.clock.now(),
+                arrived_at: self.clock.now(),
                 request,
                 give_up_at,
-                owed: true,
+                awaiting_response: true,
                 attempts: Vec::new(),
             },
         );
-        self.start_timer(&mut state, give_up_at, Wake::Deadline(id));
+        self.start_timer(&mut state, give_up_at, Timer::Deadline(id));
         self.handle(&mut state, Event::Request(request));
         PendingRequest { gateway: self.clone(), id }
     }
 
     fn client_gone(self: &Rc<Self>, request: RequestId) {
         let mut state = self.state.borrow_mut();
-        let Some(live) = state.live.get_mut(&request) else { return };
-        if std::mem::replace(&mut live.owed, false) {
-            events::record(self.clock.now(), Kind::ClientLeft, live.label);
+        let Some(entry) = state.in_flight.get_mut(&request) else { return };
+        if std::mem::replace(&mut entry.awaiting_response, false) {
+            events::record(self.clock.now(), Kind::ClientLeft, entry.label);
             self.withdraw(&mut state, request);
             self.handle(&mut state, Event::ClientDisconnected { request });
             self.forget(&mut state, request);
         }
     }
 
-    /// Nobody waits for the request any more. What of it no server can have begun is not sent on, whatever the settings
-    /// say of calling off: an attempt whose connection comes up late would else run for nobody.
+    /// Ends the attempts of a request that no client waits for and that no server can have begun, whatever the settings
+    /// say on cancellation: an attempt whose connection opens late would otherwise run without anyone waiting for it.
     fn withdraw(self: &Rc<Self>, state: &mut State, request: RequestId) {
-        let attempts = state.live.get(&request).map_or(0, |live| live.attempts.len());
+        let attempts = state.in_flight.get(&request).map_or(0, |entry| entry.attempts.len());
         for number in 0..attempts as u8 {
-            let attempt = state.live.get(&request).and_then(|l| l.attempts.get(usize::from(number)));
+            let attempt = state.in_flight.get(&request).and_then(|l| l.attempts.get(usize::from(number)));
             if attempt.is_some_and(|a| a.open && !a.fully_sent()) {
                 self.conclude(state, AttemptId { request, number }, AttemptOutcome::NotSent);
             }
         }
     }
 
-    /// Discovery has spoken. The node's own table is told first: what the module then sends must find it.
+    /// Applies a server list or changes to it. The fleet is updated before the decision module, whose actions must find
+    /// the servers there.
     pub fn update_servers(self: &Rc<Self>, kind: ListKind, entries: Vec<ServerEntry>) {
         let mut state = self.state.borrow_mut();
         let now = self.clock.now();
-        let said = state.shift.is_some().then(|| entries.clone());
+        let shift_entries = state.shift.is_some().then(|| entries.clone());
         state.fleet.set_wall_clock_offset(self.clock.wall().wrapping_sub(now) as i64);
         let servers = state.fleet.update(now, kind, entries);
-        if let (Some(shift), Some(said)) = (&mut state.shift, said) {
-            relist(shift, kind != ListKind::Changes, &said, &servers);
+        if let (Some(shift), Some(entries)) = (&mut state.shift, shift_entries) {
+            update_shift_servers(shift, kind != ListKind::Changes, &entries, &servers);
         }
-        self.tell(&mut state, kind, servers);
+        self.report_servers(&mut state, kind, servers);
     }
 
-    /// Discovery has given a sign of life without news.
+    /// Records a contact with discovery that brought no changes.
     pub fn record_discovery_contact(&self) {
         let now = self.clock.now();
         self.fleet(|f| f.record_discovery_contact(now));
     }
 
-    fn tell(self: &Rc<Self>, state: &mut State, kind: ListKind, servers: Vec<Server>) {
+    fn report_servers(self: &Rc<Self>, state: &mut State, kind: ListKind, servers: Vec<Server>) {
         if let Some(shift) = &mut state.shift {
             shift.phases(&servers);
         }
@@ -435,211 +443,213 @@
         }
     }
 
-    /// Takes a server out of use, whatever the list says of it; what others must be told of it, where they do not know.
+    /// Takes a server out of use, whatever the list says; returns the record to send to other processes, if this is a
+    /// change.
     pub fn detach(self: &Rc<Self>, host: &str) -> Result<Option<BanRecord>, ServerControlError> {
-        self.say(host, |bans, now| bans.detach(host, now))
+        self.control_server(host, |bans, now| bans.detach(host, now))
     }
 
-    /// Uses a server again that was taken out; nothing changes for one that was not.
+    /// Puts a detached server back into use; does nothing for a server that was not detached.
     pub fn attach(self: &Rc<Self>, host: &str) -> Result<Option<BanRecord>, ServerControlError> {
-        self.say(host, |bans, now| Ok(bans.attach(host, now)))
+        self.control_server(host, |bans, now| Ok(bans.attach(host, now)))
     }
 
-    /// Has the operators' word on a server count, if there is such a one.
-    fn say(
+    /// Applies an operator's command on a server, if the server is known.
+    fn control_server(
         self: &Rc<Self>,
         host: &str,
-        word: impl FnOnce(&mut Bans, Nanos) -> Result<Option<BanRecord>, BanError>,
+        command: impl FnOnce(&mut Bans, Nanos) -> Result<Option<BanRecord>, BanError>,
     ) -> Result<Option<BanRecord>, ServerControlError> {
         let others = self.process.others(self);
         let known = |g: &Rc<Self>| g.fleet(|f| f.is_listed(host) || f.bans.is_banned(host));
         if !known(self) && !others.iter().any(known) {
             return Err(ServerControlError::Unknown);
         }
-        let word = self.fleet(|f| word(&mut f.bans, self.clock.now()))?;
-        self.reconsider(&[host.to_owned()]);
-        // Operators speak of a server, whatever its services.
-        others.iter().for_each(|g| g.take_words(word.iter().cloned().collect()));
-        Ok(word)
+        let record = self.fleet(|f| command(&mut f.bans, self.clock.now()))?;
+        self.reapply_bans_and_drains(&[host.to_owned()]);
+        // An operator's command applies to the server in all its services.
+        others.iter().for_each(|g| g.merge_ban_records(record.iter().cloned().collect()));
+        Ok(record)
     }
 
-    /// The fleet's word on a server, which counts whatever was said of it here before.
-    pub fn apply_fleet_ban(self: &Rc<Self>, host: &str, out: bool) {
+    /// Applies the fleet's decision on a server, which overrides local commands.
+    pub fn apply_fleet_ban(self: &Rc<Self>, host: &str, banned: bool) {
         let now = self.clock.now();
-        let word = self.fleet(|f| match out {
+        let record = self.fleet(|f| match banned {
             true => f.bans.detach(host, now).ok().flatten(),
             false => f.bans.attach(host, now),
         });
-        if let Some(word) = word {
-            self.reconsider(&[host.to_owned()]);
-            self.process.others(self).iter().for_each(|g| g.take_words(vec![word.clone()]));
+        if let Some(record) = record {
+            self.reapply_bans_and_drains(&[host.to_owned()]);
+            self.process.others(self).iter().for_each(|g| g.merge_ban_records(vec![record.clone()]));
         }
     }
 
-    /// Others have heard that a server drains, before the list here says so; or that counts no longer.
-    pub fn apply_fleet_drain(self: &Rc<Self>, host: &str, drains: bool) {
-        if self.fleet(|f| f.set_drained(host, drains)) {
-            self.reconsider(&[host.to_owned()]);
+    /// Sets whether other nodes report a server as draining, which may be ahead of the list here.
+    pub fn apply_fleet_drain(self: &Rc<Self>, host: &str, draining: bool) {
+        if self.fleet(|f| f.set_drained(host, draining)) {
+            self.reapply_bans_and_drains(&[host.to_owned()]);
             for other in self.process.others(self) {
-                other.fleet(|f| f.set_drained(host, drains));
-                other.reconsider(&[host.to_owned()]);
+                other.fleet(|f| f.set_drained(host, draining));
+                other.reapply_bans_and_drains(&[host.to_owned()]);
             }
         }
     }
 
-    /// Takes over words that were said to another process of this node.
-    pub fn merge_bans(self: &Rc<Self>, words: Vec<BanRecord>) {
-        self.process.others(self).iter().for_each(|g| g.take_words(words.clone()));
-        self.take_words(words);
+    /// Merges ban records from another process of this node.
+    pub fn merge_bans(self: &Rc<Self>, records: Vec<BanRecord>) {
+        self.process.others(self).iter().for_each(|g| g.merge_ban_records(records.clone()));
+        self.merge_ban_records(records);
     }
 
-    fn take_words(self: &Rc<Self>, words: Vec<BanRecord>) {
+    fn merge_ban_records(self: &Rc<Self>, records: Vec<BanRecord>) {
         let now = self.clock.now();
-        let changed = self.fleet(|f| f.bans.merge_received(words, now));
-        // What is kept comes back with each call, mostly without news: that is no word on the list.
+        let changed = self.fleet(|f| f.bans.merge_received(records, now));
+        // Known records are received again with each call, mostly without changes, which need no update.
         if !changed.is_empty() {
-            self.reconsider(&changed);
+            self.reapply_bans_and_drains(&changed);
         }
     }
 
-    fn reconsider(self: &Rc<Self>, hosts: &[String]) {
+    fn reapply_bans_and_drains(self: &Rc<Self>, hosts: &[String]) {
         let mut state = self.state.borrow_mut();
         let now = self.clock.now();
-        let warm = now.saturating_sub(2 * self.config.settings.ramp);
-        state.fleet.bans.forget_restored_before(warm);
+        let slow_start_over = now.saturating_sub(2 * self.config.settings.ramp);
+        state.fleet.bans.forget_restored_before(slow_start_over);
         let servers = state.fleet.reapply(now, hosts);
-        self.tell(&mut state, ListKind::Changes, servers);
+        self.report_servers(&mut state, ListKind::Changes, servers);
     }
 
-    /// From now on this process holds no more descriptors than this.
-    pub fn set_descriptor_limit(&self, sockets: usize) {
-        self.budget.resize(sockets);
+    /// Sets the maximum number of descriptors of this process.
+    pub fn set_descriptor_limit(&self, descriptors: usize) {
+        self.budget.resize(descriptors);
         while self.budget.servers_over_limit() && self.evict_idle_connection() {}
     }
 
-    /// Closes a kept connection that is idle, of whichever service; false where there is none.
+    /// Closes an idle connection to a server, of any service; returns false if there is none.
     pub fn evict_idle_connection(&self) -> bool {
         self.fleet(Fleet::evict) || self.process.others(self).iter().any(|g| g.fleet(Fleet::evict))
     }
 
-    /// Closes a kept connection to the same server that another service keeps; false where there is none.
+    /// Closes an idle connection that another service has to the same server; returns false if there is none.
     pub fn evict_from_other_services(&self, server: Endpoint) -> bool {
         let Some(host) = self.fleet(|f| f.host_of(server).map(str::to_owned)) else { return false };
         self.process.others(self).iter().any(|g| g.fleet(|f| f.evict_from(&host)))
     }
 
-    /// This node's part of what is split among all nodes is now this, from 0 to 1.
+    /// Sets this node's share, from 0 to 1, of the quotas that all nodes share.
     pub fn set_quota_share(self: &Rc<Self>, share: f64) {
         let mut state = self.state.borrow_mut();
         self.handle(&mut state, Event::QuotaShare(share));
     }
 
-    /// A plan for the whole fleet has come, or has aged.
-    pub fn apply_plan(self: &Rc<Self>, guide: NodePlan) {
+    /// Applies a plan for the fleet: a new one, or the current one as it ages.
+    pub fn apply_plan(self: &Rc<Self>, plan: NodePlan) {
         let mut state = self.state.borrow_mut();
-        self.handle(&mut state, Event::Plan(guide));
+        self.handle(&mut state, Event::Plan(plan));
     }
 
-    /// Has this node follow a shift; to be called before the first list comes.
+    /// Sets the shift that this node follows; to be called before the first server list is applied.
     pub fn set_shift(&self, follower: Follower) {
         self.state.borrow_mut().shift = Some(Box::new(follower));
     }
 
-    /// Runs `f` on the shift, where there is one.
+    /// Runs `f` on the shift, if there is one.
     pub fn shift<T>(&self, f: impl FnOnce(&Follower) -> T) -> Option<T> {
         self.state.borrow().shift.as_deref().map(f)
     }
 
-    /// Looks at the shift's pools and evidence; what has changed by it. `no_planner` says that planners are followed and
-    /// none is heard.
+    /// Evaluates the shift's pools and evidence, and returns the resulting changes. `no_planner` means that planners
+    /// are configured and none is reachable.
     pub fn evaluate_shift(self: &Rc<Self>, no_planner: bool) -> Vec<Change> {
         let mut state = self.state.borrow_mut();
         let now = self.clock.now();
         let Some(look) = state.shift.as_mut().map(|s| s.look(now, no_planner)) else { return Vec::new() };
-        self.split(&mut state, look)
+        self.apply_split(&mut state, look)
     }
 
-    /// An operator has spoken on the shift; `None` where there is none.
-    pub fn apply_shift_command(self: &Rc<Self>, word: &ShiftWord) -> Option<Result<Vec<Change>, Refused>> {
+    /// Applies an operator's command to the shift; `None` if there is no shift.
+    pub fn apply_shift_command(self: &Rc<Self>, command: &ShiftWord) -> Option<Result<Vec<Change>, Refused>> {
         let mut state = self.state.borrow_mut();
         let now = self.clock.now();
-        let look = state.shift.as_mut()?.say(now, word);
-        Some(look.map(|look| self.split(&mut state, look)))
+        let look = state.shift.as_mut()?.say(now, command);
+        Some(look.map(|look| self.apply_split(&mut state, look)))
     }
 
-    fn split(self: &Rc<Self>, state: &mut State, look: Look) -> Vec<Change> {
+    fn apply_split(self: &Rc<Self>, state: &mut State, look: Look) -> Vec<Change> {
         if let Some(split) = look.split {
             self.handle(state, Event::Split(split));
         }
         look.changes
     }
 
-    /// What the module has met of each server, by name.
+    /// The decision module's observations of each server, by server name.
     pub fn observed_servers(&self) -> Vec<(String, ServerObservation)> {
         let state = self.state.borrow();
         let named = |o: ServerObservation| Some((state.fleet.host_of(o.server)?.to_owned(), o));
         state.balancer.observations(self.clock.now()).filter_map(named).collect()
     }
 
-    /// What this process has learnt, for one that takes over from it.
+    /// Exports the learned state, for a process that takes over from this one.
     pub fn export_learned(&self) -> LearnedState {
         self.state.borrow().balancer.learned_state(self.clock.now())
     }
 
-    /// Takes over what another process of this node has learnt.
-    pub fn import_learned(self: &Rc<Self>, learnt: LearnedState) {
+    /// Imports the learned state of another process of this node.
+    pub fn import_learned(self: &Rc<Self>, learned: LearnedState) {
         let mut state = self.state.borrow_mut();
-        self.handle(&mut state, Event::TakeOver(learnt));
+        self.handle(&mut state, Event::TakeOver(learned));
     }
 
-    /// Requests a second that were let in lately, by class and by tenant.
+    /// Recent rates of admitted requests per second, by class and by tenant.
     pub fn admission_rates(&self) -> [Vec<f64>; 2] {
         self.state.borrow().balancer.admitted_rates(self.clock.now())
     }
 
-    /// Waits for timers and tells the module of them, for good.
+    /// Runs the timers; never returns.
     pub async fn run_timers(self: Rc<Self>) {
-        self.timers_until(|_| false).await;
+        self.run_timers_while_not(|_| false).await;
     }
 
-    /// The same until nothing is under way: the gateway gets nothing new.
+    /// Runs the timers until no request or attempt is left; for a gateway that gets no new requests.
     pub async fn run_timers_until_idle(self: Rc<Self>) {
-        self.timers_until(|state| state.live.is_empty() && state.lingering.is_empty()).await;
+        self.run_timers_while_not(|state| state.in_flight.is_empty() && state.lingering.is_empty()).await;
     }
 
-    async fn timers_until(self: &Rc<Self>, over: impl Fn(&State) -> bool) {
+    async fn run_timers_while_not(self: &Rc<Self>, done: impl Fn(&State) -> bool) {
         loop {
             let next = {
                 let mut state = self.state.borrow_mut();
                 let next = state.timers.peek().map_or(Nanos::MAX, |Reverse((at, _))| *at);
                 let linger = state.lingering.front().map_or(Nanos::MAX, |(at, _)| *at);
                 state.armed = next.min(linger);
-                if over(&state) {
+                if done(&state) {
                     return;
                 }
                 state.armed
             };
-            // What came while the process was held up is read before anybody is told that it did not come.
-            let sleep = running::sleep_until(self.clock.instant(next.min(self.clock.now() + REST)));
+            // Data that arrived while the process was stalled is read before any timeout is reported.
+            let sleep =
+                running::sleep_until(self.clock.instant(next.min(self.clock.now() + IDLE_TIMER_INTERVAL)));
             tokio::select! {
                 _ = sleep => {}
                 _ = self.timer.notified() => {}
             }
-            self.fire();
+            self.run_due_timers();
         }
     }
 
-    fn fire(self: &Rc<Self>) {
+    fn run_due_timers(self: &Rc<Self>) {
         let mut state = self.state.borrow_mut();
-        while let Some(&Reverse((at, wake))) = state.timers.peek() {
+        while let Some(&Reverse((at, timer))) = state.timers.peek() {
             if at > self.clock.now() {
                 break;
             }
             state.timers.pop();
-            match wake {
-                Wake::Module(token) => self.handle(&mut state, Event::Timer { token }),
-                Wake::Deadline(id) => self.deadline(&mut state, id),
-                Wake::AttemptTimeout(request, number) => {
+            match timer {
+                Timer::Module(token) => self.handle(&mut state, Event::Timer { token }),
+                Timer::Deadline(id) => self.deadline(&mut state, id),
+                Timer::AttemptTimeout(request, number) => {
                     self.conclude(&mut state, AttemptId { request, number }, AttemptOutcome::TimedOut);
                 }
             }
@@ -654,49 +664,49 @@
         }
     }
 
-    /// The client waits no longer: all that is out has timed out.
+    /// Handles the deadline of a request: all its attempts in flight have timed out.
     fn deadline(self: &Rc<Self>, state: &mut State, request: RequestId) {
-        // One whose last byte has come late has its time counted anew.
-        let Some(live) = state.live.get(&request).filter(|l| l.give_up_at <= self.clock.now()) else {
+        // The deadline was moved if the last byte of the request arrived late.
+        let Some(entry) = state.in_flight.get(&request).filter(|l| l.give_up_at <= self.clock.now()) else {
             return;
         };
-        for number in 0..live.attempts.len() as u8 {
+        for number in 0..entry.attempts.len() as u8 {
             self.conclude(state, AttemptId { request, number }, AttemptOutcome::TimedOut);
         }
-        // The module answers the last time-out. Should it not, or should it count on more time than this process has, the
-        // client still must hear something, and what it sends again has no use.
-        if self.answer(state, request, LocalReply::Failed { late: true }) {
+        // The module responds to the last timeout. If it does not, or if it counts on more time than this process has,
+        // the client must still get a response, and further attempts of the module are of no use.
+        if self.reply(state, request, LocalReply::Failed { late: true }) {
             self.withdraw(state, request);
             self.handle(state, Event::ClientDisconnected { request });
         }
         self.forget(state, request);
     }
 
-    /// Tells the module how an attempt ended, once.
+    /// Reports to the module how an attempt ended, once.
     fn conclude(self: &Rc<Self>, state: &mut State, id: AttemptId, ending: AttemptOutcome) {
-        let Some(live) = state.live.get_mut(&id.request) else { return };
-        let Some(attempt) = live.attempts.get_mut(usize::from(id.number)).filter(|a| a.open) else { return };
+        let Some(entry) = state.in_flight.get_mut(&id.request) else { return };
+        let Some(attempt) = entry.attempts.get_mut(usize::from(id.number)).filter(|a| a.open) else { return };
         attempt.open = false;
         attempt.ending = Some(ending);
         let took = self.clock.now().saturating_sub(attempt.sent_at);
         if let Some(shift) = &mut state.shift {
             let at = (attempt.server, usize::from(id.number));
-            shift.ended(&live.request, at, (attempt.sent_at, took), ending);
+            shift.ended(&entry.request, at, (attempt.sent_at, took), ending);
         }
         let event = Event::AttemptEnded {
             request: id.request,
             server: attempt.server,
             attempt: id.number,
-            finished: !live.owed,
+            finished: !entry.awaiting_response,
             took,
             outcome: ending,
             report: None,
         };
         if matches!(ending, AttemptOutcome::TimedOut | AttemptOutcome::Cancelled | AttemptOutcome::NotSent) {
             if let Some(task) = attempt.task.take() {
-                // Cut off before its last byte it never begins; after that the server does the work anyway.
+                // A request cut off before its last byte never runs; after it, the server does the work anyway.
                 if attempt.fully_sent() {
-                    let at = self.clock.now() + LINGER;
+                    let at = self.clock.now() + LINGER_TIME;
                     state.lingering.push_back((at, task));
                     if at < state.armed {
                         state.armed = at;
@@ -711,11 +721,11 @@
         self.forget(state, id.request);
     }
 
-    /// Drops a request that is answered and has no attempt out.
+    /// Drops a request that has its response and no attempt in flight.
     fn forget(&self, state: &mut State, request: RequestId) {
-        let over = |l: &Live| !l.owed && l.attempts.iter().all(|a| !a.open);
-        if state.live.get(&request).is_some_and(over) {
-            state.live.remove(&request);
+        let finished = |l: &RequestState| !l.awaiting_response && l.attempts.iter().all(|a| !a.open);
+        if state.in_flight.get(&request).is_some_and(finished) {
+            state.in_flight.remove(&request);
         }
     }
 
@@ -735,13 +745,13 @@
                     Ok(()) => LocalReply::Refused { retry_after },
                     Err(_) => LocalReply::Failed { late: false },
                 };
-                self.answer(state, request, end);
+                self.reply(state, request, end);
                 self.forget(state, request);
             }
             Action::Fail { request } => {
-                let late = |l: &Live| l.give_up_at <= self.clock.now();
-                let late = state.live.get(&request).is_some_and(late);
-                self.answer(state, request, LocalReply::Failed { late });
+                let late = |l: &RequestState| l.give_up_at <= self.clock.now();
+                let late = state.in_flight.get(&request).is_some_and(late);
+                self.reply(state, request, LocalReply::Failed { late });
                 self.forget(state, request);
             }
             Action::Cancel { request, attempt } => {
@@ -749,83 +759,90 @@
             }
             Action::StartTimer { after, token } => {
                 let at = self.clock.now().saturating_add(after);
-                self.start_timer(state, at, Wake::Module(token));
+                self.start_timer(state, at, Timer::Module(token));
             }
-            // A closed channel means that the node is on its way out.
+            // A closed channel means that the node is shutting down.
             Action::Subscribe => drop(self.list_requests.send(ListRequest::Subscribe)),
             Action::FetchList => drop(self.list_requests.send(ListRequest::Fetch)),
             Action::Log { text } => tracing::info!("{text}"),
-            // The config allows neither, and the module asks for neither.
+            // The configuration allows neither, and the module requests neither.
             Action::Probe { .. } | Action::SendToPeer { .. } => {}
         }
     }
 
     fn send(self: &Rc<Self>, state: &mut State, request: RequestId, server: Endpoint, timeout: Nanos) {
         let locality = state.fleet.locality(server);
-        let Some(live) = state.live.get_mut(&request) else { return };
-        let id = AttemptId { request, number: live.attempts.len() as u8 };
-        let (sent_at, handed) = (self.clock.now(), Handed::default());
-        let mut sent =
-            Sent { server, sent_at, open: true, ending: None, locality, handed: handed.clone(), task: None };
-        let decided = self.may_send(live, locality);
+        let Some(entry) = state.in_flight.get_mut(&request) else { return };
+        let id = AttemptId { request, number: entry.attempts.len() as u8 };
+        let (sent_at, progress) = (self.clock.now(), ProgressSlot::default());
+        let mut sent = SentAttempt {
+            server,
+            sent_at,
+            open: true,
+            ending: None,
+            locality,
+            progress: progress.clone(),
+            task: None,
+        };
+        let decided = self.may_send(entry, locality);
         match decided {
-            Err(denied) => self.denied(denied, live.label),
-            Ok(()) if id.number == 0 => events::record(sent_at, Kind::AttemptBegun, live.label),
-            Ok(()) => events::record(sent_at, Kind::AttemptRepeated, live.label),
+            Err(denied) => self.denied(denied, entry.label),
+            Ok(()) if id.number == 0 => events::record(sent_at, Kind::AttemptBegun, entry.label),
+            Ok(()) => events::record(sent_at, Kind::AttemptRepeated, entry.label),
         }
         let wanted = decided.is_ok();
         if wanted {
             if let Some(shift) = &mut state.shift {
-                shift.sent(&live.request, server, live.attempts.len());
+                shift.sent(&entry.request, server, entry.attempts.len());
             }
-            let (give_up_at, send_by) = (live.give_up_at, self.send_by(live));
+            let (give_up_at, send_by) = (entry.give_up_at, self.send_by(entry));
             let attempt = Attempt {
                 gateway: self.clone(),
                 id,
                 server,
                 give_up_at,
                 send_by,
-                handed,
-                exchange: live.exchange.clone(),
-                came_at: live.came_at,
-                label: live.label,
+                progress,
+                exchange: entry.exchange.clone(),
+                arrived_at: entry.arrived_at,
+                label: entry.label,
             };
-            sent.task = Some(live.exchange.clone().start_attempt(attempt));
+            sent.task = Some(entry.exchange.clone().start_attempt(attempt));
         }
-        live.attempts.push(sent);
+        entry.attempts.push(sent);
         if !wanted {
             self.conclude(state, id, AttemptOutcome::NotSent);
         } else if timeout > 0 {
             let at = self.clock.now().saturating_add(timeout);
-            self.start_timer(state, at, Wake::AttemptTimeout(request, id.number));
+            self.start_timer(state, at, Timer::AttemptTimeout(request, id.number));
         }
     }
 
-    /// Gives the final answer, unless one was given.
-    fn answer(&self, state: &mut State, request: RequestId, end: LocalReply) -> bool {
-        let Some(live) = state.live.get_mut(&request) else { return false };
-        let owed = std::mem::replace(&mut live.owed, false);
-        if owed {
+    /// Sends the final response, unless one was sent; returns whether this did.
+    fn reply(&self, state: &mut State, request: RequestId, end: LocalReply) -> bool {
+        let Some(entry) = state.in_flight.get_mut(&request) else { return false };
+        let awaited = std::mem::replace(&mut entry.awaiting_response, false);
+        if awaited {
             let kind = match end {
                 LocalReply::Refused { .. } => Kind::Refused,
                 LocalReply::Failed { late: true } => Kind::FailedLate,
                 LocalReply::Failed { late: false } => Kind::Failed,
             };
-            events::record(self.clock.now(), kind, live.label);
-            live.exchange.send_local_reply(end);
+            events::record(self.clock.now(), kind, entry.label);
+            entry.exchange.send_local_reply(end);
         }
-        owed
+        awaited
     }
 
-    fn start_timer(&self, state: &mut State, at: Nanos, wake: Wake) {
-        state.timers.push(Reverse((at, wake)));
+    fn start_timer(&self, state: &mut State, at: Nanos, timer: Timer) {
+        state.timers.push(Reverse((at, timer)));
         if at < state.armed {
             state.armed = at;
             self.timer.notify_one();
         }
     }
 
-    /// Closes one connection whose attempt is long told of, to make room; false where there is none.
+    /// Aborts the oldest abandoned attempt to free its connection; returns false if there is none.
     pub fn abort_lingering(&self) -> bool {
         let stop = |g: &Self| {
             let oldest = g.state.borrow_mut().lingering.pop_front();
@@ -835,23 +852,28 @@
     }
 }
 
-/// The list in the shift's words. The fleet gives the servers back in the order of their entries.
-fn relist(shift: &mut Follower, whole: bool, entries: &[ServerEntry], servers: &[Server]) {
-    let nothing = ServerAttributes::default();
+/// Passes the server list to the shift. `servers` are in the order of their entries.
+fn update_shift_servers(
+    shift: &mut Follower,
+    is_full_list: bool,
+    entries: &[ServerEntry],
+    servers: &[Server],
+) {
+    let no_attributes = ServerAttributes::default();
     let zones = shift.course.settings.zones.clone();
-    let told = entries.iter().zip(servers).map(|(entry, server)| {
-        let said = entry.attributes.as_deref().unwrap_or(&nothing);
+    let listed = entries.iter().zip(servers).map(|(entry, server)| {
+        let attributes = entry.attributes.as_deref().unwrap_or(&no_attributes);
         let address = entry.addresses.iter().flatten().next().map(|a| a.ip());
         let zone = zones.get(usize::from(server.zone)).map_or("", String::as_str);
         let facts = Facts {
             id: &entry.host,
             zone,
-            kind: &said.kind,
-            version: &said.version,
+            kind: &attributes.kind,
+            version: &attributes.version,
             address,
-            metadata: &said.metadata,
+            metadata: &attributes.metadata,
         };
         Told { facts, server: *server }
     });
-    shift.list(whole, told);
+    shift.list(is_full_list, listed);
 }
--- a/crates/core/src/gateway/attempt.rs
+++ b/crates/core/src/gateway/attempt.rs
@@ -1,6 +1,7 @@
-//! One attempt of a request, as an upstream carries it: what it may ask of the gateway, and how it tells of its end.
+//! An attempt of a request, as used by the upstream connection that carries it: queries to the gateway, and the report
+//! of its ending.
 
-use super::{AttemptId, Gateway, Handed, LOOKED_AT};
+use super::{AttemptId, Gateway, ProgressSlot, CLIENT_CHECK_TTL};
 use crate::call::{Exchange, SendProgress, Wire};
 use crate::dispatch::Denied;
 use crate::events::Label;
@@ -9,22 +10,22 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// One attempt of a request, as an upstream carries it.
+/// One attempt of a request, as used by the upstream connection that carries it.
 pub struct Attempt {
     pub(super) gateway: Rc<Gateway>,
     pub(super) id: AttemptId,
     pub(super) server: Endpoint,
     pub(super) give_up_at: Nanos,
     pub(super) send_by: Nanos,
-    pub(super) handed: Handed,
+    pub(super) progress: ProgressSlot,
     pub(super) exchange: Rc<dyn Exchange>,
-    /// When the request came.
-    pub(super) came_at: Nanos,
+    /// When the request arrived.
+    pub(super) arrived_at: Nanos,
     pub(super) label: Label,
 }
 
 impl Attempt {
-    /// The gateway that it belongs to.
+    /// The gateway that the attempt belongs to.
     pub fn gateway(&self) -> &Rc<Gateway> {
         &self.gateway
     }
@@ -34,12 +35,13 @@
         self.server
     }
 
-    /// Time left to the client, in whole milliseconds, at least one.
+    /// Time left until the client's deadline in milliseconds, rounded up and at least 1.
     pub fn remaining_ms(&self) -> u64 {
         self.give_up_at.saturating_sub(self.gateway.clock.now()).div_ceil(1_000_000).max(1)
     }
 
-    /// Where the server listens on this wire, as long as it may be sent anything new, and this request again at all.
+    /// The server's address for a protocol; `None` if the server takes no new requests or this one must not be sent
+    /// again.
     pub fn address(&self, wire: Wire) -> Option<SocketAddr> {
         if self.gateway.clock.now() >= self.send_by {
             return None;
@@ -47,7 +49,8 @@
         self.gateway.fleet(|f| f.address(self.server, wire))
     }
 
-    /// Whether its first byte may be written now, and where to; asked once its connection is there.
+    /// Checks, once the connection is open, whether the first byte may be written now, and returns the address to send
+    /// it to.
     pub async fn may_begin(&self, wire: Wire) -> Result<SocketAddr, Denied> {
         let decided = self.decide(wire).await;
         if let Err(denied) = decided {
@@ -61,9 +64,10 @@
 
     async fn decide(&self, wire: Wire) -> Result<SocketAddr, Denied> {
         let clock = &self.gateway.clock;
-        // Last of all what needs no waiting: nothing may come between it and the first byte.
-        let looked = self.id.number == 0 && clock.now() < self.came_at.saturating_add(LOOKED_AT);
-        if !looked && self.client_gone().await {
+        // Checks that do not await come last: nothing may happen between them and the first byte.
+        let recently_checked =
+            self.id.number == 0 && clock.now() < self.arrived_at.saturating_add(CLIENT_CHECK_TTL);
+        if !recently_checked && self.client_gone().await {
             return Err(Denied::ClientGone);
         }
         if clock.now() >= self.send_by {
@@ -80,32 +84,33 @@
             PeerState::Connected => false,
             PeerState::Closed => true,
             PeerState::Unknown => {
-                // The poller has its turn before this goes on.
+                // Lets the poller run before the second check.
                 tokio::task::yield_now().await;
                 self.exchange.client_state() == PeerState::Closed
             }
         }
     }
 
-    /// Who knows whether the last byte is handed over; told before the first byte goes out.
-    pub fn set_send_progress(&self, connection: Rc<dyn SendProgress>) {
-        *self.handed.borrow_mut() = Some(connection);
+    /// Registers the source of send progress; to be called before the first byte is written.
+    pub fn set_send_progress(&self, progress: Rc<dyn SendProgress>) {
+        *self.progress.borrow_mut() = Some(progress);
     }
 
-    /// It has come to an end without an answer for the client.
+    /// Reports that the attempt ended without a response for the client.
     pub fn fail(&self, ending: AttemptOutcome) {
         let mut state = self.gateway.state.borrow_mut();
         self.gateway.conclude(&mut state, self.id, ending);
     }
 
-    /// It has brought a whole answer; true where that is the client's, as the first one is.
+    /// Reports that the attempt received a complete response; returns true if it is the first one and goes to the
+    /// client.
     pub fn succeed(&self) -> bool {
         let mut state = self.gateway.state.borrow_mut();
-        let Some(live) = state.live.get_mut(&self.id.request) else { return false };
-        if !live.attempts.get(usize::from(self.id.number)).is_some_and(|a| a.open) {
+        let Some(entry) = state.in_flight.get_mut(&self.id.request) else { return false };
+        if !entry.attempts.get(usize::from(self.id.number)).is_some_and(|a| a.open) {
             return false;
         }
-        let first = std::mem::replace(&mut live.owed, false);
+        let first = std::mem::replace(&mut entry.awaiting_response, false);
         self.gateway.conclude(&mut state, self.id, AttemptOutcome::Ok);
         self.gateway.withdraw(&mut state, self.id.request);
         first
--- a/crates/core/src/gateway/claim.rs
+++ b/crates/core/src/gateway/claim.rs
@@ -1,12 +1,13 @@
-//! A client's claim to one answer, from the request's coming to its end.
+//! A request that is waiting for its final response, as held by the front.
 
-use super::{Gateway, Wake};
+use super::{Gateway, Timer};
 use crate::call::{FinalResponse, LocalReply};
 use laurelroute_policy::interface::{Nanos, RequestId};
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// A client's claim to one answer. Dropped before the answer, it says that the client has left.
+/// A request that is waiting for its one final response. Dropping it before the response reports that the client has
+/// disconnected.
 pub struct PendingRequest {
     pub(super) gateway: Rc<Gateway>,
     pub(super) id: RequestId,
@@ -19,26 +20,27 @@
 }
 
 impl PendingRequest {
-    /// The client's last byte has come just now: its time counts from here, and so does that of an attempt under way.
+    /// Records that the last byte of the request has just arrived: its deadline and the time of an attempt in flight
+    /// count from now.
     pub fn body_received(&self, give_up_at: Nanos) {
         let mut state = self.gateway.state.borrow_mut();
-        let Some(live) = state.live.get_mut(&self.id) else { return };
+        let Some(entry) = state.in_flight.get_mut(&self.id) else { return };
         let give_up_at = give_up_at.min(self.gateway.ends_at());
-        live.give_up_at = give_up_at;
+        entry.give_up_at = give_up_at;
         let now = self.gateway.clock.now();
-        live.attempts.iter_mut().filter(|a| a.open).for_each(|a| a.sent_at = now);
-        self.gateway.start_timer(&mut state, give_up_at, Wake::Deadline(self.id));
+        entry.attempts.iter_mut().filter(|a| a.open).for_each(|a| a.sent_at = now);
+        self.gateway.start_timer(&mut state, give_up_at, Timer::Deadline(self.id));
     }
 
-    /// Waits for the answer.
-    pub async fn response<A>(&self, answer: &mut oneshot::Receiver<FinalResponse<A>>) -> FinalResponse<A> {
-        answer.await.unwrap_or(FinalResponse::Local(LocalReply::Failed { late: true }))
+    /// Waits for the final response.
+    pub async fn response<A>(&self, receiver: &mut oneshot::Receiver<FinalResponse<A>>) -> FinalResponse<A> {
+        receiver.await.unwrap_or(FinalResponse::Local(LocalReply::Failed { late: true }))
     }
 }
 
 impl Drop for PendingRequest {
     fn drop(&mut self) {
-        // Where the answer has been given, the gateway knows and does nothing.
+        // Has no effect if the response has been sent.
         self.gateway.client_gone(self.id);
     }
 }
--- a/crates/core/src/gateway/permits.rs
+++ b/crates/core/src/gateway/permits.rs
@@ -1,43 +1,47 @@
-//! What the gateway asks [`crate::dispatch`] before it carries out the decision module's orders, and what it counts.
+//! The gateway's checks, by the rules in [`crate::dispatch`], before it carries out the decision module's actions, and
+//! the counting of denied ones.
 
-use super::{Gateway, Live, State};
+use super::{Gateway, RequestState, State};
 use crate::dispatch::{self, Denied, Locality, RetryPolicy};
 use crate::events::{self, Kind, Label};
 use laurelroute_policy::interface::{Idempotency, Nanos, RequestId};
 
 impl Gateway {
-    /// Whether the module's order to send a request may be carried out, by what became of its earlier attempts.
-    pub(super) fn may_send(&self, live: &Live, locality: Option<Locality>) -> Result<(), Denied> {
-        if !live.owed {
+    /// Whether the module's action to send a request may be carried out, given its earlier attempts.
+    pub(super) fn may_send(&self, entry: &RequestState, locality: Option<Locality>) -> Result<(), Denied> {
+        if !entry.awaiting_response {
             return Err(Denied::Answered);
         }
-        if live.attempts.len() >= self.config.settings.max_attempts as usize {
+        if entry.attempts.len() >= self.config.settings.max_attempts as usize {
             return Err(Denied::NoAttemptLeft);
         }
-        match self.terms(live) {
-            Some(terms) => dispatch::may_retry(&terms, live.earlier(), locality, self.clock.now()),
+        match self.retry_policy(entry) {
+            Some(policy) => dispatch::may_retry(&policy, entry.earlier(), locality, self.clock.now()),
             None => Ok(()),
         }
     }
 
-    /// A keyed request that may have run is sent again only within its window, which counts from that attempt's sending.
-    pub(super) fn send_by(&self, live: &Live) -> Nanos {
-        let Some(terms) = self.terms(live).filter(|t| t.effect == Idempotency::Keyed) else {
+    /// Until when the request may be sent. A keyed request that may have run is sent again only within the
+    /// deduplication window, which starts when the earlier attempt was sent.
+    pub(super) fn send_by(&self, entry: &RequestState) -> Nanos {
+        let Some(policy) = self.retry_policy(entry).filter(|p| p.effect == Idempotency::Keyed) else {
             return Nanos::MAX;
         };
-        let ran = live.earlier().filter(|e| e.ending.is_some_and(|ending| !ending.never_ran()));
-        ran.map(|e| e.sent_at.saturating_add(terms.window)).min().unwrap_or(Nanos::MAX)
+        let ran = entry.earlier().filter(|e| e.ending.is_some_and(|ending| !ending.never_ran()));
+        ran.map(|e| e.sent_at.saturating_add(policy.window)).min().unwrap_or(Nanos::MAX)
     }
 
     pub(super) fn may_refuse(&self, state: &State, request: RequestId) -> Result<(), Denied> {
-        let Some(live) = state.live.get(&request).filter(|l| l.owed) else { return Ok(()) };
-        let Some(terms) = self.terms(live) else { return Ok(()) };
-        dispatch::may_refuse(&terms, live.earlier()).inspect_err(|denied| self.denied(*denied, live.label))
+        let Some(entry) = state.in_flight.get(&request).filter(|l| l.awaiting_response) else {
+            return Ok(());
+        };
+        let Some(policy) = self.retry_policy(entry) else { return Ok(()) };
+        dispatch::may_refuse(&policy, entry.earlier()).inspect_err(|denied| self.denied(*denied, entry.label))
     }
 
-    fn terms(&self, live: &Live) -> Option<RetryPolicy> {
+    fn retry_policy(&self, entry: &RequestState) -> Option<RetryPolicy> {
         let settings = &self.config.settings;
-        let class = settings.classes.get(usize::from(live.request.class))?;
+        let class = settings.classes.get(usize::from(entry.request.class))?;
         Some(RetryPolicy {
             effect: class.idempotency,
             group: class.dedup_group,
@@ -46,7 +50,7 @@
         })
     }
 
-    /// Counts what was not done, and says so where the module should have known better.
+    /// Counts a denied action, and logs an error if the module had the information to avoid it.
     pub(super) fn denied(&self, denied: Denied, label: Label) {
         let kind = match denied {
             Denied::ClientGone => Kind::DeniedClientGone,
@@ -58,7 +62,7 @@
         };
         events::record(self.clock.now(), kind, label);
         if denied.is_violation() {
-            tracing::error!("the decision module wanted what a rule forbids: {denied}");
+            tracing::error!("the decision module requested a forbidden action: {denied}");
         }
         debug_assert!(!denied.is_violation(), "{denied}");
     }
--- a/crates/core/src/idle.rs
+++ b/crates/core/src/idle.rs
@@ -1,85 +1,88 @@
-//! When a client's connection that rests between two requests may be ended: one rule for every wire and every reason.
+//! Decides when a client connection that is idle between two requests may be closed: one rule for all protocols and
+//! reasons.
 //!
-//! A client may send its next request at any moment, and a close that crosses it leaves that request without an answer. A
-//! connection that has been used is therefore ended with an answer that says so, by giving it to another process, or after a rest
-//! so long that a client which goes on asking would have asked.
+//! A client may send its next request at any moment, and a close that races with it leaves that request without a
+//! response. A connection that has carried requests is therefore closed with a response that announces it, by handing
+//! it over to another process, or after being idle for so long that a client which keeps sending requests would have
+//! sent one.
 //!
-//! A rest is counted in looks, one every [`crate::peer::PEER_CHECK_INTERVAL`], each after the sockets have been read. However long the process
-//! or the whole machine was held up, that counts as one look.
+//! Idle time is counted in checks, one every [`crate::peer::PEER_CHECK_INTERVAL`], each made after the sockets have
+//! been read. A stall of the process or of the machine counts as one check, however long it lasts.
 
 use laurelroute_policy::interface::Nanos;
 use std::cell::Cell;
 
-/// A client that goes on asking has asked again by this look.
-const ASKS_AGAIN: u32 = 3;
-/// So has one by this look that is held up itself on busy cores, and is late to read its answer.
-const ASKS_AGAIN_LATE: u32 = 10;
-/// A client sends its first request as soon as it is connected, in running time ([`crate::running`]).
+/// An active client has sent its next request by this many checks.
+const ACTIVE_CLIENT_CHECKS: u32 = 3;
+/// By this many checks so has an active client that is itself slowed down by busy cores and reads its response late.
+const SLOW_CLIENT_CHECKS: u32 = 10;
+/// Time within which a client sends its first request after connecting, in running time ([`crate::running`]).
 pub const FIRST_REQUEST_GRACE: Nanos = 100_000_000;
 
-/// A connection's rest: since it was opened, or since its last answer.
+/// Tracks how long a connection has been idle: since it was opened, or since its last response.
 #[derive(Debug)]
 pub struct IdleTracker {
-    /// In running time.
-    since: Cell<Nanos>,
-    /// It has carried a request, here or at the process that gave it over.
+    /// Start of the idle period, in running time.
+    idle_since: Cell<Nanos>,
+    /// Whether the connection has carried a request, here or in the process that handed it over.
     used: Cell<bool>,
-    /// Looks that have found it at rest.
-    looks: Cell<u32>,
+    /// Consecutive checks that found the connection idle.
+    idle_checks: Cell<u32>,
 }
 
 impl IdleTracker {
-    /// Of a connection that has just been opened, or that another process has given over.
+    /// A tracker for a connection that was just opened or that another process has handed over.
     pub fn new(now: Nanos, used: bool) -> IdleTracker {
-        IdleTracker { since: Cell::new(now), used: Cell::new(used), looks: Cell::new(0) }
+        IdleTracker { idle_since: Cell::new(now), used: Cell::new(used), idle_checks: Cell::new(0) }
     }
 
-    /// A request has come.
+    /// Records that a request has arrived.
     pub fn request_started(&self) {
         self.used.set(true);
-        self.looks.set(0);
+        self.idle_checks.set(0);
     }
 
-    /// The rest begins: the last byte of an answer is on its way.
+    /// Starts an idle period: the last byte of a response has been sent.
     pub fn response_sent(&self, now: Nanos) {
-        self.since.set(now);
-        self.looks.set(0);
+        self.idle_since.set(now);
+        self.idle_checks.set(0);
     }
 
-    /// To be called at each look that finds the connection at rest.
+    /// Records a check that found the connection idle.
     pub fn record_check(&self) {
-        self.looks.set(self.looks.get().saturating_add(1));
+        self.idle_checks.set(self.idle_checks.get().saturating_add(1));
     }
 
-    /// Whether it has carried a request.
+    /// Whether the connection has carried a request.
     pub fn used(&self) -> bool {
         self.used.get()
     }
 
-    /// Since when it rests, in running time.
+    /// Start of the idle period, in running time.
     pub fn idle_since(&self) -> Nanos {
-        self.since.get()
+        self.idle_since.get()
     }
 
-    /// How long it has rested, in running time.
+    /// Length of the idle period, in running time.
     pub fn idle_for(&self, now: Nanos) -> Nanos {
-        now.saturating_sub(self.since.get())
+        now.saturating_sub(self.idle_since.get())
     }
 
-    /// Whether it may be ended where a new client needs its place and nobody else's can be had: no request is likely to be
-    /// on its way. What the kernel has is to be asked beside it.
+    /// Whether the connection may be closed if a new client needs its slot and no other can be freed: a request is
+    /// unlikely to be on its way. The caller has to check the kernel's receive buffer as well.
     pub fn may_evict(&self, now: Nanos) -> bool {
-        self.longer_than(ASKS_AGAIN, now)
+        self.idle_longer_than(ACTIVE_CLIENT_CHECKS, now)
     }
 
-    /// Whether it may be ended without need: not even one of a client that is held up.
+    /// Whether the connection may be closed without need: not even a slowed-down client is likely to have a request on
+    /// its way.
     pub fn may_close(&self, now: Nanos) -> bool {
-        self.longer_than(ASKS_AGAIN_LATE, now)
+        self.idle_longer_than(SLOW_CLIENT_CHECKS, now)
     }
 
-    fn longer_than(&self, looks: u32, now: Nanos) -> bool {
+    fn idle_longer_than(&self, checks: u32, now: Nanos) -> bool {
         match self.used.get() {
-            true => self.looks.get() >= looks,
+            true => self.idle_checks.get() >= checks,
             false => self.idle_for(now) >= FIRST_REQUEST_GRACE,
         }
     }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,8 +1,9 @@
-//! Requests in flight, timers, the fleet and its kept connections: what every wire needs and no wire is named in.
+//! Protocol-independent core of the load balancer: requests in flight, timers, the known servers and the pooled
+//! connections to them.
 //!
-//! A *front* reads a client's bytes, makes a [`call::Call`] of them and hands it to the [`gateway::Gateway`]
-//! together with a [`call::Exchange`], which holds the request in its wire's own form. The gateway asks the
-//! decision module, has the exchange carry each attempt, and tells it when the module gives the request up.
+//! A *front* parses a client's request, turns it into a [`call::Call`] and submits it to the [`gateway::Gateway`]
+//! together with a [`call::Exchange`], which holds the request in its protocol's own form. The gateway consults the
+//! decision module, has the exchange carry out each attempt, and notifies it when the module gives up on the request.
 
 pub mod accept;
 pub mod budget;
@@ -26,7 +27,8 @@
 pub mod running;
 pub mod start_time;
 
-/// A stable hash: FNV-1a with its bits mixed, so that its low ones are as good as its high ones.
+/// A hash that is the same in every process: FNV-1a with a final mix, so that the low bits are as well distributed as
+/// the high ones.
 pub fn stable_hash(bytes: &[u8]) -> u64 {
     let hash = bytes
         .iter()
--- a/crates/core/src/name_index.rs
+++ b/crates/core/src/name_index.rs
@@ -1,26 +1,27 @@
-//! Many names in one piece of memory, each found by its hash: a walk over all tenants for each request would take most
-//! of what may be added to one.
+//! A compact index of many names, found by hash. A linear search over all tenants for each request would use up most of
+//! the latency that the node may add to one.
 
 use std::collections::hash_map::RandomState;
 use std::hash::BuildHasher;
 use std::sync::Arc;
 
-/// A place in the table that nobody has.
-const NOBODY: u32 = u32::MAX;
+/// Marks an empty slot of the hash table.
+const EMPTY: u32 = u32::MAX;
 
-/// Names in an order; copies share them.
+/// An ordered list of names that can be searched by name; clones share the data.
 #[derive(Clone, Debug, Default)]
 pub struct NameIndex(Arc<Index>);
 
 #[derive(Debug, Default)]
 struct Index {
-    listed: NameList,
-    /// Places by hash; at least half of it is empty. Keyed anew in each process: names come from strangers.
+    names: NameList,
+    /// Positions by hash, with linear probing; at least half of the slots are empty. The hash key is random in each
+    /// process, since names come from untrusted sources.
     table: Vec<u32>,
     hasher: RandomState,
 }
 
-/// Names as they come in.
+/// Builds a [`NameIndex`] from names in order.
 #[derive(Debug, Default)]
 pub struct NameList {
     text: String,
@@ -28,29 +29,29 @@
 }
 
 impl NameList {
-    /// Adds the next one.
+    /// Appends a name.
     pub fn push(&mut self, name: &str) {
         self.text.push_str(name);
         self.ends.push(self.text.len());
     }
 
-    fn get(&self, place: usize) -> Option<&str> {
-        let end = *self.ends.get(place)?;
-        let start = place.checked_sub(1).map_or(0, |before| self.ends[before]);
+    fn get(&self, position: usize) -> Option<&str> {
+        let end = *self.ends.get(position)?;
+        let start = position.checked_sub(1).map_or(0, |previous| self.ends[previous]);
         self.text.get(start..end)
     }
 
-    /// All that have come, to be found by name. Of equal names the first one is found.
+    /// Builds the index. Of equal names the first one is found.
     pub fn index(mut self) -> NameIndex {
         self.text.shrink_to_fit();
         self.ends.shrink_to_fit();
-        let count = self.ends.len().min(NOBODY as usize);
-        let table = if count > 0 { vec![NOBODY; (2 * count).next_power_of_two()] } else { Vec::new() };
-        let mut index = Index { listed: self, table, hasher: RandomState::new() };
-        for place in 0..count {
-            let name = index.listed.get(place).unwrap_or_default();
-            if let (at, NOBODY, _) = index.slot(name.as_bytes()) {
-                index.table[at] = place as u32;
+        let count = self.ends.len().min(EMPTY as usize);
+        let table = if count > 0 { vec![EMPTY; (2 * count).next_power_of_two()] } else { Vec::new() };
+        let mut index = Index { names: self, table, hasher: RandomState::new() };
+        for position in 0..count {
+            let name = index.names.get(position).unwrap_or_default();
+            if let (at, EMPTY, _) = index.slot(name.as_bytes()) {
+                index.table[at] = position as u32;
             }
         }
         NameIndex(Arc::new(index))
@@ -58,30 +59,30 @@
 }
 
 impl Index {
-    /// Where a name's place stands in the table or would stand, its place, and how many were looked at.
+    /// The table slot that holds a name or would hold it, the name's position, and the number of slots probed.
     fn slot(&self, name: &[u8]) -> (usize, u32, usize) {
         let mask = self.table.len() - 1;
         let mut at = self.hasher.hash_one(name) as usize & mask;
-        let mut looks = 1;
+        let mut probes = 1;
         loop {
-            let place = self.table[at];
-            let held = || self.listed.get(place as usize).is_some_and(|held| held.as_bytes() == name);
-            if place == NOBODY || held() {
-                return (at, place, looks);
+            let position = self.table[at];
+            let matches = || self.names.get(position as usize).is_some_and(|other| other.as_bytes() == name);
+            if position == EMPTY || matches() {
+                return (at, position, probes);
             }
             at = (at + 1) & mask;
-            looks += 1;
+            probes += 1;
         }
     }
 }
 
 impl NameIndex {
-    /// The place of a name in the order: the first, where several are equal.
+    /// The position of a name in the list: the first one if several are equal.
     pub fn find(&self, name: &[u8]) -> Option<u32> {
-        (!self.0.table.is_empty()).then(|| self.0.slot(name).1).filter(|place| *place != NOBODY)
+        (!self.0.table.is_empty()).then(|| self.0.slot(name).1).filter(|position| *position != EMPTY)
     }
 
-    /// NameIndex that are looked at to find this one, or to find that there is none.
+    /// The number of table slots probed to find this name or its absence.
     pub fn probes(&self, name: &[u8]) -> usize {
         if self.0.table.is_empty() {
             return 0;
@@ -89,17 +90,17 @@
         self.0.slot(name).2
     }
 
-    /// All names, in their order.
+    /// All names, in order.
     pub fn iter(&self) -> impl Iterator<Item = &str> {
-        (0..self.len()).filter_map(|place| self.0.listed.get(place))
+        (0..self.len()).filter_map(|position| self.0.names.get(position))
     }
 
-    /// How many there are.
+    /// The number of names.
     pub fn len(&self) -> usize {
-        self.0.listed.ends.len()
+        self.0.names.ends.len()
     }
 
-    /// There is none.
+    /// Whether there are no names.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -107,8 +108,8 @@
 
 impl<S: AsRef<str>> FromIterator<S> for NameIndex {
     fn from_iter<I: IntoIterator<Item = S>>(names: I) -> Self {
-        let mut listed = NameList::default();
-        names.into_iter().for_each(|name| listed.push(name.as_ref()));
-        listed.index()
+        let mut list = NameList::default();
+        names.into_iter().for_each(|name| list.push(name.as_ref()));
+        list.index()
     }
 }
--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -1,7 +1,7 @@
-//! Whether a peer is still there, found out without reading what it has sent.
+//! Detects whether a peer has closed its connection, without reading the data that it has sent.
 //!
-//! Reading alone does not tell: with bytes of a further request unread, the end behind them is never come to while the
-//! request before them waits.
+//! Reading alone is not enough: with bytes of a further request unread, the end of stream behind them is not reached
+//! while the request before them is in progress.
 
 use crate::retry_io::{classify_error, retry_interrupted, ErrorClass};
 use std::future::Future;
@@ -13,44 +13,47 @@
 use tokio::io::Interest;
 use tokio::net::TcpStream;
 
-/// How often a connection whose request waits, and that is not read, is looked at: a request is not to be sent on once its
-/// client has been gone for 0.3 s, and a look may come late on a busy core.
+/// How often a connection is checked while its request is in progress and nothing is read from it. A request must not
+/// be sent on once its client has been gone for 0.3 s, and on a busy core a check may run late.
 pub const PEER_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// In this time the poller says what it knows; only clients wait for it that have sent far more than their first request.
-const TURN: Duration = Duration::from_millis(1);
+/// Within this time the poller reports pending events. Only clients that have sent far more than their first request
+/// wait for it.
+const POLLER_TURN: Duration = Duration::from_millis(1);
 
-/// The peer has closed its side or reset the connection, as far as the poller has said (EPOLLRDHUP, EPOLLHUP), whatever
-/// is still unread.
+/// Whether the peer has closed its side or reset the connection, as far as the poller has reported it (EPOLLRDHUP,
+/// EPOLLHUP), regardless of unread data.
 pub fn closed(stream: &TcpStream) -> bool {
     let ready = pin!(stream.ready(Interest::READABLE)).poll(&mut Context::from_waker(Waker::noop()));
     matches!(ready, Poll::Ready(Ok(ready)) if ready.is_read_closed())
 }
 
-/// Bytes that have come and are unread, as far as one tells; none at the peer's end. This asks the kernel itself: what the
-/// runtime knows may be older.
+/// Peeks for unread data: a positive count if there is some, 0 at the end of the stream. This queries the kernel
+/// directly, since the readiness that the runtime has stored may be outdated.
 fn peek(stream: &TcpStream) -> io::Result<usize> {
     crate::io_counters::record_peek();
     retry_interrupted(|| socket2::SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]))
 }
 
-/// Nothing has come and the peer has not closed: a close now loses no request, and a request now meets no close.
+/// Whether nothing is unread and the peer has not closed: closing the connection now loses no request, and a request
+/// sent now does not meet a close.
 pub fn is_quiescent(stream: &TcpStream) -> bool {
     matches!(peek(stream), Err(e) if classify_error(&e) == ErrorClass::WouldBlock)
 }
 
-/// Whether a client is there.
+/// State of the connection to a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerState {
-    /// It is.
+    /// The connection is open.
     Connected,
-    /// It has closed or reset its connection.
+    /// The peer has closed or reset the connection.
     Closed,
-    /// It has sent more, behind which its end may be: once the poller has had its turn, this means that it is there.
+    /// There is unread data, behind which the end of the stream may be. If the state is the same after the poller has
+    /// run, the connection is open.
     Unknown,
 }
 
-/// Whether the peer is there, as the kernel has it now.
+/// The state of the connection to the peer, as the kernel reports it now.
 pub fn peer_state(stream: &TcpStream) -> PeerState {
     if closed(stream) {
         return PeerState::Closed;
@@ -63,15 +66,16 @@
     }
 }
 
-/// The same as [`closed`] for a request that has just been read, as the kernel has it: the poller may not have come to say so. The runtime
-/// reads a new connection before it hears anything of it, and an old one on the strength of what it heard earlier. On a
-/// connection's first request an end may be behind bytes that are unread: there the poller is given a turn.
-pub async fn closed_after_read(stream: &TcpStream, first: bool) -> bool {
+/// Like [`closed`], but queries the kernel: to be called right after a request has been read, when the poller may not
+/// have reported the close yet. The runtime reads a new connection before it has polled it at all, and an old one on
+/// the strength of an earlier event. On the first request of a connection, where the end of the stream may be behind
+/// unread data, the poller is given time to run.
+pub async fn closed_after_read(stream: &TcpStream, first_request: bool) -> bool {
     match peer_state(stream) {
         PeerState::Connected => false,
         PeerState::Closed => true,
-        PeerState::Unknown if first => {
-            tokio::time::sleep(TURN).await;
+        PeerState::Unknown if first_request => {
+            tokio::time::sleep(POLLER_TURN).await;
             closed(stream)
         }
         PeerState::Unknown => false,
--- a/crates/core/src/process.rs
+++ b/crates/core/src/process.rs
@@ -1,7 +1,7 @@
-//! What the gateways of one process share, where it has one for each service: when the process goes, and the connections
-//! to servers, which count once however many services a server has.
+//! State shared by the gateways of one process, which has one gateway for each service: the shutdown state, and the
+//! counts of connections to servers, where a connection counts once however many services the server belongs to.
 //!
-//! A process that knows no services has one gateway, and nothing here is looked at.
+//! A process without services has a single gateway and hardly uses this.
 
 use crate::gateway::Gateway;
 use crate::running::RunningTime;
@@ -11,20 +11,20 @@
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
 
-/// See the module's documentation.
+/// State shared by the gateways of one process.
 #[derive(Default)]
 pub struct ProcessState {
-    /// SIGTERM has come: no more requests on kept connections.
+    /// SIGTERM was received: no further requests are taken on persistent connections.
     pub draining: Cell<bool>,
-    /// When the process ends at the latest, once that is known.
+    /// The deadline of the shutdown, once it is known.
     pub ends_at: Cell<Option<Nanos>>,
-    /// Time in which the process ran.
+    /// Time for which the process has been running.
     pub(crate) running: RunningTime,
     gateways: RefCell<Vec<Weak<Gateway>>>,
-    /// What the decision module of a service is told.
+    /// Settings for the decision module of a service, derived once.
     settings: OnceCell<Settings>,
-    /// Connections open to servers, by their first address; as long as a fleet knows the server.
-    open: RefCell<HashMap<SocketAddr, Weak<Cell<u32>>>>,
+    /// Open connections to each server, by its first address; kept as long as a fleet knows the server.
+    connection_counts: RefCell<HashMap<SocketAddr, Weak<Cell<u32>>>>,
 }
 
 impl ProcessState {
@@ -34,32 +34,33 @@
         gateways.push(Rc::downgrade(gateway));
     }
 
-    /// What the decision module of a service is told: all but the tenants. Their shares are of all services together, and no
-    /// one service's count of them would be that; each would hold 40 bytes a tenant, 4.6 GB for 300 services and 380,000.
-    pub(crate) fn settings_of_a_service(&self, settings: &Settings) -> Settings {
-        let plain = || Settings { tenant_quota: Vec::new(), ..settings.clone() };
-        self.settings.get_or_init(plain).clone()
+    /// Settings for the decision module of a service: all but the tenants. Tenant quotas apply to all services
+    /// together, which no single service could count, and at 40 bytes a tenant, 300 services with 380,000 tenants would
+    /// take 4.6 GB.
+    pub(crate) fn service_settings(&self, settings: &Settings) -> Settings {
+        let without_tenants = || Settings { tenant_quota: Vec::new(), ..settings.clone() };
+        self.settings.get_or_init(without_tenants).clone()
     }
 
-    /// All gateways but one.
+    /// All gateways of the process but the given one.
     pub(crate) fn others(&self, gateway: &Gateway) -> Vec<Rc<Gateway>> {
         let gateways = self.gateways.borrow();
         let others = gateways.iter().filter(|g| !std::ptr::eq(g.as_ptr(), gateway));
         others.filter_map(Weak::upgrade).collect()
     }
 
-    /// The count of connections that are open to a server.
+    /// The counter of open connections to a server.
     pub(crate) fn open_connections(&self, server: SocketAddr) -> Rc<Cell<u32>> {
-        let mut open = self.open.borrow_mut();
-        if let Some(count) = open.get(&server).and_then(Weak::upgrade) {
+        let mut counts = self.connection_counts.borrow_mut();
+        if let Some(count) = counts.get(&server).and_then(Weak::upgrade) {
             return count;
         }
-        // Servers come and go: what nobody counts any longer goes as often as the table has doubled.
-        if open.len() == open.capacity() {
-            open.retain(|_, count| count.strong_count() > 0);
+        // Servers come and go: counters that are no longer in use are removed before the table would grow.
+        if counts.len() == counts.capacity() {
+            counts.retain(|_, count| count.strong_count() > 0);
         }
         let count = Rc::default();
-        open.insert(server, Rc::downgrade(&count));
+        counts.insert(server, Rc::downgrade(&count));
         count
     }
 }
--- a/crates/core/src/retry_io.rs
+++ b/crates/core/src/retry_io.rs
@@ -1,5 +1,5 @@
-//! What an error of a system call on a socket means, decided in one place for all connections, and reads and writes on
-//! which interrupted and short calls do no harm.
+//! Classification of socket errors for all connections, and reads and writes that handle interrupted and short system
+//! calls.
 
 use crate::io_counters;
 use std::io;
@@ -9,21 +9,21 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// What is to be done after an error.
+/// How to handle an error of a socket call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorClass {
-    /// The call did nothing and may be made again at once (EINTR).
+    /// The call did nothing and can be retried at once (EINTR).
     Interrupted,
-    /// Nothing can be done now (EAGAIN): the poller says when.
+    /// The socket is not ready (EAGAIN): wait for the poller.
     WouldBlock,
-    /// The connection is over.
+    /// The connection is broken.
     Fatal,
 }
 
-/// A call that came to nothing so often in a row gives way to others first: a storm of signals must not hold the thread.
-const MOST_IN_A_ROW: usize = 16;
+/// After this many fruitless calls in a row the task yields to others: a storm of signals must not occupy the thread.
+const MAX_FRUITLESS_CALLS: usize = 16;
 
-/// What an error of a read or a write on a connection means.
+/// Classifies an error of a read or a write on a connection.
 pub fn classify_error(error: &io::Error) -> ErrorClass {
     match error.kind() {
         io::ErrorKind::Interrupted => ErrorClass::Interrupted,
@@ -32,7 +32,7 @@
     }
 }
 
-/// Makes a call until it is not interrupted.
+/// Repeats a call until it is not interrupted.
 pub fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
@@ -42,16 +42,16 @@
     }
 }
 
-/// Reads what there is from a connection, or waits for it.
+/// Reads available data from a connection, or waits for some.
 ///
-/// The runtime's own reads take a short one for a sign that nothing is left, and wait for the next bytes to arrive. A call that
-/// is interrupted in its middle leaves bytes behind, which may be the last: here only EAGAIN says that nothing is left.
+/// The runtime's own reads take a short read to mean that nothing is left, and wait for new data to arrive. A call that
+/// is interrupted midway leaves bytes behind, which may be the last ones: here only EAGAIN means that nothing is left.
 pub fn poll_read(
     stream: &TcpStream,
     cx: &mut Context<'_>,
     buffer: &mut ReadBuf<'_>,
 ) -> Poll<io::Result<usize>> {
-    for _ in 0..MOST_IN_A_ROW {
+    for _ in 0..MAX_FRUITLESS_CALLS {
         ready!(stream.poll_read_ready(cx))?;
         let read = stream.try_read_buf(buffer);
         io_counters::record_read(read.is_err());
@@ -60,16 +60,16 @@
             done => return Poll::Ready(done),
         }
     }
-    later(cx)
+    yield_and_retry(cx)
 }
 
-/// Writes what a connection takes, or waits until it takes something; short writes are no sign that it is full.
+/// Writes as much as a connection accepts, or waits until it accepts some; a short write does not mean that it is full.
 pub fn poll_write(
     stream: &TcpStream,
     cx: &mut Context<'_>,
     slices: &[io::IoSlice<'_>],
 ) -> Poll<io::Result<usize>> {
-    for _ in 0..MOST_IN_A_ROW {
+    for _ in 0..MAX_FRUITLESS_CALLS {
         ready!(stream.poll_write_ready(cx))?;
         io_counters::record_write();
         match stream.try_write_vectored(slices) {
@@ -77,25 +77,25 @@
             done => return Poll::Ready(done),
         }
     }
-    later(cx)
+    yield_and_retry(cx)
 }
 
-fn later<T>(cx: &mut Context<'_>) -> Poll<T> {
+fn yield_and_retry<T>(cx: &mut Context<'_>) -> Poll<T> {
     cx.waker().wake_by_ref();
     Poll::Pending
 }
 
-/// A connection on which interrupted and short calls do no harm.
+/// A connection whose reads and writes handle interrupted and short system calls.
 #[derive(Debug)]
 pub struct RetryingStream(Rc<TcpStream>);
 
 impl RetryingStream {
-    /// Reads and writes this connection.
+    /// Wraps a connection.
     pub fn new(stream: TcpStream) -> RetryingStream {
         RetryingStream(Rc::new(stream))
     }
 
-    /// The connection, for those who only look at it.
+    /// The underlying connection, for inspection.
     pub fn connection(&self) -> &Rc<TcpStream> {
         &self.0
     }
@@ -129,7 +129,7 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // The kernel has what was written.
+        // Writes are unbuffered: the kernel already has the data.
         Poll::Ready(Ok(()))
     }
 
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -1,6 +1,7 @@
-//! From the service that a request names to the gateway that carries it, where a process has more than one service.
+//! Routing from the service that a request names to the service's gateway, in a process with several services.
 //!
-//! A front reads the name with the request's head and asks for it at once; while the body comes in, so does the service.
+//! A front reads the name from the request's head and resolves it at once, so that the service is fetched while the
+//! body arrives.
 
 use crate::clock::Clock;
 use crate::gateway::Gateway;
@@ -13,16 +14,16 @@
 
 /// The longest name of a service, in bytes.
 pub const MAX_SERVICE_NAME_BYTES: usize = 256;
-/// A service that is not known yet is waited for until no more than this part of the class's aim is left to the request:
-/// as long as the module has seen no answer of a class it expects one to take a third of the aim, and turns away what has
-/// less time than that.
-const FIRST_ANSWER_PART: Nanos = 3;
+/// A request waits for an unknown service until one third of its class's target latency is left: before the module has
+/// seen any response of a class, it expects one to take a third of the target, and refuses requests with less time than
+/// that.
+const FIRST_RESPONSE_DIVISOR: Nanos = 3;
 
-/// How a service stands as a request names it.
+/// The state of a service when a request names it.
 pub enum ServiceStatus {
-    /// Its servers are known to this gateway.
+    /// The service's servers are known to this gateway.
     Available(Rc<Gateway>),
-    /// Its servers are on their way.
+    /// The service's servers have been requested.
     Pending,
     /// There is no such service.
     Unknown,
@@ -30,16 +31,16 @@
     AtCapacity,
 }
 
-/// Knows services; a request's word on one counts as its use.
+/// Resolves services by name; resolving a service counts as using it.
 pub trait ServiceResolver {
-    /// How a service stands; one that is not held is asked for.
+    /// The state of a service; one that is not available yet is requested.
     fn resolve(&self, service: &str) -> ServiceStatus;
-    /// A request of the service is under way: it is not dropped before that has `ended`.
+    /// Keeps a service loaded while a request of it is in flight, until the matching `unpin`.
     fn pin(&self, service: &str);
-    /// See `began`.
+    /// Releases a `pin`.
     fn unpin(&self, service: &str);
-    /// Ends when the service's standing may have changed since `want` was asked; to be called at once after that, and to be
-    /// dropped where nobody waits any longer.
+    /// Completes when the service's state may have changed since `resolve` was called. To be called right after
+    /// `resolve`, and to be dropped if the result is no longer needed.
     fn status_changed(&self, service: &str) -> Pin<Box<dyn Future<Output = ()>>>;
 }
 
@@ -52,38 +53,38 @@
     /// There is no room for another service.
     #[error("no room for another service")]
     AtCapacity,
-    /// The service's servers have not come in time.
+    /// The service's servers did not arrive in time.
     #[error("the service is not known in time")]
     TimedOut,
-    /// So many requests wait for services that no further one may.
+    /// The maximum number of requests are waiting for services.
     #[error("too many wait for a service")]
     TooManyWaiting,
 }
 
-/// Requests that wait for their services. Each holds its client's place, which those of services that are known need too:
-/// with no planner there, one service that is not known must not take all of them.
+/// Counts the requests that wait for their services. Each holds its client's slot, which requests of known services
+/// need too: while no planner is reachable, one unknown service must not take up all slots.
 #[derive(Debug, Default)]
 pub struct WaiterCount(Cell<usize>);
 
-/// One that waits.
-struct Wait<'a>(&'a WaiterCount);
+/// A waiting request, counted until it is dropped.
+struct WaitingRequest<'a>(&'a WaiterCount);
 
 impl WaiterCount {
-    fn enter(&self, most: usize) -> Option<Wait<'_>> {
-        (self.0.get() < most).then(|| {
+    fn enter(&self, max_waiting: usize) -> Option<WaitingRequest<'_>> {
+        (self.0.get() < max_waiting).then(|| {
             self.0.set(self.0.get() + 1);
-            Wait(self)
+            WaitingRequest(self)
         })
     }
 }
 
-impl Drop for Wait<'_> {
+impl Drop for WaitingRequest<'_> {
     fn drop(&mut self) {
         self.0 .0.set(self.0 .0.get() - 1);
     }
 }
 
-/// A request's service, pinned for as long as this lives.
+/// The service of a request, pinned until this is dropped.
 pub struct ServiceRoute {
     services: Rc<dyn ServiceResolver>,
     service: String,
@@ -96,7 +97,7 @@
 }
 
 impl ServiceRoute {
-    /// A request names this service. What is known not to be there is told at once.
+    /// Resolves the service that a request names, and fails at once if it is known not to exist.
     pub fn new(services: &Rc<dyn ServiceResolver>, service: String) -> Result<ServiceRoute, RouteError> {
         match services.resolve(&service) {
             ServiceStatus::Unknown => return Err(RouteError::Unknown),
@@ -107,13 +108,13 @@
         Ok(ServiceRoute { services: services.clone(), service })
     }
 
-    /// The service's gateway, waited for until `latest` at most, and by no more than so many at once; and whether it had to
-    /// be waited for.
+    /// The service's gateway, and whether the request had to wait for it. Waits until `deadline` at most, and fails if
+    /// more than `max_waiting` requests would wait at once.
     pub async fn gateway(
         &self,
         clock: &Clock,
-        latest: Nanos,
-        (waits, most): (&WaiterCount, usize),
+        deadline: Nanos,
+        (waiting, max_waiting): (&WaiterCount, usize),
     ) -> Result<(Rc<Gateway>, bool), RouteError> {
         let mut wait = None;
         loop {
@@ -124,9 +125,9 @@
                 ServiceStatus::Pending => {}
             }
             if wait.is_none() {
-                wait = Some(waits.enter(most).ok_or(RouteError::TooManyWaiting)?);
+                wait = Some(waiting.enter(max_waiting).ok_or(RouteError::TooManyWaiting)?);
             }
-            let left = Duration::from_nanos(latest.saturating_sub(clock.now()));
+            let left = Duration::from_nanos(deadline.saturating_sub(clock.now()));
             let changed = self.services.status_changed(&self.service);
             if left.is_zero() || tokio::time::timeout(left, changed).await.is_err() {
                 return Err(RouteError::TimedOut);
@@ -141,8 +142,8 @@
     }
 }
 
-/// Until when a request of this class that gives up then may wait for its service.
+/// How long a request of a class may wait for its service if its own deadline is `give_up_at`.
 pub fn wait_deadline(settings: &Settings, class: usize, give_up_at: Nanos) -> Nanos {
-    let answer = settings.classes.get(class).map_or(0, |c| c.latency_target / FIRST_ANSWER_PART);
-    give_up_at.saturating_sub(answer)
+    let response_time = settings.classes.get(class).map_or(0, |c| c.latency_target / FIRST_RESPONSE_DIVISOR);
+    give_up_at.saturating_sub(response_time)
 }
--- a/crates/core/src/start_time.rs
+++ b/crates/core/src/start_time.rs
@@ -1,35 +1,38 @@
-//! When servers started, on the node's own monotonic clock: the one place where times of other machines' clocks are compared
-//! with this one's.
+//! Server start times on the node's own monotonic clock. This is the only place where times of other machines' clocks
+//! are compared with this one's.
 //!
-//! A list tells a start as Unix time. The wall clock here may be off by an hour, and may be set right while the node runs. So
-//! the age is reckoned once, as the start is first told, with the wall clock as it is then, and is bounded by what the
-//! monotonic clock knows: a start that is news was not there when discovery last gave a sign of life, or not long before. From
-//! then on only the monotonic clock counts. An error is to the cold side, and lasts for one ramp at most.
+//! Discovery reports start times as Unix time. The wall clock here may be off by an hour and may be corrected while the
+//! node runs. The age is therefore computed once, when a start is first reported, from the wall clock at that moment,
+//! and is bounded by what the monotonic clock shows: a start that is new to us had not happened when discovery was last
+//! in contact, or only shortly before. From then on only the monotonic clock counts. Any error makes a server look
+//! younger, which lengthens its slow start by one ramp at most.
 
 use laurelroute_policy::interface::Nanos;
 
-/// Discovery may have known of a start for so long before it told it.
-const TOLD_LATE: Nanos = 6_000_000_000;
+/// Longest time that discovery may have known of a start before it reported it.
+const MAX_REPORT_DELAY: Nanos = 6_000_000_000;
 
-/// The clocks at the moment when a list is taken in.
+/// Both clocks at the moment a list is received.
 #[derive(Clone, Copy, Debug)]
 pub struct ClockReading {
-    /// The node's own, which only goes forward.
+    /// The node's monotonic clock.
     pub now: Nanos,
     /// The wall clock, nanoseconds since the Unix epoch.
     pub wall: Nanos,
 }
 
-/// When a server started, on the node's own clock. `listed` is what the list says, 0 for long ago. `heard` is the last sign
-/// of life from discovery while this start was not known yet; `None` where no list was held before.
-pub fn started_at(listed: Nanos, clocks: ClockReading, heard: Option<Nanos>) -> Nanos {
+/// A server's start time on the node's own clock. `listed` is the start in Unix time as discovery reports it, 0 for
+/// long ago. `last_contact` is the last contact with discovery before this start was known; `None` if there was no list
+/// before.
+pub fn started_at(listed: Nanos, clocks: ClockReading, last_contact: Option<Nanos>) -> Nanos {
     if listed == 0 {
         return 0;
     }
-    // What starts in the future by the wall clock has just started.
-    let by_wall = clocks.wall.saturating_sub(listed);
-    let known = heard.map(|heard| clocks.now.saturating_sub(heard).saturating_add(TOLD_LATE));
-    let age = known.map_or(by_wall, |known| by_wall.min(known));
-    // 0 would be long ago.
+    // A start in the future by the wall clock counts as just now.
+    let age_by_wall = clocks.wall.saturating_sub(listed);
+    let max_age =
+        last_contact.map(|contact| clocks.now.saturating_sub(contact).saturating_add(MAX_REPORT_DELAY));
+    let age = max_age.map_or(age_by_wall, |max_age| age_by_wall.min(max_age));
+    // 0 would mean long ago.
     clocks.now.saturating_sub(age).max(1)
 }
--- a/crates/core/tests/overflow.rs
+++ b/crates/core/tests/overflow.rs
@@ -1,10 +1,11 @@
-//! Clients beyond the places: as many as there are descriptors for, and few.
+//! Overflow slots for clients beyond the regular ones: within the descriptor limit, and few.
 
 use laurelroute_core::budget::Budget;
 
-/// Guards against more descriptors than the limit, and against a full node that has no overflow, whoever came first.
+/// Guards against exceeding the descriptor limit, and against a full node without overflow slots, whether clients or
+/// servers took their slots first.
 #[test]
-fn a_full_node_has_an_overflow_and_keeps_within_the_descriptors() {
+fn a_full_node_has_overflow_slots_and_stays_within_the_descriptor_limit() {
     for limit in [28, 32, 48, 64, 256, 1_000] {
         for servers_first in [true, false] {
             let budget = Budget::new(limit, 64, 0);
@@ -24,34 +25,38 @@
             assert!(budget.descriptors_in_use() <= limit, "{} of {limit}", budget.descriptors_in_use());
             assert!(!overflow.is_empty(), "{limit}, servers first: {servers_first}");
             assert!(overflow.len() <= (clients.len() / 16).max(1), "{} of {limit}", overflow.len());
-            assert!(budget.acquire_server().is_none(), "{limit}: what is left is nobody's");
+            assert!(
+                budget.acquire_server().is_none(),
+                "{limit}: servers take none of the remaining descriptors"
+            );
         }
     }
 }
 
-/// Guards against an overflow that stays taken, and against one that a node without servers does not have.
+/// Guards against an overflow slot that is not released, and against a node without servers that has none.
 #[test]
-fn a_client_beyond_the_places_gives_its_descriptor_back() {
+fn an_overflow_client_releases_its_descriptor() {
     let budget = Budget::new(48, 64, 16);
     let mut clients = Vec::new();
     while !budget.clients_exhausted() {
         clients.push(budget.acquire_client());
     }
-    let held = budget.descriptors_in_use();
-    let beyond = budget.acquire_overflow().expect("a descriptor is free");
-    assert!(budget.acquire_overflow().is_none(), "a small node has one");
-    assert_eq!(budget.descriptors_in_use(), held + 1);
-    drop(beyond);
-    assert_eq!(budget.descriptors_in_use(), held);
+    let in_use = budget.descriptors_in_use();
+    let overflow = budget.acquire_overflow().expect("a descriptor is free");
+    assert!(budget.acquire_overflow().is_none(), "a small node has one overflow slot");
+    assert_eq!(budget.descriptors_in_use(), in_use + 1);
+    drop(overflow);
+    assert_eq!(budget.descriptors_in_use(), in_use);
     assert!(budget.acquire_overflow().is_some());
 }
 
-/// Guards against clients taken for a crowd, and their connections ended, because a takeover has left few places.
+/// Guards against treating a few clients as a crowd, and closing their connections, because a takeover has reduced the
+/// slots.
 #[test]
-fn a_fallen_lease_makes_no_crowd_of_a_few_clients() {
+fn a_reduced_descriptor_limit_does_not_make_a_crowd_of_few_clients() {
     let budget = Budget::new(256, 64, 16);
-    let crowd = (0..).find(|clients| budget.is_crowded(*clients)).expect("some are a crowd");
+    let crowd = (0..).find(|clients| budget.is_crowded(*clients)).expect("some number of clients is a crowd");
     budget.resize(48);
-    assert!(budget.max_clients() < crowd, "places for {}", budget.max_clients());
+    assert!(budget.max_clients() < crowd, "slots for {}", budget.max_clients());
     assert_eq!((0..).find(|clients| budget.is_crowded(*clients)), Some(crowd));
 }
