--- a/crates/core/tests/services.rs
+++ b/crates/core/tests/services.rs
@@ -1,4 +1,4 @@
-//! Gateways beside one another in one process: what counts once for all of them, and what a service costs at rest.
+//! Several gateways in one process: the state that they share, and the cost of an idle service.
 
 use laurelroute_core::call::{Exchange, LocalReply, Wire};
 use laurelroute_core::clock::Clock;
@@ -56,11 +56,11 @@
     ServerEntry { host: host.into(), addresses: vec![Some(at)], server, attributes: None }
 }
 
-fn list(gateway: &Rc<Gateway>, host: &str, at: SocketAddr) {
+fn add_server(gateway: &Rc<Gateway>, host: &str, at: SocketAddr) {
     gateway.update_servers(ListKind::Changes, vec![entry(host, at, Phase::Ready)]);
 }
 
-async fn to(
+async fn open(
     gateway: &Rc<Gateway>,
     host: &str,
     at: SocketAddr,
@@ -78,47 +78,47 @@
 }
 
 #[test]
-fn a_server_in_two_services_holds_no_more_connections_than_in_one() {
+fn a_server_in_two_services_gets_no_more_connections_than_in_one() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let at = listener.local_addr().unwrap();
         let first = first(Some(2));
         let [shop, stock] = ["shop", "stock"].map(|name| first.for_service(name).unwrap());
-        list(&shop, "a", at);
-        list(&stock, "a", at);
-        let one = to(&shop, "a", at).await.unwrap();
-        let two = to(&stock, "a", at).await.unwrap();
-        assert_eq!(to(&shop, "a", at).await.err(), Some(ConnectError::Exhausted));
-        assert_eq!(to(&stock, "a", at).await.err(), Some(ConnectError::Exhausted));
-        // One that is given back counts nowhere any longer, also after the service that opened it has gone.
+        add_server(&shop, "a", at);
+        add_server(&stock, "a", at);
+        let one = open(&shop, "a", at).await.unwrap();
+        let two = open(&stock, "a", at).await.unwrap();
+        assert_eq!(open(&shop, "a", at).await.err(), Some(ConnectError::Exhausted));
+        assert_eq!(open(&stock, "a", at).await.err(), Some(ConnectError::Exhausted));
+        // A closed connection is no longer counted, also after the service that opened it was dropped.
         drop(stock);
         drop(two);
-        let two = to(&shop, "a", at).await.unwrap();
+        let two = open(&shop, "a", at).await.unwrap();
         drop(one);
-        // A connection that another service keeps makes room.
+        // An idle connection of another service is closed to make room.
         let now = shop.clock.now();
         let server = shop.fleet(|f| f.endpoint_of("a")).unwrap();
         shop.fleet(|f| f.checkin(server, (HTTP, at), Box::new(Link(two)), (now, now)));
         let till = first.for_service("till").unwrap();
-        list(&till, "a", at);
-        let held = [to(&till, "a", at).await.unwrap(), to(&till, "a", at).await.unwrap()];
+        add_server(&till, "a", at);
+        let held = [open(&till, "a", at).await.unwrap(), open(&till, "a", at).await.unwrap()];
         assert!(shop.fleet(|f| f.checkout::<Link>(server, HTTP, 0)).is_none(), "it was closed");
         drop(held);
-        // Another server is another count.
+        // Another server is counted separately.
         let other = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        list(&till, "b", other.local_addr().unwrap());
-        assert!(to(&till, "b", other.local_addr().unwrap()).await.is_ok());
+        add_server(&till, "b", other.local_addr().unwrap());
+        assert!(open(&till, "b", other.local_addr().unwrap()).await.is_ok());
     });
 }
 
 #[test]
-fn what_operators_say_of_a_server_counts_in_every_service_that_has_it() {
+fn operator_commands_on_a_server_apply_to_all_its_services() {
     run(async {
         let at = "127.0.0.1:9".parse().unwrap();
         let first = first(None);
         let shop = first.for_service("shop").unwrap();
-        assert!(first.detach("a").is_err(), "nobody has it");
-        list(&shop, "a", at);
+        assert!(first.detach("a").is_err(), "no service has it");
+        add_server(&shop, "a", at);
         let dial = |g: &Rc<Gateway>| {
             let server = g.fleet(|f| f.endpoint_of("a")).expect("listed");
             g.fleet(|f| f.address(server, HTTP))
@@ -126,9 +126,9 @@
         assert_eq!(dial(&shop), Some(at));
         first.detach("a").unwrap();
         assert_eq!(dial(&shop), None);
-        // Also in one that comes later.
+        // Also in a service that is added later.
         let stock = first.for_service("stock").unwrap();
-        list(&stock, "a", at);
+        add_server(&stock, "a", at);
         assert_eq!(dial(&stock), None);
         first.attach("a").unwrap();
         assert_eq!([dial(&shop), dial(&stock)], [Some(at); 2]);
@@ -140,10 +140,10 @@
     });
 }
 
-/// Counts how often a future is looked at.
-struct Counted<F>(Pin<Box<F>>, Rc<Cell<u32>>);
+/// Counts how often a future is polled.
+struct CountPolls<F>(Pin<Box<F>>, Rc<Cell<u32>>);
 
-impl<F: Future> Future for Counted<F> {
+impl<F: Future> Future for CountPolls<F> {
     type Output = F::Output;
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<F::Output> {
@@ -153,22 +153,22 @@
 }
 
 #[test]
-fn a_service_at_rest_wakes_nobody() {
+fn an_idle_service_wakes_no_task() {
     run(async {
         let first = first(None);
-        let looks = Rc::new(Cell::new(0));
+        let polls = Rc::new(Cell::new(0));
         for k in 0..300 {
             let gateway = first.for_service(&format!("s{k}")).unwrap();
-            list(&gateway, "a", "127.0.0.1:9".parse().unwrap());
-            spawn_local(Counted(Box::pin(gateway.run_timers()), looks.clone()));
+            add_server(&gateway, "a", "127.0.0.1:9".parse().unwrap());
+            spawn_local(CountPolls(Box::pin(gateway.run_timers()), polls.clone()));
         }
-        // Whatever wakes within two seconds of rest has been seen by then.
+        // A task that wakes within two seconds of idleness has been polled again by then.
         tokio::time::sleep(Duration::from_millis(2_100)).await;
-        assert_eq!(looks.get(), 300, "each once, as it began");
+        assert_eq!(polls.get(), 300, "each once, when it started");
     });
 }
 
-/// An exchange whose attempts never end.
+/// An exchange whose attempts never end, and which records the local reply.
 struct Stuck(Rc<Cell<Option<LocalReply>>>);
 
 impl Exchange for Stuck {
@@ -190,48 +190,48 @@
 }
 
 #[test]
-fn the_end_of_the_process_is_the_end_of_every_services_requests() {
+fn the_shutdown_deadline_applies_to_the_requests_of_all_services() {
     run(async {
         let first = first(None);
         let shop = first.for_service("shop").unwrap();
         spawn_local(shop.clone().run_timers());
-        list(&shop, "a", "127.0.0.1:9".parse().unwrap());
+        add_server(&shop, "a", "127.0.0.1:9".parse().unwrap());
         let ended = Rc::new(Cell::new(None));
         let give_up_at = shop.clock.now() + 5_000 * MS;
         let request = laurelroute_policy::interface::Request::new(0, give_up_at);
         let call = laurelroute_core::call::Call { request, give_up_at, label: Default::default() };
         let _claim = shop.submit(call, Rc::new(Stuck(ended.clone())));
         assert!(ended.get().is_none());
-        let asked = tokio::time::Instant::now();
+        let started = tokio::time::Instant::now();
         first.set_shutdown_deadline(first.clock.now() + 20 * MS);
         while ended.get().is_none() {
-            assert!(asked.elapsed() < Duration::from_secs(4), "it waits for its own time");
+            assert!(started.elapsed() < Duration::from_secs(4), "the request waits for its own deadline");
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
-        // Dropped, it comes to rest by itself.
+        // With its request answered, the timers of the gateway end by themselves.
         tokio::time::timeout(Duration::from_secs(20), shop.run_timers_until_idle()).await.unwrap();
         first.process.draining.set(true);
         assert!(first.for_service("late").unwrap().is_draining());
     });
 }
 
-/// Services by a script.
+/// A resolver whose results the test sets.
 #[derive(Default)]
-struct Script {
-    held: RefCell<Option<Rc<Gateway>>>,
+struct FakeResolver {
+    gateway: RefCell<Option<Rc<Gateway>>>,
     unknown: Cell<bool>,
-    full: Cell<bool>,
+    at_capacity: Cell<bool>,
     pins: Cell<i32>,
-    waiters: Cell<u32>,
-    news: Rc<Notify>,
+    change_waits: Cell<u32>,
+    changed: Rc<Notify>,
 }
 
-impl ServiceResolver for Script {
+impl ServiceResolver for FakeResolver {
     fn resolve(&self, _: &str) -> ServiceStatus {
-        match &*self.held.borrow() {
+        match &*self.gateway.borrow() {
             Some(gateway) => ServiceStatus::Available(gateway.clone()),
             None if self.unknown.get() => ServiceStatus::Unknown,
-            None if self.full.get() => ServiceStatus::AtCapacity,
+            None if self.at_capacity.get() => ServiceStatus::AtCapacity,
             None => ServiceStatus::Pending,
         }
     }
@@ -245,84 +245,84 @@
     }
 
     fn status_changed(&self, _: &str) -> Pin<Box<dyn Future<Output = ()>>> {
-        self.waiters.set(self.waiters.get() + 1);
-        let news = self.news.clone();
-        Box::pin(async move { news.notified().await })
+        self.change_waits.set(self.change_waits.get() + 1);
+        let changed = self.changed.clone();
+        Box::pin(async move { changed.notified().await })
     }
 }
 
 #[test]
-fn a_request_waits_for_its_service_and_no_longer_than_it_may() {
+fn a_request_waits_for_its_service_within_its_limits() {
     run(async {
-        let script = Rc::new(Script::default());
-        let services: Rc<dyn ServiceResolver> = script.clone();
+        let resolver = Rc::new(FakeResolver::default());
+        let services: Rc<dyn ServiceResolver> = resolver.clone();
         let clock = Clock::start();
-        let waits_here = WaiterCount::default();
-        let room = (&waits_here, 1);
+        let waiting = WaiterCount::default();
+        let limits = (&waiting, 1);
         let far = || clock.now() + 60_000 * MS;
         let routed = || ServiceRoute::new(&services, "shop".to_owned());
-        // In vain, and at once where no time is left.
-        let waits = routed().unwrap();
-        assert_eq!(script.pins.get(), 1);
+        // The service never arrives; the wait ends at once if no time is left.
+        let route = routed().unwrap();
+        assert_eq!(resolver.pins.get(), 1);
         assert_eq!(
-            waits.gateway(&clock, clock.now() + 10 * MS, room).await.err(),
+            route.gateway(&clock, clock.now() + 10 * MS, limits).await.err(),
             Some(RouteError::TimedOut)
         );
-        assert_eq!(waits.gateway(&clock, clock.now(), room).await.err(), Some(RouteError::TimedOut));
-        // One that leaves is not counted any longer.
+        assert_eq!(route.gateway(&clock, clock.now(), limits).await.err(), Some(RouteError::TimedOut));
+        // A request that stops waiting is no longer counted.
         {
-            let mut waiting = pin!(waits.gateway(&clock, far(), room));
-            assert!(tokio::time::timeout(Duration::from_millis(1), &mut waiting).await.is_err());
-            // Meanwhile there is no room for a second one to wait.
+            let mut wait = pin!(route.gateway(&clock, far(), limits));
+            assert!(tokio::time::timeout(Duration::from_millis(1), &mut wait).await.is_err());
+            // Meanwhile a second request may not wait.
             let second = routed().unwrap();
-            assert_eq!(second.gateway(&clock, far(), room).await.err(), Some(RouteError::TooManyWaiting));
+            assert_eq!(second.gateway(&clock, far(), limits).await.err(), Some(RouteError::TooManyWaiting));
         }
-        drop(waits);
-        assert_eq!(script.pins.get(), 0);
-        // News of others change nothing; its own ends the wait.
-        let waits = routed().unwrap();
-        let come = async {
-            script.news.notify_waiters();
+        drop(route);
+        assert_eq!(resolver.pins.get(), 0);
+        // A notification without a change does not end the wait; the arrival of the service does.
+        let route = routed().unwrap();
+        let arrive = async {
+            resolver.changed.notify_waiters();
             tokio::task::yield_now().await;
-            *script.held.borrow_mut() = Some(first(None));
-            script.news.notify_waiters();
+            *resolver.gateway.borrow_mut() = Some(first(None));
+            resolver.changed.notify_waiters();
         };
-        let (gateway, ()) = tokio::join!(waits.gateway(&clock, far(), room), come);
+        let (gateway, ()) = tokio::join!(route.gateway(&clock, far(), limits), arrive);
         assert!(gateway.is_ok_and(|(_, waited)| waited));
         assert!(
-            waits.gateway(&clock, 0, room).await.is_ok_and(|(_, waited)| !waited),
-            "held ones cost no wait"
+            route.gateway(&clock, 0, limits).await.is_ok_and(|(_, waited)| !waited),
+            "an available service needs no wait"
         );
-        drop(waits);
-        script.held.take();
-        // It turns out not to exist while somebody waits.
-        let waits = routed().unwrap();
-        let come = async {
-            script.unknown.set(true);
-            script.news.notify_waiters();
+        drop(route);
+        resolver.gateway.take();
+        // The service turns out not to exist while a request waits.
+        let route = routed().unwrap();
+        let arrive = async {
+            resolver.unknown.set(true);
+            resolver.changed.notify_waiters();
         };
-        let (unknown, ()) = tokio::join!(waits.gateway(&clock, far(), room), come);
+        let (unknown, ()) = tokio::join!(route.gateway(&clock, far(), limits), arrive);
         assert_eq!(unknown.err(), Some(RouteError::Unknown));
-        drop(waits);
+        drop(route);
         assert_eq!(routed().err(), Some(RouteError::Unknown));
-        script.unknown.set(false);
-        script.full.set(true);
+        resolver.unknown.set(false);
+        resolver.at_capacity.set(true);
         assert_eq!(routed().err(), Some(RouteError::AtCapacity));
-        assert_eq!(script.pins.get(), 0, "what is turned away pins nothing");
+        assert_eq!(resolver.pins.get(), 0, "refused requests hold no pin");
     });
 }
 
 #[test]
-fn a_wait_leaves_the_time_that_an_answer_takes() {
+fn a_wait_leaves_time_for_the_response() {
     let settings = Settings::single_class(300 * MS, 900 * MS);
     assert_eq!(wait_deadline(&settings, 0, 1_000 * MS), 900 * MS);
     assert_eq!(wait_deadline(&settings, 0, 50 * MS), 0, "too little is left to wait at all");
     assert_eq!(wait_deadline(&settings, 9, 50 * MS), 50 * MS);
 }
 
-/// 380,000 tenants in 300 services would be 4.6 GB.
+/// Guards against per-service counters of tenants: 380,000 tenants in 300 services would take 4.6 GB.
 #[test]
-fn a_service_counts_no_tenants_of_its_own() {
+fn a_service_has_no_tenant_counters_of_its_own() {
     let first = first_with(None, vec![5.0; 1_000]);
     let shop = first.for_service("shop").unwrap();
     assert_eq!(first.admission_rates()[1].len(), 1_000);
