--- a/crates/policy/src/balance.rs
+++ b/crates/policy/src/balance.rs
@@ -399,6 +399,7 @@
         self.zones[zone].ready = ready;
     }
 
+    /// Ranks this node's subset of the given servers of a zone: all ready ones, or those of one pool.
     fn rank_pool(&mut self, now: Nanos, zone: usize, servers: &[usize]) {
         let count = servers.len();
         let nodes = f64::from(self.settings.group_size) / self.zones.len() as f64;
@@ -563,6 +564,8 @@
         SCORE_DECAY_RAMPS * self.settings.ramp as f64
     }
 
+    /// What one request adds to a score now. It grows over time, which is cheaper than decaying all scores; on
+    /// overflow, all are rescaled.
     fn score_increment(&mut self, now: Nanos) -> f64 {
         let mut growth = (now.saturating_sub(self.score_epoch) as f64 / self.score_decay_time()).exp();
         if growth > 1e100 {
@@ -576,6 +579,7 @@
         growth
     }
 
+    /// Adds to a server's score and moves it to its new rank.
     fn add_score(&mut self, i: usize, by: f64) {
         self.servers[i].score += by;
         let Some(mut position) = self.servers[i].rank else { return };
@@ -688,6 +692,8 @@
         )
     }
 
+    /// Samples servers from both halves of a zone's ranking and returns the one of lowest cost; ties go to the
+    /// better rank.
     fn choose_in_zone(&mut self, now: Nanos, zone: usize, pending: &Pending) -> Option<Candidate> {
         let ranking = &self.zones.get(zone)?.ranking;
         let members = self.target_pool.map(|pool| {
@@ -786,6 +792,8 @@
 
     // ---- Health ----
 
+    /// Ejects a server after a failed connect, or if its failure rate exceeds the fleet's by too much. Repeated
+    /// ejections last longer.
     fn maybe_eject(&mut self, now: Nanos, i: usize, outcome: AttemptOutcome, sink: &mut Vec<Action>) {
         let zone = usize::from(self.servers[i].server.zone);
         if self.servers[i].ejected_until > now || self.servers[i].server.phase != Phase::Ready {
@@ -869,6 +877,7 @@
         limit.is_some_and(|&limit| self.exceeds(now, &self.class_rates[class], limit))
     }
 
+    /// Whether a rate exceeds a limit by more than random variation.
     fn exceeds(&self, now: Nanos, rate: &Rate, fair: f64) -> bool {
         // One of many nodes sees few of a tenant's requests: random variation alone must not exceed the
         // limit.
@@ -923,6 +932,7 @@
         }
     }
 
+    /// Handles the end of an attempt: updates statistics, then finishes or retries the request.
     fn on_attempt_end(
         &mut self,
         now: Nanos,
