--- a/crates/policy/src/balance.rs
+++ b/crates/policy/src/balance.rs
@@ -564,8 +564,8 @@
         SCORE_DECAY_RAMPS * self.settings.ramp as f64
     }
 
-    /// What one request adds to a score now. It grows over time, which is cheaper than decaying all scores; on
-    /// overflow, all are rescaled.
+    /// What one request adds to a score now. It grows over time, which is cheaper than decaying all scores;
+    /// on overflow, all are rescaled.
     fn score_increment(&mut self, now: Nanos) -> f64 {
         let mut growth = (now.saturating_sub(self.score_epoch) as f64 / self.score_decay_time()).exp();
         if growth > 1e100 {
@@ -692,8 +692,8 @@
         )
     }
 
-    /// Samples servers from both halves of a zone's ranking and returns the one of lowest cost; ties go to the
-    /// better rank.
+    /// Samples servers from both halves of a zone's ranking and returns the one of lowest cost; ties go to
+    /// the better rank.
     fn choose_in_zone(&mut self, now: Nanos, zone: usize, pending: &Pending) -> Option<Candidate> {
         let ranking = &self.zones.get(zone)?.ranking;
         let members = self.target_pool.map(|pool| {
@@ -792,8 +792,8 @@
 
     // ---- Health ----
 
-    /// Ejects a server after a failed connect, or if its failure rate exceeds the fleet's by too much. Repeated
-    /// ejections last longer.
+    /// Ejects a server after a failed connect, or if its failure rate exceeds the fleet's by too much.
+    /// Repeated ejections last longer.
     fn maybe_eject(&mut self, now: Nanos, i: usize, outcome: AttemptOutcome, sink: &mut Vec<Action>) {
         let zone = usize::from(self.servers[i].server.zone);
         if self.servers[i].ejected_until > now || self.servers[i].server.phase != Phase::Ready {
--- a/crates/policy/src/silence.rs
+++ b/crates/policy/src/silence.rs
@@ -1,11 +1,11 @@
 //! Time without a response at servers whose requests are cancelled before one arrives.
 //!
 //! A cancelled attempt is a censored observation: the response takes at least as long as it was waited for.
-//! If that were ignored, a server that never responds would look idle whenever its last request is cancelled, and
-//! attract the next one. The module tracks the time during which requests were in flight since the server's
-//! last response: concurrent attempts count once, and idle pauses do not count. It is used only to compare
-//! servers. Admission uses measured responses, so that clients with short timeouts do not cause requests of
-//! patient ones to be refused.
+//! If that were ignored, a server that never responds would look idle whenever its last request is
+//! cancelled, and attract the next one. The module tracks the time during which requests were in flight
+//! since the server's last response: concurrent attempts count once, and idle pauses do not count. It is
+//! used only to compare servers. Admission uses measured responses, so that clients with short timeouts do
+//! not cause requests of patient ones to be refused.
 
 use super::*;
 
