--- a/crates/handover/src/bans.rs
+++ b/crates/handover/src/bans.rs
@@ -41,8 +41,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct Bans {
     records: BTreeMap<String, BanRecord>,
-    /// When records of other processes were received, by this process's clock. The sender's clock may have been off, even
-    /// by an hour, and a record cannot have been made after it was received.
+    /// When records of other processes were received, by this process's clock. The sender's clock may have been off,
+    /// even by an hour, and a record cannot have been made after it was received.
     received_at: BTreeMap<String, Nanos>,
 }
 
@@ -124,8 +124,8 @@
 
     /// Applies the server's record to its entry in the discovery list.
     ///
-    /// A banned server drains. A restored one has most likely been restarted, and the list, which is seconds late, may not
-    /// show it yet: it counts as started when it was restored, unless the list has a start after the ban.
+    /// A banned server drains. A restored one has most likely been restarted, and the list, which is seconds late, may
+    /// not show it yet: it counts as started when it was restored, unless the list has a start after the ban.
     pub fn overlay(&self, host: &str, listed: Server) -> Server {
         match self.records.get(host) {
             Some(record) if record.banned && listed.phase == Phase::Ready => {
--- a/crates/handover/src/message.rs
+++ b/crates/handover/src/message.rs
@@ -32,7 +32,8 @@
     IdleQueue,
 }
 
-/// A part of what the old process's balancer has learned ([`LearnedState`]): all general figures, and some of the servers.
+/// A part of what the old process's balancer has learned ([`LearnedState`]): all general figures, and some of the
+/// servers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LearnedStateChunk {
     rate: f64,
@@ -92,8 +93,8 @@
         #[serde(rename = "beats", default)]
         sends_heartbeats: bool,
     },
-    /// The old process offers its sockets, which are the packet's descriptors in the same order, and an initial quota of
-    /// descriptors.
+    /// The old process offers its sockets, which are the packet's descriptors in the same order, and an initial quota
+    /// of descriptors.
     Offer {
         /// The sender's [`VERSION`].
         version: u32,
--- a/crates/handover/src/states.rs
+++ b/crates/handover/src/states.rs
@@ -158,8 +158,8 @@
         }
     }
 
-    /// To be called periodically: grants descriptors that this process no longer holds to the new one, and accepts again
-    /// where the new process has been silent for too long.
+    /// To be called periodically: grants descriptors that this process no longer holds to the new one, and accepts
+    /// again where the new process has been silent for too long.
     pub fn tick(&mut self, now: Nanos, held: usize) -> Vec<Effect> {
         let last_tick = self.last_tick.replace(now).unwrap_or(now);
         let elapsed = now.saturating_sub(last_tick).min(MAX_SILENCE_PER_TICK);
@@ -245,8 +245,8 @@
     base_limit: isize,
 }
 
-/// The most descriptors that the new process holds after a heartbeat that reported `held` descriptors and `received` idle
-/// connections, without any idle connections: the old process counts these itself as it puts them into the queue.
+/// The most descriptors that the new process holds after a heartbeat that reported `held` descriptors and `received`
+/// idle connections, without any idle connections: the old process counts these itself as it puts them into the queue.
 /// [`limit_with_connections`] adds them.
 fn base_limit(total: usize, held: usize, received: usize) -> isize {
     share::max_held_after_heartbeat(total, held) as isize - received as isize
@@ -316,8 +316,8 @@
         self.update_effective_quota().into_iter().collect()
     }
 
-    /// Limits the quota to what the old process assumes at least. The old process may have received any of the heartbeats
-    /// from the last answered one on, so the lowest of their limits counts.
+    /// Limits the quota to what the old process assumes at least. The old process may have received any of the
+    /// heartbeats from the last answered one on, so the lowest of their limits counts.
     fn update_effective_quota(&mut self) -> Option<Effect> {
         let effective = match self.peer_sends_heartbeats {
             true => {
@@ -351,8 +351,8 @@
         effects
     }
 
-    /// Gives up the quota once its lease has expired: after a pause of this process, or of the old one's answers, the old
-    /// process may have reclaimed all descriptors that this one does not hold.
+    /// Gives up the quota once its lease has expired: after a pause of this process, or of the old one's answers, the
+    /// old process may have reclaimed all descriptors that this one does not hold.
     fn expire_lease(&mut self, now: Nanos, held: usize) -> Vec<Effect> {
         if !self.peer_sends_heartbeats || now.saturating_sub(self.answered_sent_at) <= QUOTA_LEASE {
             return Vec::new();
--- a/crates/handover/tests/ledger.rs
+++ b/crates/handover/tests/ledger.rs
@@ -61,8 +61,8 @@
     });
 }
 
-/// Two processes replace the file, each with its own records merged into those that it read. Once both know each other's
-/// records the file has all of them, in whatever order they wrote.
+/// Two processes replace the file, each with its own records merged into those that it read. Once both know each
+/// other's records the file has all of them, in whatever order they wrote.
 #[test]
 fn concurrent_writers_lose_no_record() {
     let step = (0u8..4, any::<bool>(), any::<bool>());
@@ -77,12 +77,17 @@
                 bans.merge(decode(previous).unwrap());
                 encode(bans.records())
             };
-            let record = if ban { sides[own].detach(&host, time as u64).unwrap() } else { sides[own].attach(&host, time as u64) };
+            let record = if ban {
+                sides[own].detach(&host, time as u64).unwrap()
+            } else {
+                sides[own].attach(&host, time as u64)
+            };
             file = write(&mut sides[own], &previous);
             if stale_write {
                 file = write(&mut sides[other], &previous);
             }
-            // The other process receives the record and writes before it acknowledges: only then is the operator answered.
+            // The other process receives the record and writes before it acknowledges: only then is the operator
+            // answered.
             sides[other].merge(record);
             let current = file.clone();
             file = write(&mut sides[other], &current);
--- a/crates/handover/tests/states.rs
+++ b/crates/handover/tests/states.rs
@@ -181,7 +181,8 @@
     assert!(!old.in_fallback());
 }
 
-/// An old process that was itself stopped reads the messages that came meanwhile before it takes the new one for silent.
+/// An old process that was itself stopped reads the messages that came meanwhile before it takes the new one for
+/// silent.
 #[test]
 fn a_stopped_old_process_does_not_take_the_new_one_for_silent() {
     let (mut old, _) = pair(400, 100, 0);
@@ -225,11 +226,13 @@
     }
 }
 
-/// Pauses of either process and delays in either direction are drawn, while each side opens as many connections as it may or
-/// closes some, and the old process gives idle connections to the new one: what both hold never exceeds the total.
+/// Pauses of either process and delays in either direction are drawn, while each side opens as many connections as it
+/// may or closes some, and the old process gives idle connections to the new one: what both hold never exceeds the
+/// total.
 #[test]
 fn descriptors_held_never_exceed_the_total_through_pauses_and_bursts() {
-    // The paused process, the directions that hold messages back, the number of steps of 5 ms, and the processes in a burst.
+    // The paused process, the directions that hold messages back, the number of steps of 5 ms, and the processes in a
+    // burst.
     let step = (0u8..3, 0u8..4, 1u8..60, 0u8..4, 0usize..40);
     let steps = prop::collection::vec(step, 1..30);
     let config = ProptestConfig { cases: 2_000, ..ProptestConfig::default() };
@@ -245,7 +248,8 @@
             for _ in 0..duration {
                 now += 5 * MS;
                 if paused != 1 {
-                    let delivered = if blocked & 1 == 0 { std::mem::take(&mut new_side.outbox) } else { Vec::new() };
+                    let delivered =
+                        if blocked & 1 == 0 { std::mem::take(&mut new_side.outbox) } else { Vec::new() };
                     for message in delivered {
                         old_side.apply(old.handle(message, old_side.held));
                     }
@@ -269,7 +273,8 @@
                     let effects = new.connections_received(queued);
                     new_side.held += std::mem::take(&mut queued);
                     new_side.apply(effects);
-                    let delivered = if blocked & 2 == 0 { std::mem::take(&mut old_side.outbox) } else { Vec::new() };
+                    let delivered =
+                        if blocked & 2 == 0 { std::mem::take(&mut old_side.outbox) } else { Vec::new() };
                     for message in delivered {
                         new_side.apply(new.handle(message, now, new_side.held));
                     }
@@ -314,8 +319,8 @@
     assert_eq!(new.connections_received(7), vec![Effect::SetQuota(limit(97))]);
 }
 
-/// Guards against a new process that receives more idle connections than its quota has room for, and closes some of them
-/// to make room for others.
+/// Guards against a new process that receives more idle connections than its quota has room for, and closes some of
+/// them to make room for others.
 #[test]
 fn received_connections_raise_the_quota() {
     let (_, mut new) = pair(400, 50, 0);
@@ -335,7 +340,8 @@
         let mut sent = [Vec::new(), Vec::new()];
         for (host, ban, side, at) in calls {
             let (host, side) = (format!("s{host}"), usize::from(side));
-            let record = if ban { sides[side].detach(&host, at).unwrap() } else { sides[side].attach(&host, at) };
+            let record =
+                if ban { sides[side].detach(&host, at).unwrap() } else { sides[side].attach(&host, at) };
             sent[side].extend(record);
         }
         for (from, to) in [(0, 1), (1, 0)] {
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -17,9 +17,11 @@
 const IDLE_TIMEOUT: Nanos = 2_000_000_000;
 /// A connection that has not yet sent anything is closed after this when more than half of the client slots are taken.
 const FIRST_REQUEST_TIMEOUT_CROWDED: Nanos = 150_000_000;
+/// A connection whose head is incomplete is closed after this.
 const HEAD_TIMEOUT: Nanos = 2_500_000_000;
 /// The first head of a connection has to be complete within this time from the connection's opening.
 const FIRST_HEAD_TIMEOUT: Nanos = 2_750_000_000;
+/// A connection is closed when its response has made no progress for this long.
 const WRITE_STALL_TIMEOUT: Nanos = 3_000_000_000;
 /// A connection that has stalled within a head for this long may be closed to make room for others. Honest slow clients
 /// go on writing; those that pause for longer are harmed, but only where no other slot is left.
@@ -74,6 +76,7 @@
     close_after_response: Cell<bool>,
     /// How the connection is to be closed; until then it holds its descriptor.
     close_mode: Cell<Option<CloseMode>>,
+    /// Notified when `close_mode` is set.
     close_notify: Notify,
     _slot: ClientSlot,
 }
--- a/crates/http/src/front.rs
+++ b/crates/http/src/front.rs
@@ -63,9 +63,11 @@
     next_id: Cell<u64>,
     /// The number of connections with a request in flight.
     in_flight: Cell<usize>,
+    /// Notified when a connection has closed.
     closed: Notify,
     /// Idle connections are being handed over to another process of the node.
     handing_over: Cell<bool>,
+    /// Notified when a connection becomes idle during a hand-over.
     idle_notify: Notify,
 }
 
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 on both sides of the core: [`front`] takes clients' requests, [`upstream`] carries attempts to servers.
+//! HTTP/1.1 on both sides of the core: [`front`] serves clients, [`upstream`] sends attempts to servers.
 
 pub mod body;
 mod client;
--- a/crates/http/src/socket.rs
+++ b/crates/http/src/socket.rs
@@ -68,12 +68,16 @@
 #[derive(Clone, Copy, Debug)]
 struct RequestFraming {
     state: FramingState,
+    /// The beginning of the current line.
     line: [u8; MAX_FRAMING_LINE_BYTES],
+    /// The length of the current line, which may exceed `line`.
     line_length: usize,
     /// Complete heads so far.
     heads_read: u32,
+    /// Content-Length fields in the current head.
     content_lengths: u32,
     content_length: Option<u64>,
+    /// The current head has a Transfer-Encoding field.
     chunked: bool,
     /// The first head whose framing is ambiguous, counted from 1.
     ambiguous_head: Option<u32>,
--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -38,6 +38,7 @@
 /// the final one, so a head is given more time than a body. This harms servers that write bodies bit by bit with
 /// pauses, which PROTOCOL does not have.
 const HEAD_STALL_TIMEOUT: Duration = Duration::from_millis(1000);
+/// How long a body may make no progress before its response has begun to the client.
 const BODY_STALL_TIMEOUT: Duration = Duration::from_millis(800);
 /// A streamed response is given longer: once it has begun to its client, no other can replace it.
 const STREAM_STALL_TIMEOUT: Duration = Duration::from_millis(2_500);
@@ -91,7 +92,7 @@
     }
 }
 
-/// An upstream connection with hyper's two halves. No task drives it: whoever uses it does.
+/// An upstream connection with hyper's two halves. No task drives it: its user does.
 struct UpstreamConnection {
     socket: Rc<Socket>,
     sender: SendRequest<MessageBody>,
