--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -75,11 +75,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RetryPolicy {
     /// The effect of repeating the request.
-    pub effect: Idempotency,
+    pub idempotency: Idempotency,
     /// The group of servers that deduplicates repeats of a keyed request.
-    pub group: DedupGroup,
+    pub dedup_group: DedupGroup,
     /// How long servers deduplicate repeats.
-    pub window: Nanos,
+    pub dedup_window: Nanos,
     /// Whether two attempts of a request may be in flight at once.
     pub hedging: bool,
 }
@@ -95,14 +95,14 @@
         return Err(Denied::SecondCopy);
     }
     let mut ran = earlier.filter(PriorAttempt::may_have_run);
-    match policy.effect {
+    match policy.idempotency {
         Idempotency::Safe => Ok(()),
         Idempotency::Unsafe => ran.next().map_or(Ok(()), |_| Err(Denied::MayHaveRun)),
         Idempotency::Keyed => ran.try_for_each(|e| {
-            if now >= e.sent_at.saturating_add(policy.window) {
+            if now >= e.sent_at.saturating_add(policy.dedup_window) {
                 return Err(Denied::WindowOver);
             }
-            same_group(policy.group, e.locality, locality).then_some(()).ok_or(Denied::OtherGroup)
+            same_group(policy.dedup_group, e.locality, locality).then_some(()).ok_or(Denied::OtherGroup)
         }),
     }
 }
@@ -122,9 +122,9 @@
     policy: &RetryPolicy,
     mut earlier: impl Iterator<Item = PriorAttempt>,
 ) -> Result<(), Denied> {
-    let harmless = match policy.effect {
+    let harmless = match policy.idempotency {
         Idempotency::Safe => true,
-        Idempotency::Keyed if policy.group == DedupGroup::All => true,
+        Idempotency::Keyed if policy.dedup_group == DedupGroup::All => true,
         Idempotency::Keyed | Idempotency::Unsafe => !earlier.any(|e| e.may_have_run()),
     };
     harmless.then_some(()).ok_or(Denied::MayHaveRun)
--- a/crates/core/src/gateway.rs
+++ b/crates/core/src/gateway.rs
@@ -30,11 +30,11 @@
 use tokio::task::AbortHandle;
 
 mod attempt;
-mod claim;
+mod pending_request;
 mod permits;
 
 pub use attempt::Attempt;
-pub use claim::PendingRequest;
+pub use pending_request::PendingRequest;
 
 /// How long an abandoned attempt may continue, so that its connection can be reused. Closing the connection would cost
 /// the server a new handshake without stopping the work there.
@@ -733,11 +733,11 @@
         let mut actions = Vec::new();
         state.balancer.handle(self.clock.now(), event, &mut actions);
         for action in actions {
-            self.carry_out(state, action);
+            self.execute(state, action);
         }
     }
 
-    fn carry_out(self: &Rc<Self>, state: &mut State, action: Action) {
+    fn execute(self: &Rc<Self>, state: &mut State, action: Action) {
         match action {
             Action::Send { request, server, timeout } => self.send(state, request, server, timeout),
             Action::Refuse { request, retry_after } => {
--- a/crates/core/src/gateway/permits.rs
+++ b/crates/core/src/gateway/permits.rs
@@ -24,15 +24,15 @@
     /// Until when the request may be sent. A keyed request that may have run is sent again only within the
     /// deduplication window, which starts when the earlier attempt was sent.
     pub(super) fn send_by(&self, entry: &RequestState) -> Nanos {
-        let Some(policy) = self.retry_policy(entry).filter(|p| p.effect == Idempotency::Keyed) else {
+        let Some(policy) = self.retry_policy(entry).filter(|p| p.idempotency == Idempotency::Keyed) else {
             return Nanos::MAX;
         };
         let ran = entry.earlier().filter(|e| e.ending.is_some_and(|ending| !ending.never_ran()));
-        ran.map(|e| e.sent_at.saturating_add(policy.window)).min().unwrap_or(Nanos::MAX)
+        ran.map(|e| e.sent_at.saturating_add(policy.dedup_window)).min().unwrap_or(Nanos::MAX)
     }
 
     pub(super) fn may_refuse(&self, state: &State, request: RequestId) -> Result<(), Denied> {
-        let Some(entry) = state.in_flight.get(&request).filter(|l| l.awaiting_response) else {
+        let Some(entry) = state.in_flight.get(&request).filter(|entry| entry.awaiting_response) else {
             return Ok(());
         };
         let Some(policy) = self.retry_policy(entry) else { return Ok(()) };
@@ -43,9 +43,9 @@
         let settings = &self.config.settings;
         let class = settings.classes.get(usize::from(entry.request.class))?;
         Some(RetryPolicy {
-            effect: class.idempotency,
-            group: class.dedup_group,
-            window: class.dedup_window,
+            idempotency: class.idempotency,
+            dedup_group: class.dedup_group,
+            dedup_window: class.dedup_window,
             hedging: settings.hedging,
         })
     }
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -142,7 +142,7 @@
     }
 }
 
-/// How long a request of a class may wait for its service if its own deadline is `give_up_at`.
+/// The time until which a request of a class with the deadline `give_up_at` may wait for its service.
 pub fn wait_deadline(settings: &Settings, class: usize, give_up_at: Nanos) -> Nanos {
     let response_time = settings.classes.get(class).map_or(0, |c| c.latency_target / FIRST_RESPONSE_DIVISOR);
     give_up_at.saturating_sub(response_time)
--- a/crates/core/tests/dispatch.rs
+++ b/crates/core/tests/dispatch.rs
@@ -7,8 +7,8 @@
 const CELL_2: Locality = Locality { zone: 1, cell: 2 };
 const CELL_3: Locality = Locality { zone: 1, cell: 3 };
 
-fn policy(effect: Idempotency, group: DedupGroup) -> RetryPolicy {
-    RetryPolicy { effect, group, window: 1_000, hedging: true }
+fn policy(idempotency: Idempotency, dedup_group: DedupGroup) -> RetryPolicy {
+    RetryPolicy { idempotency, dedup_group, dedup_window: 1_000, hedging: true }
 }
 
 fn earlier(ending: Option<AttemptOutcome>) -> PriorAttempt {
--- a/crates/core/tests/services.rs
+++ b/crates/core/tests/services.rs
@@ -28,12 +28,12 @@
     LocalSet::new().block_on(&runtime, test);
 }
 
-fn first(max_connections_per_server: Option<u32>) -> Rc<Gateway> {
-    first_with(max_connections_per_server, Vec::new())
+fn new_gateway(max_connections_per_server: Option<u32>) -> Rc<Gateway> {
+    new_gateway_with(max_connections_per_server, Vec::new())
 }
 
-fn first_with(max_connections_per_server: Option<u32>, tenant_quota: Vec<f64>) -> Rc<Gateway> {
-    let site = GatewayConfig {
+fn new_gateway_with(max_connections_per_server: Option<u32>, tenant_quota: Vec<f64>) -> Rc<Gateway> {
+    let config = GatewayConfig {
         settings: Settings { tenant_quota, ..Settings::single_class(3_000 * MS, 5_000 * MS) },
         seed: 1,
         max_descriptors: 256,
@@ -45,8 +45,8 @@
         classes: vec!["read".into()],
         tenants: Default::default(),
     };
-    let (calls, _) = mpsc::unbounded_channel();
-    let gateway = Gateway::new(site, calls).unwrap();
+    let (list_requests, _) = mpsc::unbounded_channel();
+    let gateway = Gateway::new(config, list_requests).unwrap();
     gateway.enable_services();
     gateway
 }
@@ -82,7 +82,7 @@
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let at = listener.local_addr().unwrap();
-        let first = first(Some(2));
+        let first = new_gateway(Some(2));
         let [shop, stock] = ["shop", "stock"].map(|name| first.for_service(name).unwrap());
         add_server(&shop, "a", at);
         add_server(&stock, "a", at);
@@ -115,7 +115,7 @@
 fn operator_commands_on_a_server_apply_to_all_its_services() {
     run(async {
         let at = "127.0.0.1:9".parse().unwrap();
-        let first = first(None);
+        let first = new_gateway(None);
         let shop = first.for_service("shop").unwrap();
         assert!(first.detach("a").is_err(), "no service has it");
         add_server(&shop, "a", at);
@@ -155,7 +155,7 @@
 #[test]
 fn an_idle_service_wakes_no_task() {
     run(async {
-        let first = first(None);
+        let first = new_gateway(None);
         let polls = Rc::new(Cell::new(0));
         for k in 0..300 {
             let gateway = first.for_service(&format!("s{k}")).unwrap();
@@ -192,7 +192,7 @@
 #[test]
 fn the_shutdown_deadline_applies_to_the_requests_of_all_services() {
     run(async {
-        let first = first(None);
+        let first = new_gateway(None);
         let shop = first.for_service("shop").unwrap();
         spawn_local(shop.clone().run_timers());
         add_server(&shop, "a", "127.0.0.1:9".parse().unwrap());
@@ -284,7 +284,7 @@
         let arrive = async {
             resolver.changed.notify_waiters();
             tokio::task::yield_now().await;
-            *resolver.gateway.borrow_mut() = Some(first(None));
+            *resolver.gateway.borrow_mut() = Some(new_gateway(None));
             resolver.changed.notify_waiters();
         };
         let (gateway, ()) = tokio::join!(route.gateway(&clock, far(), limits), arrive);
@@ -323,7 +323,7 @@
 /// Guards against per-service counters of tenants: 380,000 tenants in 300 services would take 4.6 GB.
 #[test]
 fn a_service_has_no_tenant_counters_of_its_own() {
-    let first = first_with(None, vec![5.0; 1_000]);
+    let first = new_gateway_with(None, vec![5.0; 1_000]);
     let shop = first.for_service("shop").unwrap();
     assert_eq!(first.admission_rates()[1].len(), 1_000);
     assert_eq!(shop.admission_rates()[1].len(), 0);
