--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -75,13 +75,17 @@
     service: Vec<String>,
     #[serde(default, deserialize_with = "names")]
     services: Vec<String>,
+    /// Zone name.
     #[serde(default)]
     site: Option<String>,
+    /// Machine type.
     #[serde(default)]
     class: Option<String>,
+    /// Cell that the server belongs to.
     #[serde(default)]
     block: Option<u16>,
     health: Health,
+    /// Relative size of the server.
     #[serde(default)]
     share: Option<f32>,
     #[serde(default)]
@@ -378,6 +382,7 @@
         self.handle_list(bytes)
     }
 
+    /// Requests the full list.
     async fn full_list(&self) -> Result<Bytes, WatchError> {
         let body = self.get("/discovery/hosts".to_owned()).await?;
         let limited_body = http_body_util::Limited::new(body, self.max_line_bytes());
@@ -429,6 +434,7 @@
         self.address.clone()
     }
 
+    /// Opens a watch from the version held and handles its lines until it ends.
     async fn read_watch(&mut self) -> Result<(), WatchError> {
         let mut path = "/discovery/hosts?follow=1".to_owned();
         let address = *self.address.borrow();
@@ -500,6 +506,7 @@
         Ok(())
     }
 
+    /// Converts a list's servers to entries and passes them to the sink.
     fn publish(&self, kind: ListKind, list: HostList) {
         // All names that the settings do not list share one index after those that they do.
         let index_of = |names: &[String], name: &Option<String>| {
@@ -516,7 +523,7 @@
             Box::new(attributes)
         };
         let entry = |mut host: Host| ServerEntry {
-            addresses: self.dials(&host),
+            addresses: self.addresses(&host),
             attributes: (self.with_attributes || self.with_services).then(|| collect_attributes(&mut host)),
             host: host.host,
             server: Server {
@@ -537,7 +544,7 @@
     }
 
     /// A server's addresses by protocol: HTTP, and Thrift if this node uses it.
-    fn dials(&self, host: &Host) -> Addresses {
+    fn addresses(&self, host: &Host) -> Addresses {
         match self.thrift {
             None => vec![Some(host.dial)],
             Some(port) => {
@@ -547,6 +554,7 @@
         }
     }
 
+    /// Sends a GET request and returns the body of a 200 response.
     async fn get(&self, path: String) -> Result<Incoming, WatchError> {
         let address = *self.address.borrow();
         let stream = match timeout(CONNECT_TIMEOUT, connect_with_retry(address)).await {
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -159,7 +159,7 @@
         !config.gateway.settings.must_subscribe,
         config.cached_list.as_ref().is_some_and(|list| !list.hosts.is_empty()),
     );
-    let (list_requests, calls) = mpsc::unbounded_channel();
+    let (list_requests, list_request_receiver) = mpsc::unbounded_channel();
     let gateway = Gateway::new(config.gateway.clone(), list_requests)?;
     if let Some(shift) = &site.shift {
         crate::shift::start(&gateway, &config, shift)?;
@@ -206,30 +206,31 @@
         Some(_) if routing.is_some() => {}
         Some(role) => role.start(&gateway, &config, &site, discovery.subscribe()),
         None if push => drop(spawn_local(standalone_watcher().follow())),
-        None => drop(spawn_local(standalone_watcher().serve_calls(calls))),
+        None => drop(spawn_local(standalone_watcher().serve_calls(list_request_receiver))),
     }
     spawn_local(gateway.clone().run_timers());
     let clients = Clients::routed(gateway.clone(), routing);
-    let make_room: EvictClient = {
+    let evict_client: EvictClient = {
         let (clients, front) = (clients.clone(), front.clone());
-        Rc::new(move |need| {
-            let make_on_any =
-                |need| clients.make_room(need) || front.as_ref().is_some_and(|f| f.make_room(need));
+        Rc::new(move |demand| {
+            let evict_on_any_protocol =
+                |demand| clients.make_room(demand) || front.as_ref().is_some_and(|f| f.make_room(demand));
             // Connections that are cheap to close, of either protocol, are closed first.
-            let _ = make_on_any(SlotDemand::Upcoming) || need != SlotDemand::Upcoming && make_on_any(need);
+            let _ = evict_on_any_protocol(SlotDemand::Upcoming)
+                || demand != SlotDemand::Upcoming && evict_on_any_protocol(demand);
         })
     };
-    let take: AcceptFn = {
+    let accept_clients: AcceptFn = {
         let (gateway, clients, front) = (gateway.clone(), clients.clone(), front.clone());
         let accept_state = takeover.gate();
         Box::new(move |kind, listener| {
-            let (budget, make_room, accept_state) =
-                (gateway.budget.clone(), make_room.clone(), accept_state.clone());
+            let (budget, evict_client, accept_state) =
+                (gateway.budget.clone(), evict_client.clone(), accept_state.clone());
             match (kind, &front) {
                 (SocketKind::Thrift, Some(front)) => {
-                    spawn_local(accept(front.clone(), budget, make_room, listener, accept_state))
+                    spawn_local(accept(front.clone(), budget, evict_client, listener, accept_state))
                 }
-                _ => spawn_local(accept(clients.clone(), budget, make_room, listener, accept_state)),
+                _ => spawn_local(accept(clients.clone(), budget, evict_client, listener, accept_state)),
             }
         })
     };
@@ -245,8 +246,14 @@
             ManagementServer::new(gateway.clone(), takeover.clone(), ledger.clone(), member).accept(listener),
         );
     }
-    let serving =
-        takeover.clone().serve(gateway.clone(), clients.clone(), take, listeners, predecessor, config.listen);
+    let serving = takeover.clone().serve(
+        gateway.clone(),
+        clients.clone(),
+        accept_clients,
+        listeners,
+        predecessor,
+        config.listen,
+    );
     spawn_local(serving);
     spawn_local(sweep(gateway.clone(), clients.clone(), front.clone()));
     spawn_local(reload(config, discovery, hangup));
