--- a/crates/channel/src/subscription.rs
+++ b/crates/channel/src/subscription.rs
@@ -98,7 +98,7 @@
     pub subscriber: &'a RefCell<Subscriber>,
     /// The time, in the subscriber's count.
     pub now: &'a dyn Fn() -> Nanos,
-    /// To be notified (`notify_one`) after `Subscriber::want` has answered `Waiting`: it is said at once.
+    /// To be notified (`notify_one`) after `Subscriber::lookup` has answered `Waiting`: it is said at once.
     pub wanted: &'a Notify,
     /// Called after anything that may have changed what is held: `Subscriber::changes` is to be taken.
     pub changed: &'a dyn Fn(),
@@ -144,7 +144,7 @@
                 _ = of(&mut parting) => parting = None,
                 ended = of(&mut session) => {
                     session = None;
-                    self.subscriber.borrow_mut().lost((self.now)(), place);
+                    self.subscriber.borrow_mut().connection_lost((self.now)(), place);
                     if let Err(error) = ended {
                         (self.noted)(place, Err(&error));
                     }
@@ -170,8 +170,8 @@
                             );
                             let mut subscriber = self.subscriber.borrow_mut();
                             match crowded {
-                                true => subscriber.crowded((self.now)(), to),
-                                false => subscriber.failed((self.now)(), to),
+                                true => subscriber.planner_at_capacity((self.now)(), to),
+                                false => subscriber.connect_failed((self.now)(), to),
                             }
                             drop(subscriber);
                             (self.noted)(to, Err(&error));
@@ -221,7 +221,7 @@
         };
         if ended.is_ok() {
             let last = async {
-                frames::write(&mut writer, Body::Subscribe(Subscriber::last_word())).await?;
+                frames::write(&mut writer, Body::Subscribe(Subscriber::leave_message())).await?;
                 Ok::<_, FrameError>(writer.shutdown().await?)
             };
             timeout(PART, last).await.map_err(late)??;
@@ -236,7 +236,7 @@
         answers: mpsc::Sender<Acknowledge>,
     ) -> Ended {
         loop {
-            let silence = Duration::from_nanos(subscriber::SILENCE);
+            let silence = Duration::from_nanos(subscriber::PLANNER_SILENCE_TIMEOUT);
             let update = match timeout(silence, frames::read(reader)).await.map_err(late)?? {
                 Some(Body::Update(update)) => update,
                 Some(Body::Refusal(refusal)) => return Err(told(refusal)),
@@ -352,9 +352,9 @@
         self.publishing.with(|publisher, now| {
             // Where another process of the same forwarder is there, this one does not lag: it has gone.
             if others {
-                let _ = publisher.subscribe(now, &self.name, &Subscriber::last_word());
+                let _ = publisher.subscribe(now, &self.name, &Subscriber::leave_message());
             }
-            publisher.left(now, &self.name);
+            publisher.forwarder_disconnected(now, &self.name);
         });
     }
 }
@@ -377,7 +377,7 @@
         let (done, stirred) = {
             let mut publisher = self.publisher.borrow_mut();
             let done = f(&mut publisher, (self.now)());
-            (done, publisher.stirred())
+            (done, publisher.take_ready_forwarders())
         };
         let seats = self.seats.borrow();
         for name in stirred {
@@ -452,7 +452,7 @@
         };
         let zone = peer.zone.min(255) as u8;
         let joined = self.place(peer).and_then(|name| {
-            let joined = self.with(|publisher, now| publisher.joined(now, &name, zone));
+            let joined = self.with(|publisher, now| publisher.forwarder_connected(now, &name, zone));
             if joined.is_err() && !self.seats.borrow().contains_key(&name) {
                 self.forget(peer);
             }
@@ -534,8 +534,10 @@
                 let now = (self.now)();
                 let update = self.publisher.borrow_mut().next_update(now, name)?;
                 let Some(update) = update else {
-                    let wake_at = self.publisher.borrow().wake_at(now, name);
-                    break wake_at.saturating_sub(now).clamp(LEAST_PAUSE, subscriber::SILENCE);
+                    let wake_at = self.publisher.borrow().next_wakeup(now, name);
+                    break wake_at
+                        .saturating_sub(now)
+                        .clamp(LEAST_PAUSE, subscriber::PLANNER_SILENCE_TIMEOUT);
                 };
                 told |= update.number > 0;
                 timeout(WRITE, frames::write(writer, Body::Update(update))).await.map_err(late)??;
--- a/crates/channel/tests/subscription.rs
+++ b/crates/channel/tests/subscription.rs
@@ -4,8 +4,8 @@
 use laurelroute_channel::hello::{self, HelloError, Identity};
 use laurelroute_channel::subscription::{Publishing, SessionError, Subscribing, STARTING};
 use laurelroute_plan::member::Member;
-use laurelroute_plan::services::publisher::{self, Listed, Publisher};
-use laurelroute_plan::services::subscriber::{self, Change, Standing, Subscriber};
+use laurelroute_plan::services::publisher::{self, ListedServer, Publisher};
+use laurelroute_plan::services::subscriber::{self, Change, ServiceStatus, Subscriber};
 use laurelroute_plan::wire::{Body, Hello, Refusal, Role};
 use laurelroute_policy::interface::{Nanos, Phase};
 use std::cell::{Cell, RefCell};
@@ -51,13 +51,13 @@
 }
 
 impl Planner {
-    fn new(now: &Rc<dyn Fn() -> Nanos>, name: &str, most_forwarders: usize) -> Rc<Self> {
+    fn new(now: &Rc<dyn Fn() -> Nanos>, name: &str, max_forwarders: usize) -> Rc<Self> {
         let life = now() / 1_000_000;
         let settings = publisher::Settings {
             site: SITE.into(),
-            life,
+            incarnation: life,
             planners: 2,
-            most_forwarders,
+            max_forwarders,
             bytes_per_second: 7_000.0,
             burst: 36_000.0,
             drain_bytes_per_second: 1_500.0,
@@ -77,8 +77,8 @@
         planner
     }
 
-    fn list(&self, version: u64, whole: bool, entries: Vec<Listed>) {
-        let dropped = self.publishing.with(|p, now| p.list(now, version, whole, entries));
+    fn list(&self, version: u64, whole: bool, entries: Vec<ListedServer>) {
+        let dropped = self.publishing.with(|p, now| p.apply_list(now, version, whole, entries));
         assert_eq!(dropped, publisher::Dropped::default());
     }
 
@@ -103,7 +103,7 @@
     }
 
     fn forwarders(&self) -> usize {
-        self.publishing.with(|p, _| p.figures().forwarders)
+        self.publishing.with(|p, _| p.stats().forwarders)
     }
 }
 
@@ -130,14 +130,14 @@
             name: name.into(),
             site: SITE.into(),
             planners: planners.iter().map(|p| p.identity.name.clone()).collect(),
-            most_services: 100,
-            most_bytes: 1 << 20,
-            unused_after: 600_000_000_000,
-            unknown_for: 10_000_000_000,
+            max_services: 100,
+            max_bytes: 1 << 20,
+            unused_timeout: 600_000_000_000,
+            unknown_ttl: 10_000_000_000,
             bytes_per_second: 1_500.0,
             burst: 8_000.0,
-            takes_per_second: 7_000.0,
-            takes_burst: 36_000.0,
+            receive_bytes_per_second: 7_000.0,
+            receive_burst: 36_000.0,
             seed: 7,
         };
         let forwarder = Rc::new(Forwarder {
@@ -172,8 +172,8 @@
         (forwarder, task.abort_handle())
     }
 
-    fn want(&self, service: &str) -> Standing {
-        let standing = self.subscriber.borrow_mut().want((self.now)(), service);
+    fn want(&self, service: &str) -> ServiceStatus {
+        let standing = self.subscriber.borrow_mut().lookup((self.now)(), service);
         self.wanted.notify_one();
         standing
     }
@@ -191,11 +191,11 @@
     }
 }
 
-fn listed(service: &str, name: &str, phase: Phase) -> Listed {
-    Listed { services: vec![service.into()], member: Member::warm(name).in_phase(phase) }
+fn listed(service: &str, name: &str, phase: Phase) -> ListedServer {
+    ListedServer { services: vec![service.into()], member: Member::warm(name).in_phase(phase) }
 }
 
-fn both() -> Vec<Listed> {
+fn both() -> Vec<ListedServer> {
     vec![
         listed("shop", "a", Phase::Ready),
         listed("shop", "b", Phase::Ready),
@@ -210,18 +210,21 @@
         let planner = Planner::new(&now, "p0", 10);
         planner.list(1, true, both());
         let (forwarder, _) = Forwarder::start(&now, "f0", std::slice::from_ref(&planner));
-        assert_eq!(forwarder.want("shop"), Standing::Waiting);
-        until("shop is held", || forwarder.want("shop") == Standing::Held).await;
+        assert_eq!(forwarder.want("shop"), ServiceStatus::Pending);
+        until("shop is held", || forwarder.want("shop") == ServiceStatus::Available).await;
         let ready = |n: &str| (n.to_owned(), Phase::Ready);
         assert_eq!(forwarder.phases("shop"), [ready("a"), ready("b")]);
         assert_eq!(forwarder.phases("stock"), [], "nobody has asked for it");
         assert!(
             matches!(&forwarder.changes.borrow()[..], [Change::Members { service, .. }, ..] if service == "shop")
         );
-        until("strangers are unknown", || forwarder.want("strange") == Standing::Unknown).await;
+        until("strangers are unknown", || forwarder.want("strange") == ServiceStatus::Unknown).await;
         planner.list(2, false, vec![listed("shop", "b", Phase::Draining)]);
         until("the drain is in force", || {
-            planner.publishing.with(|p, _| p.in_force(2)).is_some_and(|f| (f.at, f.of) == (1, 1))
+            planner
+                .publishing
+                .with(|p, _| p.rollout_status(2))
+                .is_some_and(|f| (f.acknowledged, f.subscriptions) == (1, 1))
         })
         .await;
         assert_eq!(forwarder.phases("shop"), [ready("a"), ("b".into(), Phase::Draining)]);
@@ -235,24 +238,24 @@
         let planners = [Planner::new(&now, "p0", 10), Planner::new(&now, "p1", 10)];
         planners.iter().for_each(|p| p.list(1, true, both()));
         let (forwarder, _) = Forwarder::start(&now, "f0", &planners);
-        until("shop is held", || forwarder.want("shop") == Standing::Held).await;
+        until("shop is held", || forwarder.want("shop") == ServiceStatus::Available).await;
         let first = forwarder.planner().expect("connected");
         planners[first].stop();
         until("the other leads", || forwarder.planner() == Some(1 - first)).await;
-        assert_eq!(forwarder.want("shop"), Standing::Held);
+        assert_eq!(forwarder.want("shop"), ServiceStatus::Available);
         until("it is subscribed there", || {
-            planners[1 - first].publishing.with(|p, _| p.figures().subscriptions) > 0
+            planners[1 - first].publishing.with(|p, _| p.stats().subscriptions) > 0
         })
         .await;
         planners[1 - first].list(2, false, vec![listed("shop", "a", Phase::Draining)]);
         until("the drain came", || forwarder.phases("shop")[0].1 == Phase::Draining).await;
         planners[1 - first].stop();
         until("no planner is there", || forwarder.planner().is_none()).await;
-        assert_eq!(forwarder.want("shop"), Standing::Held);
-        assert_eq!(forwarder.want("stock"), Standing::Waiting);
+        assert_eq!(forwarder.want("shop"), ServiceStatus::Available);
+        assert_eq!(forwarder.want("stock"), ServiceStatus::Pending);
         // Back, and what was asked for meanwhile comes.
         planners.iter().for_each(|p| p.alive.set(true));
-        until("stock is held", || forwarder.want("stock") == Standing::Held).await;
+        until("stock is held", || forwarder.want("stock") == ServiceStatus::Available).await;
     });
 }
 
@@ -265,7 +268,8 @@
         let forwarders: Vec<_> =
             ["f0", "f1"].iter().map(|name| Forwarder::start(&now, name, &planners)).collect();
         until("each planner has one", || planners.iter().all(|p| p.forwarders() == 1)).await;
-        until("both are led", || forwarders.iter().all(|(f, _)| f.want("shop") == Standing::Held)).await;
+        until("both are led", || forwarders.iter().all(|(f, _)| f.want("shop") == ServiceStatus::Available))
+            .await;
         assert_ne!(forwarders[0].0.planner(), forwarders[1].0.planner());
         // A third finds no place, and hears why.
         let (third, _) = Forwarder::start(&now, "f2", &planners);
@@ -278,7 +282,7 @@
         assert_eq!(third.planner(), None);
         // One that goes makes room.
         forwarders[0].1.abort();
-        until("the third is led", || third.want("shop") == Standing::Held).await;
+        until("the third is led", || third.want("shop") == ServiceStatus::Available).await;
     });
 }
 
@@ -303,7 +307,7 @@
         assert!(refusal.contains("a newer connection"), "{refusal}");
         assert_eq!(planner.forwarders(), 1);
         // What the second says is heard still.
-        frames::write(&mut second, Body::Subscribe(Subscriber::last_word())).await.unwrap();
+        frames::write(&mut second, Body::Subscribe(Subscriber::leave_message())).await.unwrap();
         drop(second);
         until("the second has left", || planner.ended.borrow().len() == 2).await;
         assert!(planner.ended.borrow()[1].is_ok());
@@ -319,16 +323,21 @@
         planner.list(1, true, both());
         let start = |life| Forwarder::born(&now, "f0", life, std::slice::from_ref(&planner));
         let (elder, task) = start(1);
-        until("the elder is led", || elder.want("shop") == Standing::Held).await;
+        until("the elder is led", || elder.want("shop") == ServiceStatus::Available).await;
         let (heir, _) = start(2);
-        until("so is the heir", || heir.want("shop") == Standing::Held).await;
-        let in_force = |version| planner.publishing.with(|p, _| p.in_force(version)).map(|f| (f.at, f.of));
+        until("so is the heir", || heir.want("shop") == ServiceStatus::Available).await;
+        let rollout = |version| {
+            planner
+                .publishing
+                .with(|p, _| p.rollout_status(version))
+                .map(|f| (f.acknowledged, f.subscriptions))
+        };
         planner.list(2, false, vec![listed("shop", "a", Phase::Draining)]);
-        until("both hear of a drain", || in_force(2) == Some((2, 2))).await;
+        until("both hear of a drain", || rollout(2) == Some((2, 2))).await;
         assert!(planner.ended.borrow().is_empty(), "neither pushes the other out");
         // A third one has the place of the first; one of an earlier life than both is told so.
         let (third, _) = start(3);
-        until("the third is led", || third.want("shop") == Standing::Held).await;
+        until("the third is led", || third.want("shop") == ServiceStatus::Available).await;
         until("the elder has ended", || !planner.ended.borrow().is_empty()).await;
         assert!(matches!(planner.ended.borrow()[..], [Err(SessionError::Replaced)]));
         until("it hears that newer ones are there", || {
@@ -341,7 +350,7 @@
         task.abort();
         // Who has gone lags nowhere, as another one is there.
         planner.list(3, false, vec![listed("shop", "a", Phase::Ready)]);
-        until("the two that are left have it", || in_force(3) == Some((2, 2))).await;
+        until("the two that are left have it", || rollout(3) == Some((2, 2))).await;
     });
 }
 
@@ -368,8 +377,10 @@
         let forwarders: Vec<_> = (0..3 * STARTING)
             .map(|k| Forwarder::start(&now, &format!("g{k}"), std::slice::from_ref(&planner)).0)
             .collect();
-        until("all hold what they want", || forwarders.iter().all(|f| f.want("shop") == Standing::Held))
-            .await;
+        until("all hold what they want", || {
+            forwarders.iter().all(|f| f.want("shop") == ServiceStatus::Available)
+        })
+        .await;
     });
 }
 
--- a/crates/node/src/services/directory.rs
+++ b/crates/node/src/services/directory.rs
@@ -271,27 +271,27 @@
 
 impl ServiceResolver for Directory {
     fn resolve(&self, service: &str) -> ServiceStatus {
-        let standing = self.subscriber.borrow_mut().want(self.now(), service);
+        let standing = self.subscriber.borrow_mut().lookup(self.now(), service);
         match standing {
-            subscriber::Standing::Held => {
+            subscriber::ServiceStatus::Available => {
                 self.gateway(service).map_or(ServiceStatus::AtCapacity, ServiceStatus::Available)
             }
-            subscriber::Standing::Waiting => {
+            subscriber::ServiceStatus::Pending => {
                 self.wanted.notify_one();
                 ServiceStatus::Pending
             }
-            subscriber::Standing::Unknown => ServiceStatus::Unknown,
-            subscriber::Standing::NoRoom => ServiceStatus::AtCapacity,
+            subscriber::ServiceStatus::Unknown => ServiceStatus::Unknown,
+            subscriber::ServiceStatus::AtCapacity => ServiceStatus::AtCapacity,
         }
     }
 
     fn pin(&self, service: &str) {
-        self.subscriber.borrow_mut().began(service);
+        self.subscriber.borrow_mut().request_started(service);
     }
 
     fn unpin(&self, service: &str) {
         let now = self.now();
-        self.subscriber.borrow_mut().ended(now, service);
+        self.subscriber.borrow_mut().request_finished(now, service);
         if service.is_empty() {
             return;
         }
--- a/crates/node/src/services/planner.rs
+++ b/crates/node/src/services/planner.rs
@@ -15,7 +15,7 @@
 use laurelroute_channel::tls::Tls;
 use laurelroute_core::clock::Clock;
 use laurelroute_core::retry_io::RetryingStream;
-use laurelroute_plan::services::publisher::{Dropped, Listed, Publisher, Settings};
+use laurelroute_plan::services::publisher::{Dropped, ListedServer, Publisher, Settings};
 use laurelroute_plan::wire::{Body, Role, Told};
 use laurelroute_policy::interface::ListKind;
 use std::cell::{Cell, RefCell};
@@ -65,9 +65,9 @@
     let life = clock.now() / 1_000_000;
     let settings = Settings {
         site: peers.site.clone(),
-        life,
+        incarnation: life,
         planners: plan.planners,
-        most_forwarders: services.max_forwarders,
+        max_forwarders: services.max_forwarders,
         bytes_per_second: services.update_bytes.into(),
         burst: services.update_burst.into(),
         drain_bytes_per_second: services.drain_bytes.into(),
@@ -110,11 +110,11 @@
             let listed = entries.into_iter().map(|mut entry| {
                 let services =
                     entry.attributes.take().map(|attributes| attributes.services).unwrap_or_default();
-                Listed { services, member: source::to_member(entry) }
+                ListedServer { services, member: source::to_member(entry) }
             });
             let listed = listed.collect();
             let full = kind == ListKind::Full;
-            let dropped = server.publishing.with(|p, now| p.list(now, version, full, listed));
+            let dropped = server.publishing.with(|p, now| p.apply_list(now, version, full, listed));
             if dropped != Dropped::default() {
                 let Dropped { servers, services, names } = dropped;
                 server.dropped_warnings.borrow_mut().warn(|more| {
--- a/crates/plan/src/services/digest.rs
+++ b/crates/plan/src/services/digest.rs
@@ -10,7 +10,7 @@
 use prost::Message;
 
 /// One member's part of the digest. A member that is gone has none.
-pub fn of(member: &Member) -> u64 {
+pub fn member_digest(member: &Member) -> u64 {
     match member.server.phase {
         Phase::Removed => 0,
         Phase::Ready | Phase::Draining => of_facts(&member.name, &member.facts()),
@@ -18,7 +18,7 @@
 }
 
 /// One server's part of the digest of a whole list: its own part, with the services that it serves in any order.
-pub fn listed<'a>(member: u64, services: impl Iterator<Item = &'a str>) -> u64 {
+pub fn entry_digest<'a>(member: u64, services: impl Iterator<Item = &'a str>) -> u64 {
     let services = services.map(|service| mix(13, service.as_bytes())).fold(0, u64::wrapping_add);
     mix(member, &services.to_le_bytes())
 }
--- a/crates/plan/src/services/list_version.rs
+++ b/crates/plan/src/services/list_version.rs
@@ -18,11 +18,11 @@
 }
 
 /// The epoch in which a forwarder begins to count: a planner may turn out to be some epochs behind it.
-pub const FIRST_EPOCH: u64 = 1 << 20;
+pub const INITIAL_EPOCH: u64 = 1 << 20;
 
 /// A version of the list and what the list was then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct VersionDigest {
     /// The version.
     pub version: ListVersion,
     /// The digest of all servers that it listed.
@@ -32,7 +32,7 @@
 /// Versions that somebody has followed, oldest first.
 #[derive(Clone, Debug)]
 pub struct History {
-    seen: VecDeque<Seen>,
+    seen: VecDeque<VersionDigest>,
     most: usize,
 }
 
@@ -43,7 +43,7 @@
     }
 
     /// Notes a version. The same one again replaces what it was.
-    pub fn push(&mut self, seen: Seen) {
+    pub fn push(&mut self, seen: VersionDigest) {
         if self.seen.back().is_some_and(|last| last.version == seen.version) {
             self.seen.pop_back();
         }
@@ -54,13 +54,13 @@
     }
 
     /// All versions, oldest first.
-    pub fn iter(&self) -> impl DoubleEndedIterator<Item = &Seen> {
+    pub fn iter(&self) -> impl DoubleEndedIterator<Item = &VersionDigest> {
         self.seen.iter()
     }
 
     /// How far another's epochs are ahead of the ones here, by the latest version that both have followed.
-    pub fn epochs_ahead(&self, other: &[Seen]) -> Option<i64> {
-        let here = |theirs: &Seen| {
+    pub fn epoch_offset(&self, other: &[VersionDigest]) -> Option<i64> {
+        let here = |theirs: &VersionDigest| {
             let mine = self.seen.iter().rev();
             let mut mine = mine.filter(|s| s.version.number == theirs.version.number);
             mine.find(|s| s.digest == theirs.digest).map(|s| (theirs.version.epoch, s.version.epoch))
--- a/crates/plan/src/services/mod.rs
+++ b/crates/plan/src/services/mod.rs
@@ -20,6 +20,6 @@
 pub mod subscriber;
 
 /// Which slice of so many, a power of two, a server falls to by its name.
-pub fn place(server: &str, slices: usize) -> usize {
+pub fn slice_index(server: &str, slices: usize) -> usize {
     crate::mix(11, server.as_bytes()) as usize & slices.max(1).saturating_sub(1)
 }
--- a/crates/plan/src/services/publisher/force.rs
+++ b/crates/plan/src/services/publisher/force.rs
@@ -10,10 +10,10 @@
 impl Publisher {
     /// Where the change of the list with this version is in force; `None` where it is not known (any longer). Looks at all who
     /// use what it touched.
-    pub fn in_force(&self, change: u64) -> Option<InForce> {
+    pub fn rollout_status(&self, change: u64) -> Option<RolloutStatus> {
         let batch = *self.batches.get(&change)?;
         let record = self.records.get(&batch)?;
-        let mut force = InForce { told_at: record.told_at, ..InForce::default() };
+        let mut rollout = RolloutStatus { listed_at: record.listed_at, ..RolloutStatus::default() };
         // A slice that was cut anew since is met under another number: one user counts once a service.
         let mut seen = BTreeSet::new();
         for &(id, slice, slices) in &record.touched {
@@ -24,23 +24,23 @@
                 if !seen.insert((id, *user)) {
                     continue;
                 }
-                force.of += 1;
+                rollout.subscriptions += 1;
                 match self.lag(*user, id, batch) {
-                    None => force.at += 1,
-                    Some(lag) if force.lag.len() < MOST_NAMED => {
+                    None => rollout.acknowledged += 1,
+                    Some(lag) if rollout.lagging.len() < MOST_NAMED => {
                         let name = self.forwarders.get(user).map_or("", |f| &f.name);
-                        force.lag.push((name.to_owned(), lag));
+                        rollout.lagging.push((name.to_owned(), lag));
                     }
                     Some(_) => {}
                 }
             }
         }
-        force.since = record.since.filter(|_| force.at == force.of);
-        Some(force)
+        rollout.completed_at = record.since.filter(|_| rollout.acknowledged == rollout.subscriptions);
+        Some(rollout)
     }
 
     /// Why a forwarder has not acknowledged a change of this service; `None` where it has.
-    fn lag(&self, forwarder: u32, service: u32, batch: u64) -> Option<Lag> {
+    fn lag(&self, forwarder: u32, service: u32, batch: u64) -> Option<LagReason> {
         let f = self.forwarders.get(&forwarder)?;
         let s = f.subscriptions.get(&service)?;
         let owed = s.owes.iter().find(|(_, owed)| *owed == batch).map(|(version, _)| *version);
@@ -48,10 +48,10 @@
             return None;
         }
         Some(match (f.left_at, s.later) {
-            (Some(at), _) => Lag::Lost(at),
-            (None, Some(_)) => Lag::Ahead,
-            (None, None) if s.held.is_some_and(|held| held >= owed.unwrap_or(0)) => Lag::Unacknowledged,
-            (None, None) => Lag::Waiting,
+            (Some(at), _) => LagReason::Disconnected(at),
+            (None, Some(_)) => LagReason::NewerList,
+            (None, None) if s.held.is_some_and(|held| held >= owed.unwrap_or(0)) => LagReason::Unacknowledged,
+            (None, None) => LagReason::Throttled,
         })
     }
 
@@ -66,45 +66,51 @@
         if !ask.server.is_empty() {
             return self.explain_server(&ask.server);
         }
-        let figures = self.figures();
+        let stats = self.stats();
         let version = self.source().map_or("none yet".to_owned(), |v| v.to_string());
         format!(
             "site {}, list {version}\nservices: {} with {} servers\nforwarders: {} connected of {} known, {} \
              subscriptions\nsent: {} updates with {} bytes, {} wholes\n",
             self.settings.site,
-            figures.services,
-            figures.servers,
-            figures.forwarders,
+            stats.services,
+            stats.servers,
+            stats.forwarders,
             self.forwarders.len(),
-            figures.subscriptions,
-            figures.updates,
-            figures.bytes,
-            figures.wholes,
+            stats.subscriptions,
+            stats.updates,
+            stats.bytes,
+            stats.snapshots,
         )
     }
 
     fn explain_change(&self, now: Nanos, change: u64) -> String {
         let ago = |at: Nanos| now.saturating_sub(at) as f64 / 1e9;
-        let Some(force) = self.in_force(change) else {
+        let Some(rollout) = self.rollout_status(change) else {
             return format!("change {change} is not known here: it touched nothing, or was too long ago\n");
         };
-        let mut text = format!("change {change}: told {:.1} s ago, ", ago(force.told_at));
-        let _ = match force.since {
-            Some(at) => writeln!(text, "in force at {} of {} since {:.1} s", force.at, force.of, ago(at)),
-            None => writeln!(text, "in force at {} of {}", force.at, force.of),
+        let mut text = format!("change {change}: told {:.1} s ago, ", ago(rollout.listed_at));
+        let _ = match rollout.completed_at {
+            Some(at) => writeln!(
+                text,
+                "in force at {} of {} since {:.1} s",
+                rollout.acknowledged,
+                rollout.subscriptions,
+                ago(at)
+            ),
+            None => writeln!(text, "in force at {} of {}", rollout.acknowledged, rollout.subscriptions),
         };
-        for (name, lag) in &force.lag {
+        for (name, lag) in &rollout.lagging {
             let why = match lag {
-                Lag::Lost(at) => format!("not connected for {:.1} s", ago(*at)),
-                Lag::Unacknowledged => "sent and not acknowledged".to_owned(),
-                Lag::Waiting => "waits for its bytes".to_owned(),
-                Lag::Ahead => "holds a later list than this planner".to_owned(),
+                LagReason::Disconnected(at) => format!("not connected for {:.1} s", ago(*at)),
+                LagReason::Unacknowledged => "sent and not acknowledged".to_owned(),
+                LagReason::Throttled => "waits for its bytes".to_owned(),
+                LagReason::NewerList => "holds a later list than this planner".to_owned(),
             };
             let _ = writeln!(text, "  {name} lags: {why}");
         }
-        let named = force.lag.len();
-        if force.of - force.at > named {
-            let _ = writeln!(text, "  and {} more", force.of - force.at - named);
+        let named = rollout.lagging.len();
+        if rollout.subscriptions - rollout.acknowledged > named {
+            let _ = writeln!(text, "  and {} more", rollout.subscriptions - rollout.acknowledged - named);
         }
         text
     }
--- a/crates/plan/src/services/publisher/forwarders.rs
+++ b/crates/plan/src/services/publisher/forwarders.rs
@@ -1,20 +1,20 @@
 //! Forwarders: who is connected, what each wants, and what it has acknowledged.
 
 use super::*;
-use crate::services::list_version::FIRST_EPOCH;
-use crate::services::subscriber::MOST_FOLLOWED;
+use crate::services::list_version::INITIAL_EPOCH;
+use crate::services::subscriber::MAX_VERSION_HISTORY;
 use crate::wire::Followed;
 
 impl Publisher {
     /// A forwarder has connected. It says what it wants by `subscribe`, and all of it anew.
-    pub fn joined(&mut self, now: Nanos, name: &str, zone: u8) -> Result<(), PublishError> {
+    pub fn forwarder_connected(&mut self, now: Nanos, name: &str, zone: u8) -> Result<(), PublishError> {
         if name.is_empty() || name.len() > LONGEST_NAME {
-            return Err(PublishError::Name(name.len()));
+            return Err(PublishError::InvalidName(name.len()));
         }
         let known = self.forwarder_ids.get(name).copied();
         let here = known.and_then(|id| self.forwarders.get(&id)).is_some_and(|f| f.left_at.is_none());
-        if !here && self.connected >= self.settings.most_forwarders {
-            return Err(PublishError::Crowded(self.connected));
+        if !here && self.connected >= self.settings.max_forwarders {
+            return Err(PublishError::AtCapacity(self.connected));
         }
         let id = known.unwrap_or_else(|| self.add(now, name));
         let Some(f) = self.forwarders.get_mut(&id) else { return Ok(()) };
@@ -66,12 +66,12 @@
     }
 
     /// Its connection is lost: it lags from now on.
-    pub fn left(&mut self, now: Nanos, name: &str) {
+    pub fn forwarder_disconnected(&mut self, now: Nanos, name: &str) {
         let Some(&id) = self.forwarder_ids.get(name) else { return };
         let Some(f) = self.forwarders.get_mut(&id).filter(|f| f.left_at.is_none()) else { return };
         f.left_at = Some(now);
         self.connected -= 1;
-        self.due.insert((now + FORGET, Due::Forget(id)));
+        self.due.insert((now + FORWARDER_EXPIRY, Due::Forget(id)));
     }
 
     /// What a forwarder wants, no longer wants, and knows better.
@@ -82,7 +82,7 @@
             return Ok(());
         }
         if let Some(bad) = subscribe.interests.iter().find(|i| i.service.len() > LONGEST_NAME) {
-            return Err(PublishError::Name(bad.service.len()));
+            return Err(PublishError::InvalidName(bad.service.len()));
         }
         let allowance = subscribe.allowance;
         if let Some(f) = self.forwarders.get_mut(&id).filter(|_| allowance > 0) {
@@ -92,7 +92,7 @@
         self.hear_of_history(id, &subscribe.followed);
         self.hear_of_closed(now, id, &subscribe.closed);
         for interest in &subscribe.interests {
-            self.figures.steps += 1;
+            self.stats.steps += 1;
             if interest.unwanted {
                 self.unsubscribe(now, id, &interest.service);
             } else {
@@ -112,9 +112,9 @@
         if f.epochs_ahead.is_some() {
             return;
         }
-        let seen = followed.iter().take(MOST_FOLLOWED).map(Followed::seen);
+        let seen = followed.iter().take(MAX_VERSION_HISTORY).map(Followed::seen);
         f.followed.extend(seen);
-        f.followed.truncate(MOST_FOLLOWED);
+        f.followed.truncate(MAX_VERSION_HISTORY);
         self.compare_histories(id);
     }
 
@@ -125,9 +125,9 @@
         if f.left_at.is_some() || f.epochs_ahead.is_some() {
             return;
         }
-        let latest = f.followed.last().map_or(FIRST_EPOCH, |seen| seen.version.epoch);
+        let latest = f.followed.last().map_or(INITIAL_EPOCH, |seen| seen.version.epoch);
         let by_number = latest as i64 - source.epoch as i64;
-        f.epochs_ahead = Some(self.history.epochs_ahead(&f.followed).unwrap_or(by_number));
+        f.epochs_ahead = Some(self.history.epoch_offset(&f.followed).unwrap_or(by_number));
         f.followed = Vec::new();
     }
 
@@ -140,7 +140,7 @@
     }
 
     pub(super) fn id_of(&self, name: &str) -> Result<u32, PublishError> {
-        self.forwarder_ids.get(name).copied().ok_or_else(|| PublishError::Stranger(name.to_owned()))
+        self.forwarder_ids.get(name).copied().ok_or_else(|| PublishError::NotConnected(name.to_owned()))
     }
 
     pub(super) fn interested(
@@ -152,8 +152,8 @@
         if self.source.is_none() {
             let Some(f) = self.forwarders.get_mut(&id) else { return Ok(()) };
             f.early.retain(|other| other.service != interest.service);
-            if f.early.len() >= MOST_INTERESTS {
-                return Err(PublishError::Services(MOST_INTERESTS));
+            if f.early.len() >= MAX_SUBSCRIPTIONS {
+                return Err(PublishError::TooManySubscriptions(MAX_SUBSCRIPTIONS));
             }
             f.early.push(interest.clone());
             return Ok(());
@@ -165,21 +165,21 @@
             // What it held before it dropped the service is of no use: it is told nothing on top of that.
             known.into_iter().for_each(|service| self.withdraw(now, id, service));
             let Some(f) = self.forwarders.get_mut(&id) else { return Ok(()) };
-            if f.absent.len() >= MOST_INTERESTS {
-                return Err(PublishError::Services(MOST_INTERESTS));
+            if f.absent.len() >= MAX_SUBSCRIPTIONS {
+                return Err(PublishError::TooManySubscriptions(MAX_SUBSCRIPTIONS));
             }
             f.absent.insert(interest.service.clone());
             return Ok(());
         };
         self.withdraw(now, id, service_id);
-        let own_life = self.settings.life;
+        let own_life = self.settings.incarnation;
         let Some(f) = self.forwarders.get_mut(&id) else { return Ok(()) };
         let Some(service) = self.services.get_mut(&service_id) else {
             f.absent.insert(interest.service.clone());
             return Ok(());
         };
-        if f.subscriptions.len() >= MOST_INTERESTS {
-            return Err(PublishError::Services(MOST_INTERESTS));
+        if f.subscriptions.len() >= MAX_SUBSCRIPTIONS {
+            return Err(PublishError::TooManySubscriptions(MAX_SUBSCRIPTIONS));
         }
         let holds = interest.life != 0;
         let alike = holds && interest.slices as usize == service.slices.len();
@@ -218,7 +218,7 @@
         slice.subscribers.insert(id);
         if told > self.source.unwrap_or_default() {
             // From when it came, however often it asks: else it would wait for ever.
-            let until = (f.joined_at + STUBBORN).max(now);
+            let until = (f.joined_at + STALE_LIST_TIMEOUT).max(now);
             s.later = Some((told, until));
             self.waiting.insert(id);
             self.due.insert((until, Due::Later(id)));
@@ -245,7 +245,7 @@
         }
         slice.told = step;
         for f in &slice.subscribers {
-            self.figures.steps += 1;
+            self.stats.steps += 1;
             if let Some(f) = self.forwarders.get_mut(f) {
                 f.hints.insert(service);
             }
@@ -267,9 +267,12 @@
                 let names = server.services.iter().filter_map(|id| self.services.get(id));
                 let services: Vec<String> = names.map(|s| s.name.to_string()).collect();
                 let (name, own) = (Name::from(word.name.as_str()), server.member.clone());
-                entries.push(Listed { services: services.clone(), member: own.clone().in_phase(phase) });
-                self.overruled.entry(name).or_insert((now + STUBBORN, Listed { services, member: own }));
-                self.due.insert((now + STUBBORN, Due::Overruled));
+                entries
+                    .push(ListedServer { services: services.clone(), member: own.clone().in_phase(phase) });
+                self.overruled
+                    .entry(name)
+                    .or_insert((now + STALE_LIST_TIMEOUT, ListedServer { services, member: own }));
+                self.due.insert((now + STALE_LIST_TIMEOUT, Due::Overruled));
             }
         }
         if !entries.is_empty() {
@@ -283,7 +286,7 @@
         let due: Vec<Name> =
             self.overruled.iter().filter(|(_, (until, _))| *until <= now).map(|(n, _)| n.clone()).collect();
         let back = due.iter().filter_map(|name| self.overruled.remove(name));
-        let back: Vec<Listed> = back.map(|(_, listed)| listed).collect();
+        let back: Vec<ListedServer> = back.map(|(_, listed)| listed).collect();
         if !back.is_empty() {
             self.take(now, (source, false), false, back);
         }
@@ -337,7 +340,7 @@
     /// An update has been taken in, service by service, or not.
     pub fn acknowledge(&mut self, now: Nanos, name: &str, acknowledge: &Acknowledge) {
         let Some(&id) = self.forwarder_ids.get(name) else { return };
-        if acknowledge.life != self.settings.life {
+        if acknowledge.life != self.settings.incarnation {
             return;
         }
         let refused = acknowledge.refused.iter();
@@ -413,7 +416,7 @@
 }
 
 impl Followed {
-    fn seen(&self) -> Seen {
-        Seen { version: ListVersion { epoch: self.epoch, number: self.number }, digest: self.digest }
+    fn seen(&self) -> VersionDigest {
+        VersionDigest { version: ListVersion { epoch: self.epoch, number: self.number }, digest: self.digest }
     }
 }
--- a/crates/plan/src/services/publisher/hints.rs
+++ b/crates/plan/src/services/publisher/hints.rs
@@ -30,7 +30,7 @@
 
 /// What is said of one server.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Standing {
+pub(super) struct ReportSummary {
     met: BTreeMap<u32, Met>,
     /// Sums over all of it.
     accomplished: f64,
@@ -42,7 +42,7 @@
     pub(super) number: u64,
 }
 
-impl Standing {
+impl ReportSummary {
     pub(super) fn reporters(&self) -> impl Iterator<Item = u32> + '_ {
         self.met.keys().copied()
     }
@@ -98,7 +98,7 @@
     }
 
     fn met(&mut self, id: u32, server: &str, seen: Option<&Seen>) {
-        self.figures.steps += 1;
+        self.stats.steps += 1;
         let Some((name, _)) = self.servers.get_key_value(server) else { return };
         let name = name.clone();
         let Some(f) = self.forwarders.get_mut(&id) else { return };
@@ -123,7 +123,7 @@
             let k = service.slice_of(name);
             service.slices[k].hinted = self.hint;
             for f in &service.slices[k].subscribers {
-                self.figures.steps += 1;
+                self.stats.steps += 1;
                 if let Some(f) = self.forwarders.get_mut(f) {
                     f.hints.insert(*id);
                 }
--- a/crates/plan/src/services/publisher/list.rs
+++ b/crates/plan/src/services/publisher/list.rs
@@ -4,7 +4,13 @@
 
 impl Publisher {
     /// The list has spoken: a whole, or changes to it.
-    pub fn list(&mut self, now: Nanos, version: u64, whole: bool, entries: Vec<Listed>) -> Dropped {
+    pub fn apply_list(
+        &mut self,
+        now: Nanos,
+        version: u64,
+        whole: bool,
+        entries: Vec<ListedServer>,
+    ) -> Dropped {
         if self.source.is_none() && !whole {
             // Changes to a list that is not known: nobody may take the rest for gone.
             return Dropped::default();
@@ -29,7 +35,7 @@
             true => sum(&mut self.servers.keys()),
             false => self.list_digest.wrapping_sub(before).wrapping_add(sum(&mut named.iter())),
         };
-        self.history.push(Seen { version, digest: self.list_digest });
+        self.history.push(VersionDigest { version, digest: self.list_digest });
         // Those who held a later list than this one was.
         let waiting: Vec<u32> = self.waiting.iter().copied().collect();
         waiting.into_iter().for_each(|f| self.look_at_later(now, f));
@@ -53,11 +59,14 @@
     /// What a server adds to the digest of the list, as the list told it.
     fn listed_digest(&self, name: &str) -> u64 {
         if let Some((_, own)) = self.overruled.get(name) {
-            return digest::listed(digest::of(&own.member), own.services.iter().map(String::as_str));
+            return digest::entry_digest(
+                digest::member_digest(&own.member),
+                own.services.iter().map(String::as_str),
+            );
         }
         let Some(server) = self.servers.get(name) else { return 0 };
         let services = server.services.iter().filter_map(|id| self.services.get(id));
-        digest::listed(server.digest, services.map(|service| &*service.name))
+        digest::entry_digest(server.digest, services.map(|service| &*service.name))
     }
 
     /// There is a list now: what was asked for before can be told.
@@ -80,7 +89,7 @@
         now: Nanos,
         (version, told): (ListVersion, bool),
         whole: bool,
-        entries: Vec<Listed>,
+        entries: Vec<ListedServer>,
     ) -> Dropped {
         self.batch += 1;
         let mut dropped = Dropped::default();
@@ -112,22 +121,22 @@
 
     fn take_one(
         &mut self,
-        Listed { services, member }: Listed,
+        ListedServer { services, member }: ListedServer,
         touched: &mut BTreeSet<(u32, usize)>,
         dropped: &mut Dropped,
     ) {
-        self.figures.steps += 1;
+        self.stats.steps += 1;
         let known = self.servers.get_key_value(member.name.as_str()).map(|(name, _)| name.clone());
         if member.server.phase == Phase::Removed {
             return known.into_iter().for_each(|name| self.remove(&name, touched));
         }
-        if known.is_none() && self.servers.len() >= MOST_SERVERS {
+        if known.is_none() && self.servers.len() >= MAX_SERVERS {
             dropped.servers += 1;
             return;
         }
         let name = known.unwrap_or_else(|| Arc::from(member.name.as_str()));
         let ids = self.ids_of(services, dropped);
-        let digest = digest::of(&member);
+        let digest = digest::member_digest(&member);
         let closed = member.server.phase != Phase::Ready;
         let batch = self.batch;
         let before = self.servers.get_mut(&name);
@@ -143,7 +152,7 @@
                     services: ids.clone(),
                     digest,
                     named: batch,
-                    standing: Standing::default(),
+                    standing: ReportSummary::default(),
                 };
                 self.servers.insert(name.clone(), server);
             }
@@ -165,12 +174,12 @@
                 dropped.names += 1;
                 continue;
             }
-            if self.services.len() >= MOST_SERVICES && !self.by_name.contains_key(name.as_str()) {
+            if self.services.len() >= MAX_SERVICES && !self.by_name.contains_key(name.as_str()) {
                 self.forget_all_unused();
             }
             let id = match self.by_name.get(name.as_str()) {
                 Some(&id) => id,
-                None if self.services.len() >= MOST_SERVICES => {
+                None if self.services.len() >= MAX_SERVICES => {
                     dropped.services += 1;
                     continue;
                 }
@@ -217,7 +226,7 @@
         }
         slice.put(name, there, closed, digest);
         touched.insert((id, k));
-        self.figures.steps += 1;
+        self.stats.steps += 1;
     }
 
     /// Tells all who use what has changed, once for all of a word.
@@ -229,7 +238,7 @@
     ) {
         let batch = self.batch;
         let mut record =
-            Record { told_at: now, source: source.number, touched: Vec::new(), waiting: 0, since: None };
+            Record { listed_at: now, source: source.number, touched: Vec::new(), waiting: 0, since: None };
         let mut cut: BTreeSet<u32> = BTreeSet::new();
         for (id, k) in touched {
             let Some(service) = self.services.get_mut(&id) else { continue };
@@ -298,7 +307,7 @@
         record.touched.push((id, k, slices));
         record.waiting += slice.subscribers.len();
         for f in &slice.subscribers {
-            self.figures.steps += 1;
+            self.stats.steps += 1;
             let Some(f_) = self.forwarders.get_mut(f) else { continue };
             let Some(s) = f_.subscriptions.get_mut(&id) else { continue };
             if s.owes.len() >= MOST_OWED {
--- a/crates/plan/src/services/publisher/mod.rs
+++ b/crates/plan/src/services/publisher/mod.rs
@@ -11,15 +11,15 @@
 mod slice;
 mod stream;
 
-pub use slice::MOST_LEFT;
-pub use stream::{FRAMING, LONGEST_UPDATE, UNRESPONSIVE};
+pub use slice::MAX_REMOVED;
+pub use stream::{ACK_TIMEOUT, FRAMING_BYTES, MAX_UPDATE_BYTES};
 
 use crate::member::{Member, LONGEST_NAME};
 use crate::planner::ReportError;
 use crate::services::digest;
-use crate::services::list_version::{History, ListVersion, Seen};
+use crate::services::list_version::{History, ListVersion, VersionDigest};
 use crate::wire::{Acknowledge, Because, Closed, Interest, Subscribe};
-use hints::Standing;
+use hints::ReportSummary;
 use laurelroute_policy::interface::{Nanos, Phase};
 use slice::{Name, Service};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -28,27 +28,27 @@
 const MS: Nanos = 1_000_000;
 const S: Nanos = 1_000 * MS;
 /// Services held at most.
-pub const MOST_SERVICES: usize = 50_000;
+pub const MAX_SERVICES: usize = 50_000;
 /// Servers held at most.
-pub const MOST_SERVERS: usize = 1_000_000;
+pub const MAX_SERVERS: usize = 1_000_000;
 /// Services that one server may serve.
 const MOST_SERVED: usize = 64;
 /// Services that one forwarder may subscribe to.
-pub const MOST_INTERESTS: usize = 16_384;
+pub const MAX_SUBSCRIPTIONS: usize = 16_384;
 /// A forwarder that has connected says anew what it wants, and when that was all; what it has not named again by then, or
 /// within this, it no longer wants.
 const ANEW: Nanos = 30 * S;
 /// A forwarder that is lost lags for so long; then it is no longer one of the fleet.
-pub const FORGET: Nanos = 600 * S;
+pub const FORWARDER_EXPIRY: Nanos = 600 * S;
 /// A forwarder that holds a later list than this planner keeps it; where this planner's list does not come up to it within this,
 /// the source has lost its versions, and the earlier one counts.
-pub const STUBBORN: Nanos = 10 * S;
+pub const STALE_LIST_TIMEOUT: Nanos = 10 * S;
 /// Changes of the list whose being in force is followed.
 const MOST_RECORDS: usize = 4_096;
 /// Changes that one subscription may owe; of further ones the first are never counted as in force there.
 const MOST_OWED: usize = 256;
 /// Something is said to each forwarder at least this often.
-pub const BEAT: Nanos = 1_000 * MS;
+pub const HEARTBEAT_INTERVAL: Nanos = 1_000 * MS;
 
 /// What a publisher is told at its start.
 #[derive(Clone, Debug, PartialEq)]
@@ -56,11 +56,11 @@
     /// The installation.
     pub site: String,
     /// When this life began, Unix time in milliseconds: of two lives the later one counts.
-    pub life: u64,
+    pub incarnation: u64,
     /// Planners of this installation, running or not.
     pub planners: u32,
     /// Forwarders that this planner takes at most; further ones are sent to another.
-    pub most_forwarders: usize,
+    pub max_forwarders: usize,
     /// Bytes a second to one forwarder.
     pub bytes_per_second: f64,
     /// Bytes beyond that at once, after a rest.
@@ -73,7 +73,7 @@
 
 /// One server of the list, with the services that it serves; none is the service without a name.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct ListedServer {
     /// The services.
     pub services: Vec<String>,
     /// The server.
@@ -96,16 +96,16 @@
 pub enum PublishError {
     /// Nobody of this name has joined.
     #[error("`{0}` has not joined")]
-    Stranger(String),
+    NotConnected(String),
     /// There are as many forwarders as this planner takes.
     #[error("{0} forwarders are here already")]
-    Crowded(usize),
+    AtCapacity(usize),
     /// A name is empty or too long.
     #[error("a name of {0} bytes")]
-    Name(usize),
+    InvalidName(usize),
     /// More interests than one forwarder may have.
     #[error("over {0} services for one forwarder")]
-    Services(usize),
+    TooManySubscriptions(usize),
     /// It has acknowledged nothing for too long.
     #[error("nothing was acknowledged for {0} s")]
     Unresponsive(u64),
@@ -116,35 +116,35 @@
 
 /// Where a change of the list is in force.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct InForce {
+pub struct RolloutStatus {
     /// When the list told it.
-    pub told_at: Nanos,
+    pub listed_at: Nanos,
     /// Forwarders that use what it changed, counted once a service.
-    pub of: usize,
+    pub subscriptions: usize,
     /// Those of them that have acknowledged it.
-    pub at: usize,
+    pub acknowledged: usize,
     /// When the last of them had, if all have.
-    pub since: Option<Nanos>,
+    pub completed_at: Option<Nanos>,
     /// Some of those that lag, and why.
-    pub lag: Vec<(String, Lag)>,
+    pub lagging: Vec<(String, LagReason)>,
 }
 
 /// Why a forwarder lags.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lag {
+pub enum LagReason {
     /// It is not connected, since then.
-    Lost(Nanos),
+    Disconnected(Nanos),
     /// It has been sent the change and has not acknowledged it.
     Unacknowledged,
     /// Its bytes are used up for now.
-    Waiting,
+    Throttled,
     /// It holds a later list than this planner.
-    Ahead,
+    NewerList,
 }
 
 /// Counts for measurements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct Stats {
     /// Services held.
     pub services: usize,
     /// Servers held.
@@ -154,9 +154,9 @@
     /// Subscriptions of all forwarders.
     pub subscriptions: usize,
     /// Servers that have left and are still remembered, counted once a service.
-    pub left: usize,
+    pub removed_servers: usize,
     /// Wholes sent so far.
-    pub wholes: u64,
+    pub snapshots: u64,
     /// Updates sent so far.
     pub updates: u64,
     /// Bytes of updates sent so far.
@@ -172,7 +172,7 @@
     digest: u64,
     /// The whole list that last named it.
     named: u64,
-    standing: Standing,
+    standing: ReportSummary,
 }
 
 /// How far one forwarder has been told of one slice.
@@ -226,7 +226,7 @@
     /// What it wants, as long as there is no list to tell of.
     early: Vec<Interest>,
     /// What it has followed of the list, as it came; kept as long as there is no list here.
-    followed: Vec<Seen>,
+    followed: Vec<VersionDigest>,
     /// How far its epochs are ahead of the own ones; not known before it has said what it has followed.
     epochs_ahead: Option<i64>,
     /// Servers that it has reported on.
@@ -249,7 +249,7 @@
 /// Where a change of the list is on its way.
 #[derive(Clone, Debug)]
 struct Record {
-    told_at: Nanos,
+    listed_at: Nanos,
     source: u64,
     /// Service, slice, and how many slices there were.
     touched: Vec<(u32, usize, usize)>,
@@ -293,13 +293,13 @@
     records: BTreeMap<u64, Record>,
     batches: BTreeMap<u64, u64>,
     /// Servers that are closed here by others' word of a later list, as the own list has them, and until when that counts.
-    overruled: BTreeMap<Name, (Nanos, Listed)>,
+    overruled: BTreeMap<Name, (Nanos, ListedServer)>,
     due: BTreeSet<(Nanos, Due)>,
     stirred: BTreeSet<u32>,
     batch: u64,
     /// Counts what is said of servers.
     hint: u64,
-    figures: Figures,
+    stats: Stats,
 }
 
 impl Publisher {
@@ -326,7 +326,7 @@
             stirred: BTreeSet::new(),
             batch: 0,
             hint: 0,
-            figures: Figures::default(),
+            stats: Stats::default(),
         }
     }
 
@@ -341,16 +341,16 @@
     }
 
     /// Counts for measurements. Walks over all services.
-    pub fn figures(&self) -> Figures {
+    pub fn stats(&self) -> Stats {
         let subscriptions = self.forwarders.values().map(|f| f.subscriptions.len()).sum();
         let slices = self.services.values().flat_map(|s| &s.slices);
-        Figures {
-            left: slices.map(|s| s.rows.len() - s.size).sum(),
+        Stats {
+            removed_servers: slices.map(|s| s.rows.len() - s.size).sum(),
             services: self.services.values().filter(|service| !service.unused()).count(),
             servers: self.servers.len(),
             forwarders: self.connected,
             subscriptions,
-            ..self.figures
+            ..self.stats
         }
     }
 
@@ -363,7 +363,7 @@
 
     /// The servers that a forwarder is to hold of a service, by name, for those who look on; `None` where it has not
     /// subscribed to it.
-    pub fn slice_for(&self, forwarder: &str, service: &str) -> Option<Vec<&Member>> {
+    pub fn assigned_members(&self, forwarder: &str, service: &str) -> Option<Vec<&Member>> {
         let f = self.forwarders.get(self.forwarder_ids.get(forwarder)?)?;
         let id = self.by_name.get(service)?;
         let slice = self.services.get(id)?.slices.get(f.subscriptions.get(id)?.slice)?;
@@ -381,7 +381,9 @@
             match due {
                 Due::Stale(id) => self.withdraw_stale(now, id),
                 Due::Forget(id) => {
-                    let long = |f: &Forwarder| f.left_at.is_some_and(|at| now.saturating_sub(at) >= FORGET);
+                    let long = |f: &Forwarder| {
+                        f.left_at.is_some_and(|at| now.saturating_sub(at) >= FORWARDER_EXPIRY)
+                    };
                     if self.forwarders.get(&id).is_some_and(long) {
                         self.forget(now, id);
                     }
@@ -412,7 +414,7 @@
     }
 
     /// Names of the forwarders for whom there is news since the last call.
-    pub fn stirred(&mut self) -> Vec<String> {
+    pub fn take_ready_forwarders(&mut self) -> Vec<String> {
         let stirred = std::mem::take(&mut self.stirred);
         stirred.iter().filter_map(|f| self.forwarders.get(f)).map(|f| f.name.clone()).collect()
     }
--- a/crates/plan/src/services/publisher/slice.rs
+++ b/crates/plan/src/services/publisher/slice.rs
@@ -1,7 +1,7 @@
 //! A service's servers in slices, each with the version that last changed each of them.
 
 use crate::services::list_version::ListVersion;
-use crate::services::place;
+use crate::services::slice_index;
 use crate::{mix, scramble};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 const LEAST: usize = 12;
 const WANTED: usize = 32;
 /// Servers that have left are remembered, for those who come back, as long as there are no more of them than servers, or than this.
-pub const MOST_LEFT: usize = 64;
+pub const MAX_REMOVED: usize = 64;
 /// Versions whose place in the list is remembered, for those who come back.
 const LOG: usize = 256;
 
@@ -81,7 +81,7 @@
 
     /// Forgets the servers that left first, where too many are remembered.
     fn forget(&mut self) {
-        while self.rows.len() - self.size > MOST_LEFT.max(self.size) {
+        while self.rows.len() - self.size > MAX_REMOVED.max(self.size) {
             let left = |(_, name): &&(u64, Name)| self.rows.get(name).is_some_and(|r| !r.there);
             let Some((changed, name)) = self.urgent.iter().find(left).cloned() else { return };
             self.rows.remove(&name);
@@ -152,7 +152,7 @@
 
     /// The slice that has, or would have, a server of this name.
     pub(super) fn slice_of(&self, server: &str) -> usize {
-        place(server, self.slices.len())
+        slice_index(server, self.slices.len())
     }
 
     /// How many slices it should have, where that is another number than it has.
@@ -172,7 +172,7 @@
             slice.log(source, batch);
         }
         for (name, row) in old.into_iter().flat_map(|s| s.rows).filter(|(_, row)| row.there) {
-            let k = place(&name, number);
+            let k = slice_index(&name, number);
             self.slices[k].put(&name, true, row.closed, row.digest);
         }
     }
--- a/crates/plan/src/services/publisher/stream.rs
+++ b/crates/plan/src/services/publisher/stream.rs
@@ -4,7 +4,7 @@
 //! that was: its whole, packed once for all who get it, or where that is too long a first piece, so that its requests need
 //! not wait for the rest; then what has changed, and the rest of wholes; hints last.
 
-use super::hints::Standing;
+use super::hints::ReportSummary;
 use super::slice::{Name, Slice};
 use super::*;
 use crate::wire::{deflate, Changes, Piece, Row, Rows, Update};
@@ -16,9 +16,9 @@
 /// What a packed update takes of that, as a rule; what it takes is counted once it is packed.
 const PACKED: f64 = 0.4;
 /// Longest update in bytes, where one row is as long as it may be. The bytes of a forwarder may be overdrawn by as much.
-pub const LONGEST_UPDATE: usize = UPDATE + 2_048;
+pub const MAX_UPDATE_BYTES: usize = UPDATE + 2_048;
 /// What the channel adds to a message, in bytes: the length, and a record of TLS.
-pub const FRAMING: usize = 40;
+pub const FRAMING_BYTES: usize = 40;
 /// What a service's changes take beside themselves: their tag and their length.
 const HEAD: usize = 4;
 /// Servers of a service that has just been asked for that come before its rest.
@@ -30,7 +30,7 @@
 /// Updates under way that are not acknowledged.
 const WINDOW: usize = 16;
 /// A forwarder that acknowledges nothing for so long is of no use on this connection.
-pub const UNRESPONSIVE: Nanos = 10 * S;
+pub const ACK_TIMEOUT: Nanos = 10 * S;
 /// Hints wait until so many bytes are left for what counts.
 const HINTS_FROM: f64 = 8_000.0;
 
@@ -42,13 +42,13 @@
     pub fn next_update(&mut self, now: Nanos, name: &str) -> Result<Option<Update>, PublishError> {
         let id = self.id_of(name)?;
         let Some(f) = self.forwarders.get_mut(&id).filter(|f| f.left_at.is_none()) else { return Ok(None) };
-        if f.under_way.front().is_some_and(|(_, at, _)| now.saturating_sub(*at) >= UNRESPONSIVE) {
-            return Err(PublishError::Unresponsive(UNRESPONSIVE / S));
+        if f.under_way.front().is_some_and(|(_, at, _)| now.saturating_sub(*at) >= ACK_TIMEOUT) {
+            return Err(PublishError::Unresponsive(ACK_TIMEOUT / S));
         }
         f.refill(now, &self.settings);
         let mut update = Update {
             site: self.settings.site.clone(),
-            life: self.settings.life,
+            life: self.settings.incarnation,
             source: self.source.unwrap_or_default().number,
             epoch: f.their_epoch(self.source.unwrap_or_default().epoch),
             list_digest: self.list_digest,
@@ -61,10 +61,10 @@
             }
         }
         let Some(f) = self.forwarders.get_mut(&id) else { return Ok(None) };
-        let beat = now.saturating_sub(f.sent_at) >= BEAT;
+        let beat = now.saturating_sub(f.sent_at) >= HEARTBEAT_INTERVAL;
         if beat {
             f.sent_at = now;
-            f.tokens -= (update.encoded_len() + FRAMING) as f64;
+            f.tokens -= (update.encoded_len() + FRAMING_BYTES) as f64;
         }
         Ok(beat.then_some(update))
     }
@@ -77,10 +77,10 @@
             update.pack();
             f.under_way.push_back((f.number, now, brought));
             f.sent_at = now;
-            f.tokens -= (update.encoded_len() + FRAMING) as f64;
+            f.tokens -= (update.encoded_len() + FRAMING_BYTES) as f64;
             // What drains and leavings took of it was taken there.
-            self.figures.updates += 1;
-            self.figures.bytes += (update.encoded_len() + FRAMING) as u64;
+            self.stats.updates += 1;
+            self.stats.bytes += (update.encoded_len() + FRAMING_BYTES) as u64;
         }
         update
     }
@@ -181,7 +181,7 @@
                 all = false;
                 break;
             }
-            self.figures.steps += 1;
+            self.stats.steps += 1;
             size += self.servers.add_row(slice, name, &mut changes);
             ahead = (*changed, Some(name.clone()));
         }
@@ -208,7 +208,7 @@
         }
         let begins = s.held.is_none() && s.whole.is_none();
         if begins {
-            self.figures.wholes += 1;
+            self.stats.snapshots += 1;
             if let Some(packed) = self.packed(service_id, head.slice as usize) {
                 return self.whole(id, service_id, Changes { packed, ..head });
             }
@@ -226,7 +226,7 @@
                 all = false;
                 break;
             }
-            self.figures.steps += 1;
+            self.stats.steps += 1;
             // Who left before a whole began was never told there.
             let known = s.whole.is_none_or(|begun| *changed > begun);
             if known || slice.rows.get(name).is_some_and(|r| r.there) {
@@ -268,7 +268,7 @@
         }
         let mut changes = Changes::default();
         for (name, _) in slice.rows.iter().filter(|(_, row)| row.there) {
-            self.figures.steps += 1;
+            self.stats.steps += 1;
             self.servers.add_row(slice, name, &mut changes);
         }
         let rows = Rows { rows: changes.rows }.encode_to_vec();
@@ -294,7 +294,7 @@
         // A slice has some dozens of servers: they are looked at where there is a hint, and no order of hints is kept.
         let hinted = slice.hinted > s.hinted;
         for (name, _) in slice.rows.iter().filter(|(_, row)| hinted && row.there) {
-            self.figures.steps += 1;
+            self.stats.steps += 1;
             let Some(server) = self.servers.get(name).filter(|server| server.standing.number > s.hinted)
             else {
                 continue;
@@ -309,11 +309,11 @@
     }
 
     /// When `next_update` may have something without further news: bytes, a beat, or patience that ends.
-    pub fn wake_at(&self, now: Nanos, name: &str) -> Nanos {
+    pub fn next_wakeup(&self, now: Nanos, name: &str) -> Nanos {
         let f = self.forwarder_ids.get(name).and_then(|id| self.forwarders.get(id));
         let Some(f) = f.filter(|f| f.left_at.is_none()) else { return Nanos::MAX };
-        let beat = f.sent_at.saturating_add(BEAT);
-        let patience = f.under_way.front().map_or(Nanos::MAX, |(_, at, _)| at.saturating_add(UNRESPONSIVE));
+        let beat = f.sent_at.saturating_add(HEARTBEAT_INTERVAL);
+        let patience = f.under_way.front().map_or(Nanos::MAX, |(_, at, _)| at.saturating_add(ACK_TIMEOUT));
         let waits = !(f.dirty.is_empty() && f.fresh.is_empty() && f.urgent.is_empty() && f.absent.is_empty());
         let hints = !f.hints.is_empty();
         let wanted = if waits { 1.0 } else { HINTS_FROM + 1.0 };
@@ -423,7 +423,7 @@
     }
 }
 
-fn hint(name: &Name, standing: &Standing) -> Row {
+fn hint(name: &Name, standing: &ReportSummary) -> Row {
     Row {
         name: name.to_string(),
         grade: standing.grade,
--- a/crates/plan/src/services/subscriber/choice.rs
+++ b/crates/plan/src/services/subscriber/choice.rs
@@ -95,7 +95,7 @@
         self.current = Some(Current { planner, life, since: now });
     }
 
-    pub(super) fn failed(&mut self, now: Nanos, planner: usize) {
+    pub(super) fn connect_failed(&mut self, now: Nanos, planner: usize) {
         self.trying = self.trying.filter(|k| *k != planner);
         let Some(slot) = self.slots.get(planner).copied() else { return };
         let alone_at = now + self.spread(slot.pause);
@@ -104,9 +104,9 @@
     }
 
     /// It is there, and has no room or no time.
-    pub(super) fn crowded(&mut self, now: Nanos, planner: usize) {
+    pub(super) fn planner_at_capacity(&mut self, now: Nanos, planner: usize) {
         let pause = self.slots.get(planner).map_or(0, |slot| slot.pause.max(CROWDED_FIRST));
-        self.failed(now, planner);
+        self.connect_failed(now, planner);
         if self.current.is_some() {
             return;
         }
@@ -116,7 +116,7 @@
         }
     }
 
-    pub(super) fn lost(&mut self, now: Nanos, planner: usize) {
+    pub(super) fn connection_lost(&mut self, now: Nanos, planner: usize) {
         self.trying = self.trying.filter(|k| *k != planner);
         if self.planner() != Some(planner) {
             return;
--- a/crates/plan/src/services/subscriber/held.rs
+++ b/crates/plan/src/services/subscriber/held.rs
@@ -4,7 +4,7 @@
 use crate::grade;
 use crate::member::{Member, LONGEST_NAME};
 use crate::services::list_version::ListVersion;
-use crate::services::{digest, place};
+use crate::services::{digest, slice_index};
 use crate::wire::{Because, Changes, Piece, Row, Suspicion};
 use laurelroute_policy::interface::{Nanos, Phase};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -12,11 +12,11 @@
 /// Rows that one word on a service may have.
 const MOST_ROWS: usize = 4_096;
 /// Servers of one service: a slice has some dozens.
-const MOST_SERVERS: usize = 65_536;
+const MAX_SERVERS: usize = 65_536;
 /// How long the largest number of subscribers counts: after a planner's start fewer are known than there are.
 const REMEMBER: Nanos = 60_000_000_000;
 /// Servers that have left and are remembered for planners with an earlier list.
-const MOST_LEFT: usize = 1_024;
+const MAX_REMOVED: usize = 1_024;
 
 /// A server that has left.
 #[derive(Clone, Debug)]
@@ -117,7 +117,7 @@
             _ if changes.base != 0 && !(mine && changes.base <= self.version) => return Err(Because::Base),
             _ => {}
         }
-        if self.servers.len() + rows.len() > MOST_SERVERS {
+        if self.servers.len() + rows.len() > MAX_SERVERS {
             return Err(Because::Nonsense);
         }
         for (row, member) in rows {
@@ -167,7 +167,7 @@
         }
         let (slice, slices) = (changes.slice as usize, changes.slices as usize);
         let other: Vec<String> =
-            self.servers.keys().filter(|name| place(name, slices) != slice).cloned().collect();
+            self.servers.keys().filter(|name| slice_index(name, slices) != slice).cloned().collect();
         // They have not left the list: no planner is to be told so.
         let mut moved = VecDeque::new();
         other.iter().for_each(|name| self.remove(now, source, name, changed, &mut moved));
@@ -203,7 +203,7 @@
             }
             return;
         };
-        let digest = digest::of(&member);
+        let digest = digest::member_digest(&member);
         let before = self.servers.get(&row.name);
         changed.hints |=
             before.map_or((0, Suspicion::None), |s| (s.grade, s.suspicion)) != (row.grade, suspicion);
@@ -229,7 +229,7 @@
         if server.member.server.phase == Phase::Draining {
             left.push_back(Left { name: name.to_owned(), started_at, source, at: now });
         }
-        if left.len() > MOST_LEFT {
+        if left.len() > MAX_REMOVED {
             left.pop_front();
         }
         changed.members.insert(name.to_owned(), server.member.in_phase(Phase::Removed));
--- a/crates/plan/src/services/subscriber/mod.rs
+++ b/crates/plan/src/services/subscriber/mod.rs
@@ -7,10 +7,10 @@
 mod held;
 mod words;
 
-use super::publisher::{BEAT, FRAMING};
+use super::publisher::{FRAMING_BYTES, HEARTBEAT_INTERVAL};
 use crate::follower::Word;
 use crate::member::{Member, LONGEST_NAME};
-use crate::services::list_version::{History, ListVersion, Seen};
+use crate::services::list_version::{History, ListVersion, VersionDigest};
 use crate::wire::{Acknowledge, Because, Changes, Closed, Piece, Refused, Subscribe, Update};
 use choice::Choice;
 use held::{Held, Left};
@@ -21,15 +21,15 @@
 const MS: Nanos = 1_000_000;
 const S: Nanos = 1_000 * MS;
 /// Services that have been asked for and of which nothing has come yet. They are none of those that are held.
-pub const MOST_WAITING: usize = 1_024;
+pub const MAX_PENDING_SERVICES: usize = 1_024;
 /// A service of which nothing has come for so long, and that nobody asks for, is forgotten.
 const WAITS: Nanos = 10 * S;
 /// Names of services that do not exist.
-pub const MOST_UNKNOWN: usize = 4_096;
+pub const MAX_UNKNOWN_SERVICES: usize = 4_096;
 /// A use is noted at most this often: what is least used is told by seconds.
 const USE_STEP: Nanos = S;
 /// A planner whose list is earlier than what is held is believed after this: its source has lost its versions.
-const STUBBORN: Nanos = 9 * S;
+const STALE_LIST_TIMEOUT: Nanos = 9 * S;
 /// Before a service is asked for again that its planner has refused to know, or told badly.
 const AGAIN: Nanos = 5 * S;
 /// Bytes that a server takes here, about: in these tables, in the decision module and at the sockets.
@@ -39,12 +39,12 @@
 
 /// Versions of the list that a forwarder remembers, and the time between two of them: together well over the time by which
 /// one planner's list is later than another's.
-pub const MOST_FOLLOWED: usize = 24;
+pub const MAX_VERSION_HISTORY: usize = 24;
 const FOLLOW_STEP: Nanos = 400 * MS;
 
 /// A planner that has said nothing for so long is taken for lost: well above the beats that one misses which is met by a
 /// third of all forwarders at once.
-pub const SILENCE: Nanos = 6 * BEAT;
+pub const PLANNER_SILENCE_TIMEOUT: Nanos = 6 * HEARTBEAT_INTERVAL;
 
 /// What a subscriber is told at its start.
 #[derive(Clone, Debug, PartialEq)]
@@ -56,36 +56,36 @@
     /// The planners, known by their place here.
     pub planners: Vec<String>,
     /// Services held at most.
-    pub most_services: usize,
+    pub max_services: usize,
     /// Bytes that they may take at most, about.
-    pub most_bytes: usize,
+    pub max_bytes: usize,
     /// A service that no request has named for so long is dropped.
-    pub unused_after: Nanos,
+    pub unused_timeout: Nanos,
     /// That a service does not exist is remembered for so long.
-    pub unknown_for: Nanos,
+    pub unknown_ttl: Nanos,
     /// Bytes a second that it says.
     pub bytes_per_second: f64,
     /// Bytes beyond that at once, after a rest.
     pub burst: f64,
     /// Bytes a second that it takes; a planner that it comes to hears how many are left.
-    pub takes_per_second: f64,
+    pub receive_bytes_per_second: f64,
     /// Bytes beyond that at once, after a rest.
-    pub takes_burst: f64,
+    pub receive_burst: f64,
     /// Settles how it is spread out in time.
     pub seed: u64,
 }
 
 /// How a service stands here as a request names it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum ServiceStatus {
     /// Its servers are known: the request may go on.
-    Held,
+    Available,
     /// It has been subscribed to, and nothing has come yet.
-    Waiting,
+    Pending,
     /// There is no such service.
     Unknown,
     /// There is no room for it: all that is held is in use.
-    NoRoom,
+    AtCapacity,
 }
 
 /// What has changed for who sends requests.
@@ -115,7 +115,7 @@
 
 /// Counts for measurements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct Stats {
     /// Services held.
     pub services: usize,
     /// Servers held in them.
@@ -169,7 +169,7 @@
     changed: BTreeMap<String, held::Changed>,
     ended: Vec<Change>,
     reported: BTreeMap<String, (f32, bool)>,
-    figures: Figures,
+    stats: Stats,
 }
 
 impl Subscriber {
@@ -178,7 +178,7 @@
         Subscriber {
             choice: Choice::new(now, &settings.name, &settings.planners, settings.seed),
             tokens: settings.burst,
-            takes: settings.takes_burst,
+            takes: settings.receive_burst,
             tokens_at: now,
             settings,
             services: BTreeMap::new(),
@@ -193,7 +193,7 @@
             unwanted: BTreeSet::new(),
             again: BTreeSet::new(),
             left: VecDeque::new(),
-            history: History::new(MOST_FOLLOWED),
+            history: History::new(MAX_VERSION_HISTORY),
             noted_at: now,
             say_closed: false,
             say_allowance: false,
@@ -201,46 +201,46 @@
             changed: BTreeMap::new(),
             ended: Vec::new(),
             reported: BTreeMap::new(),
-            figures: Figures::default(),
+            stats: Stats::default(),
         }
     }
 
     // ---- Requests ----
 
     /// A request names this service: it is subscribed to where it is not, and counts as used now.
-    pub fn want(&mut self, now: Nanos, service: &str) -> Standing {
+    pub fn lookup(&mut self, now: Nanos, service: &str) -> ServiceStatus {
         if let Some(held) = self.services.get_mut(service) {
             if now.saturating_sub(held.used_at) >= USE_STEP {
                 self.by_use.remove(&(held.used_at, service.to_owned()));
                 held.used_at = now;
                 self.by_use.insert((now, service.to_owned()));
             }
-            return if held.known { Standing::Held } else { Standing::Waiting };
+            return if held.known { ServiceStatus::Available } else { ServiceStatus::Pending };
         }
         if self.unknown.get(service).is_some_and(|until| now < *until) {
-            return Standing::Unknown;
+            return ServiceStatus::Unknown;
         }
         if service.len() > LONGEST_NAME {
-            return Standing::Unknown;
+            return ServiceStatus::Unknown;
         }
-        if self.waiting >= MOST_WAITING {
-            return Standing::NoRoom;
+        if self.waiting >= MAX_PENDING_SERVICES {
+            return ServiceStatus::AtCapacity;
         }
         self.unwanted.remove(service);
         self.services.insert(service.to_owned(), Held::new(now));
         self.by_use.insert((now, service.to_owned()));
         self.waiting += 1;
         self.to_ask.push_back(service.to_owned());
-        Standing::Waiting
+        ServiceStatus::Pending
     }
 
-    /// A request of this service is under way (also while it waits): the service is not dropped before it has `ended`.
-    pub fn began(&mut self, service: &str) {
+    /// A request of this service is under way (also while it waits): the service is not dropped before it has `request_finished`.
+    pub fn request_started(&mut self, service: &str) {
         *self.under_way.entry(service.to_owned()).or_insert(0) += 1;
     }
 
     /// A request of this service is no longer under way.
-    pub fn ended(&mut self, _now: Nanos, service: &str) {
+    pub fn request_finished(&mut self, _now: Nanos, service: &str) {
         let Some(requests) = self.under_way.get_mut(service) else { return };
         *requests -= 1;
         if *requests == 0 {
@@ -252,9 +252,9 @@
 
     // ---- Planners ----
 
-    /// The planner to connect to now, if there is one: to be asked some times a second. Until `connected` or `failed` is
+    /// The planner to connect to now, if there is one: to be asked some times a second. Until `connected` or `connect_failed` is
     /// told for it, no other is named. One that is connected already may be left for a better one: `connected` then
-    /// replaces it, and the connection to the former is to be closed once `last_word` is sent there.
+    /// replaces it, and the connection to the former is to be closed once `leave_message` is sent there.
     pub fn try_next(&mut self, now: Nanos) -> Option<usize> {
         self.choice.try_next(now)
     }
@@ -272,18 +272,18 @@
     }
 
     /// It could not be reached.
-    pub fn failed(&mut self, now: Nanos, planner: usize) {
-        self.choice.failed(now, planner);
+    pub fn connect_failed(&mut self, now: Nanos, planner: usize) {
+        self.choice.connect_failed(now, planner);
     }
 
     /// It was reached, and had no room or no time: it is left in peace for longer.
-    pub fn crowded(&mut self, now: Nanos, planner: usize) {
-        self.choice.crowded(now, planner);
+    pub fn planner_at_capacity(&mut self, now: Nanos, planner: usize) {
+        self.choice.planner_at_capacity(now, planner);
     }
 
     /// The connection to it is lost. All that is held stays.
-    pub fn lost(&mut self, now: Nanos, planner: usize) {
-        self.choice.lost(now, planner);
+    pub fn connection_lost(&mut self, now: Nanos, planner: usize) {
+        self.choice.connection_lost(now, planner);
     }
 
     /// The planner that it is connected to.
@@ -292,7 +292,7 @@
     }
 
     /// What to say to a planner that is left on purpose.
-    pub fn last_word() -> Subscribe {
+    pub fn leave_message() -> Subscribe {
         Subscribe { leaving: true, ..Subscribe::default() }
     }
 
@@ -301,8 +301,8 @@
     /// Takes in an update, service by service; what is refused changes nothing. `None` where it needs no answer.
     pub fn receive(&mut self, now: Nanos, planner: usize, update: &Update) -> Option<Acknowledge> {
         self.refill(now);
-        let size = update.encoded_len() + FRAMING;
-        self.figures.received += size as u64;
+        let size = update.encoded_len() + FRAMING_BYTES;
+        self.stats.received += size as u64;
         self.takes -= size as f64;
         let life = self.choice.heard(now, planner)?;
         // A planner that does not count epochs is compared by its numbers alone.
@@ -330,8 +330,8 @@
             }
         }
         if because == Because::Taken && update.epoch > 0 {
-            self.follow(now, Seen { version: source, digest: update.list_digest });
-            self.say_closed |= source < self.newest() && !self.choice.insists(now, STUBBORN);
+            self.follow(now, VersionDigest { version: source, digest: update.list_digest });
+            self.say_closed |= source < self.newest() && !self.choice.insists(now, STALE_LIST_TIMEOUT);
         }
         let refused = refused.into_iter();
         let refused = refused.map(|(s, b)| Refused { service: s.to_owned(), because: b as i32 }).collect();
@@ -339,14 +339,14 @@
         if update.number == 0 {
             return None;
         }
-        let size = answer.encoded_len() + FRAMING;
-        self.figures.sent += size as u64;
+        let size = answer.encoded_len() + FRAMING_BYTES;
+        self.stats.sent += size as u64;
         self.tokens -= size as f64;
         Some(answer)
     }
 
     /// Notes a version of the list that the planner goes by, some times a second and where the epoch changes.
-    fn follow(&mut self, now: Nanos, seen: Seen) {
+    fn follow(&mut self, now: Nanos, seen: VersionDigest) {
         let last = self.history.iter().next_back().map(|last| last.version.epoch);
         if last != Some(seen.version.epoch) || now >= self.noted_at + FOLLOW_STEP {
             self.history.push(seen);
@@ -365,7 +365,7 @@
         (life, source): (u64, ListVersion),
         changes: &Changes,
     ) -> Result<(), Because> {
-        let insists = self.choice.insists(now, STUBBORN);
+        let insists = self.choice.insists(now, STALE_LIST_TIMEOUT);
         let planners = self.settings.planners.len().max(1) as u32;
         // Dropped since it was asked for: it does not count as in force here.
         let Some(held) = self.services.get_mut(&changes.service) else { return Err(Because::Unwanted) };
@@ -420,10 +420,10 @@
         } else {
             Change::Unknown(service.to_owned())
         });
-        let until = now + self.settings.unknown_for;
+        let until = now + self.settings.unknown_ttl;
         self.unknown.insert(service.to_owned(), until);
         self.unknown_order.push_back((until, service.to_owned()));
-        while self.unknown_order.len() > MOST_UNKNOWN {
+        while self.unknown_order.len() > MAX_UNKNOWN_SERVICES {
             self.forget_unknown();
         }
     }
@@ -439,7 +439,7 @@
     /// there is nothing to drop, the one that has just come goes.
     fn make_room(&mut self, newcomer: &str) {
         let over = |s: &Self| {
-            s.services.len() - s.waiting > s.settings.most_services || s.bytes > s.settings.most_bytes
+            s.services.len() - s.waiting > s.settings.max_services || s.bytes > s.settings.max_bytes
         };
         while over(self) {
             let idle = |(_, name): &&(Nanos, String)| name != newcomer && self.rests(name);
@@ -496,10 +496,10 @@
             }
         }
         // Those that wait are used for less long than the others: both are looked for from the least used on.
-        let wait = WAITS.min(self.settings.unused_after);
+        let wait = WAITS.min(self.settings.unused_timeout);
         let old = self.by_use.iter().take_while(|(at, _)| now.saturating_sub(*at) >= wait);
         let gone = |(at, name): &&(Nanos, String)| {
-            let long = now.saturating_sub(*at) >= self.settings.unused_after;
+            let long = now.saturating_sub(*at) >= self.settings.unused_timeout;
             let idle = !self.under_way.contains_key(name);
             idle && self.services.get(name).is_some_and(|h| long || !h.known)
         };
@@ -536,13 +536,13 @@
     }
 
     /// Counts for measurements.
-    pub fn figures(&self) -> Figures {
-        Figures {
+    pub fn stats(&self) -> Stats {
+        Stats {
             services: self.services.len() - self.waiting,
             servers: self.servers,
             bytes: self.bytes,
             unknown: self.unknown.len(),
-            ..self.figures
+            ..self.stats
         }
     }
 }
--- a/crates/plan/src/services/subscriber/words.rs
+++ b/crates/plan/src/services/subscriber/words.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::reporter::seen;
-use crate::services::list_version::Seen;
+use crate::services::list_version::VersionDigest;
 use crate::wire::{Followed, Interest, Report};
 use laurelroute_policy::interface::ServerObservation;
 
@@ -26,15 +26,15 @@
         self.tokens_at = self.tokens_at.max(now);
         let settings = &self.settings;
         self.tokens = (self.tokens + elapsed * settings.bytes_per_second).min(settings.burst);
-        self.takes = (self.takes + elapsed * settings.takes_per_second).min(settings.takes_burst);
+        self.takes = (self.takes + elapsed * settings.receive_bytes_per_second).min(settings.receive_burst);
     }
 
     fn say(&mut self, size: usize) {
-        self.tokens -= (size + FRAMING) as f64;
-        self.figures.sent += (size + FRAMING) as u64;
+        self.tokens -= (size + FRAMING_BYTES) as f64;
+        self.stats.sent += (size + FRAMING_BYTES) as u64;
     }
 
-    /// What to say to the planner now, if anything: to be asked after `want` and some times a second, until there is nothing.
+    /// What to say to the planner now, if anything: to be asked after `lookup` and some times a second, until there is nothing.
     pub fn next_subscribe(&mut self, now: Nanos) -> Option<Subscribe> {
         self.planner()?;
         self.refill(now);
@@ -141,6 +141,6 @@
     }
 }
 
-fn followed(seen: &Seen) -> Followed {
+fn followed(seen: &VersionDigest) -> Followed {
     Followed { epoch: seen.version.epoch, number: seen.version.number, digest: seen.digest }
 }
--- a/crates/rig/src/capacity/services.rs
+++ b/crates/rig/src/capacity/services.rs
@@ -5,8 +5,8 @@
 use super::{count, Measured, ALLOCATOR, CPU, LENGTH, SIMULATED};
 use crate::report::Failure;
 use laurelroute_plan::member::Member;
-use laurelroute_plan::services::publisher::{self, Listed, Publisher, FRAMING};
-use laurelroute_plan::services::subscriber::{self, Standing, Subscriber};
+use laurelroute_plan::services::publisher::{self, ListedServer, Publisher, FRAMING_BYTES};
+use laurelroute_plan::services::subscriber::{self, ServiceStatus, Subscriber};
 use laurelroute_policy::interface::{Nanos, Phase};
 use prost::Message;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -34,14 +34,14 @@
 }
 
 /// A server of the number; its name and address follow no order, as those of real ones do not: what is in order packs too well.
-fn listed(k: usize, services: usize, phase: Phase) -> Listed {
+fn listed(k: usize, services: usize, phase: Phase) -> ListedServer {
     let (service, drawn) = (service(k % services), laurelroute_core::stable_hash(&k.to_be_bytes()));
     let address = Ipv4Addr::from(0x0a00_0000 | (drawn as u32 & 0x00ff_ffff));
     let member = Member {
         addresses: vec![Some(SocketAddr::from((address, 8080)))],
         ..Member::warm(&format!("{service}-{:08x}", drawn >> 32))
     };
-    Listed { services: vec![service], member: member.in_phase(phase) }
+    ListedServer { services: vec![service], member: member.in_phase(phase) }
 }
 
 /// A planner with so many servers in services of 27.
@@ -56,9 +56,9 @@
     fn new(servers: usize, services: usize) -> Planner {
         let settings = publisher::Settings {
             site: "capacity".into(),
-            life: 1,
+            incarnation: 1,
             planners: 3,
-            most_forwarders: 2_100,
+            max_forwarders: 2_100,
             bytes_per_second: 7_000.0,
             burst: 36_000.0,
             drain_bytes_per_second: 1_500.0,
@@ -66,13 +66,13 @@
         };
         let mut publisher = Publisher::new(S, settings);
         let all = (0..servers).map(|k| listed(k, services, Phase::Ready)).collect();
-        publisher.list(S, 1, true, all);
+        publisher.apply_list(S, 1, true, all);
         Planner { publisher, services, version: 1, now: S }
     }
 
     fn change(&mut self, server: usize, phase: Phase) {
         self.version += 1;
-        self.publisher.list(self.now, self.version, false, vec![listed(server, self.services, phase)]);
+        self.publisher.apply_list(self.now, self.version, false, vec![listed(server, self.services, phase)]);
     }
 }
 
@@ -91,21 +91,21 @@
             name: name.clone(),
             site: "capacity".into(),
             planners: vec!["p0".into()],
-            most_services: 10_000,
-            most_bytes: 256 << 20,
-            unused_after: PATIENCE * 2,
-            unknown_for: 30 * S,
+            max_services: 10_000,
+            max_bytes: 256 << 20,
+            unused_timeout: PATIENCE * 2,
+            unknown_ttl: 30 * S,
             bytes_per_second: 1_500.0,
             burst: 8_000.0,
-            takes_per_second: 7_000.0,
-            takes_burst: 36_000.0,
+            receive_bytes_per_second: 7_000.0,
+            receive_burst: 36_000.0,
             seed: k as u64 + 1,
         };
         Forwarder { subscriber: Subscriber::new(S, settings), name, bytes: 0 }
     }
 
     fn connect(&mut self, planner: &mut Planner) -> Result<(), Failure> {
-        planner.publisher.joined(planner.now, &self.name, 0)?;
+        planner.publisher.forwarder_connected(planner.now, &self.name, 0)?;
         self.subscriber.connected(planner.now, 0, 1);
         Ok(())
     }
@@ -118,7 +118,7 @@
             any = true;
         }
         while let Some(update) = planner.publisher.next_update(now, &self.name)? {
-            self.bytes += update.encoded_len() + FRAMING;
+            self.bytes += update.encoded_len() + FRAMING_BYTES;
             any |= update.number > 0;
             if let Some(answer) = self.subscriber.receive(now, 0, &update) {
                 planner.publisher.acknowledge(now, &self.name, &answer);
@@ -154,7 +154,11 @@
         let names: Vec<String> = wanted.iter().map(|k| service(*k)).collect();
         self.until(planner, |subscriber, planner| {
             // As requests name them again and again.
-            names.iter().filter(|name| subscriber.want(planner.now, name) != Standing::Held).count() == 0
+            names
+                .iter()
+                .filter(|name| subscriber.lookup(planner.now, name) != ServiceStatus::Available)
+                .count()
+                == 0
         })
     }
 }
@@ -200,7 +204,7 @@
         for forwarder in &mut forwarders {
             while forwarder.talk(&mut planner)? {}
         }
-        let before = planner.publisher.figures().steps;
+        let before = planner.publisher.stats().steps;
         let (mut next, mut failed) = (0, None);
         // Servers of the service that all twenty use drain, one after another.
         let change = count::counted(8, || {
@@ -214,7 +218,7 @@
             return Err(failure);
         }
         allocations.add(servers, change.allocations);
-        steps.add(servers, (planner.publisher.figures().steps - before) as f64 / 8.0);
+        steps.add(servers, (planner.publisher.stats().steps - before) as f64 / 8.0);
         cpu.add(servers, change.cpu);
     }
     Ok(vec![held, list_cpu, allocations, steps, cpu])
@@ -284,7 +288,7 @@
                     subscriber.changes();
                 })?;
                 all += counted.allocations;
-                said += update.encoded_len() + FRAMING;
+                said += update.encoded_len() + FRAMING_BYTES;
                 if let Some(answer) = answer {
                     planner.publisher.acknowledge(planner.now, &forwarder.name, &answer);
                 }
@@ -292,7 +296,7 @@
         }
         allocations.add(count, all / 8.0);
         one.add(count, (forwarder.bytes - before + said) as f64 / 8.0);
-        planner.publisher.left(planner.now, &forwarder.name);
+        planner.publisher.forwarder_disconnected(planner.now, &forwarder.name);
     }
     Ok(vec![held, bytes, ready, allocations, one])
 }
@@ -309,7 +313,7 @@
         forwarder.connect(&mut planner)?;
         forwarder.hold(&mut planner, &[0])?;
         bytes.add(count, forwarder.bytes as f64);
-        rows.add(count, forwarder.subscriber.figures().servers as f64);
+        rows.add(count, forwarder.subscriber.stats().servers as f64);
     }
     Ok(vec![bytes, rows])
 }
@@ -328,8 +332,8 @@
         let mut forwarder = Forwarder::new(0);
         forwarder.connect(&mut planner)?;
         forwarder.hold(&mut planner, &wanted)?;
-        forwarder.subscriber.lost(planner.now, 0);
-        planner.publisher.left(planner.now, &forwarder.name);
+        forwarder.subscriber.connection_lost(planner.now, 0);
+        planner.publisher.forwarder_disconnected(planner.now, &forwarder.name);
         let changes = (away as f64 * CHANGES_A_SECOND) as usize;
         let step = away as Nanos * S / changes.max(1) as Nanos;
         for k in 0..changes {
@@ -348,7 +352,7 @@
         let lasted = forwarder.until(&mut planner, |subscriber, planner| {
             wanted.iter().all(|k| {
                 let service = service(*k);
-                let planned = planner.publisher.slice_for(&name, &service);
+                let planned = planner.publisher.assigned_members(&name, &service);
                 planned.is_some() && planned == subscriber.members_of(&service)
             })
         })?;
--- a/crates/rig/src/scale_out/hollow.rs
+++ b/crates/rig/src/scale_out/hollow.rs
@@ -11,7 +11,7 @@
 use laurelroute_channel::subscription::{SessionError, Subscribing};
 use laurelroute_channel::tls::Tls;
 use laurelroute_plan::scramble;
-use laurelroute_plan::services::subscriber::{Change, Settings, Standing, Subscriber};
+use laurelroute_plan::services::subscriber::{Change, ServiceStatus, Settings, Subscriber};
 use laurelroute_plan::wire::{Hello, Role};
 use laurelroute_policy::interface::Nanos;
 use laurelroute_rig::scale_model::awaited::{Awaited, State};
@@ -206,14 +206,14 @@
             name: format!("node-{node:04}"),
             site: SITE.to_owned(),
             planners: self.planners.iter().map(SocketAddr::to_string).collect(),
-            most_services: 1_000,
-            most_bytes: 24 << 20,
-            unused_after: 600 * S,
-            unknown_for: 10 * S,
+            max_services: 1_000,
+            max_bytes: 24 << 20,
+            unused_timeout: 600 * S,
+            unknown_ttl: 10 * S,
             bytes_per_second: 1_500.0,
             burst: 8_000.0,
-            takes_per_second: 7_000.0,
-            takes_burst: 36_000.0,
+            receive_bytes_per_second: 7_000.0,
+            receive_burst: 36_000.0,
             seed,
         };
         let life = Rc::new(Life {
@@ -298,8 +298,9 @@
                 let names: Vec<usize> =
                     fresh.chain(known).filter_map(|k| life.uses.get(k)).copied().collect();
                 for service in names {
-                    let standing = life.subscriber.borrow_mut().want(self.time.now(), &service_name(service));
-                    if standing == Standing::Waiting {
+                    let standing =
+                        life.subscriber.borrow_mut().lookup(self.time.now(), &service_name(service));
+                    if standing == ServiceStatus::Pending {
                         life.wanted.notify_one();
                     }
                 }
@@ -374,7 +375,7 @@
         for (number, node) in self.nodes.borrow().iter() {
             let Some((life, _)) = &node.life else { continue };
             let subscriber = life.subscriber.borrow();
-            let figures = subscriber.figures();
+            let figures = subscriber.stats();
             running += 1;
             connected += usize::from(subscriber.planner().is_some());
             named += life.uses.len();
--- a/crates/simulation/src/services/app.rs
+++ b/crates/simulation/src/services/app.rs
@@ -6,7 +6,7 @@
 use crate::{Nanos, MS, S};
 use laurelroute_plan::member::Member;
 use laurelroute_plan::services::list_version::ListVersion;
-use laurelroute_plan::services::subscriber::{Change, Standing};
+use laurelroute_plan::services::subscriber::{Change, ServiceStatus};
 use laurelroute_plan::wire::{Changes, Piece, Subscribe, Update};
 use laurelroute_policy::interface::{Phase, Server, ServerObservation, ATTEMPT_OUTCOMES};
 use prost::Message as _;
@@ -140,7 +140,7 @@
         let app = &mut forwarder.app;
         for changes in &services(update) {
             // A list that is earlier than the one held, by its number: its planner may be late, so that it counts only where it
-            // insists (see `STUBBORN` in the machines).
+            // insists (see `STALE_LIST_TIMEOUT` in the machines).
             let Some(held) = subscriber.list_version_of(&changes.service) else { continue };
             let late = ListVersion { epoch: update.epoch, number: update.source } < held;
             let of = |server: &str| (changes.service.clone(), server.to_owned());
@@ -236,13 +236,13 @@
     pub(super) fn ask(&mut self, f: usize, service: &str) {
         let (now, life) = (self.now, self.forwarders[f].life);
         let Some(subscriber) = &mut self.forwarders[f].subscriber else { return };
-        let standing = subscriber.want(now, service);
+        let standing = subscriber.lookup(now, service);
         self.figures.requests += 1;
         self.heed(f);
         let app = &mut self.forwarders[f].app;
         app.last_used.insert(service.to_owned(), now);
         let lasts = match standing {
-            Standing::Held => {
+            ServiceStatus::Available => {
                 app.waiting.remove(service);
                 let known = app.held.contains_key(service);
                 let long = if app.draw.chance(0.05) { 6_000 } else { 400 };
@@ -252,23 +252,23 @@
                 }
                 lasts
             }
-            Standing::Waiting => {
+            ServiceStatus::Pending => {
                 app.waiting.entry(service.to_owned()).or_insert(now);
                 app.draw.between(200, 2_000) * MS
             }
-            Standing::Unknown => {
+            ServiceStatus::Unknown => {
                 app.waiting.remove(service);
                 self.figures.unknown += 1;
                 return;
             }
-            Standing::NoRoom => {
+            ServiceStatus::AtCapacity => {
                 self.figures.no_room += 1;
                 return self.look_at_no_room(f, service);
             }
         };
         *self.forwarders[f].app.open.entry(service.to_owned()).or_insert(0) += 1;
         if let Some(subscriber) = &mut self.forwarders[f].subscriber {
-            subscriber.began(service);
+            subscriber.request_started(service);
         }
         self.at(now + lasts, Event::Ended(f, life, service.to_owned()));
     }
@@ -283,7 +283,7 @@
             }
         }
         if let Some(subscriber) = &mut self.forwarders[f].subscriber {
-            subscriber.ended(now, service);
+            subscriber.request_finished(now, service);
         }
         self.heed(f);
     }
--- a/crates/simulation/src/services/check.rs
+++ b/crates/simulation/src/services/check.rs
@@ -5,8 +5,8 @@
 use super::{BURST, DRAIN_BURST, DRAIN_RATE, RATE, SAY_BURST, SAY_RATE, WINDOW};
 use crate::{Nanos, MS, S};
 use laurelroute_plan::member::Member;
-use laurelroute_plan::services::place;
-use laurelroute_plan::services::publisher::{Listed, LONGEST_UPDATE, MOST_LEFT};
+use laurelroute_plan::services::publisher::{ListedServer, MAX_REMOVED, MAX_UPDATE_BYTES};
+use laurelroute_plan::services::slice_index;
 use laurelroute_policy::interface::Phase;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -30,7 +30,7 @@
 
 /// Whether a server belongs to a slice.
 fn in_slice(server: &str, (slice, slices): (u32, u32)) -> bool {
-    slices <= 1 || place(server, slices as usize) == slice as usize
+    slices <= 1 || slice_index(server, slices as usize) == slice as usize
 }
 
 impl World {
@@ -77,16 +77,16 @@
     fn planned(&self, c: usize, service: &str) -> Option<(u32, u32)> {
         let connection = &self.connections[c];
         let publisher = self.planners[connection.planner].publisher.as_ref()?;
-        let slice = publisher.slice_for(&name(connection.forwarder), service)?;
+        let slice = publisher.assigned_members(&name(connection.forwarder), service)?;
         let all = publisher.members_of(service);
         let first = slice.first()?;
         let alike = |n: &u32| {
-            let k = place(&first.name, *n as usize);
-            let of = |m: &&&Member| place(&m.name, *n as usize) == k;
+            let k = slice_index(&first.name, *n as usize);
+            let of = |m: &&&Member| slice_index(&m.name, *n as usize) == k;
             slice.iter().filter(of).count() == slice.len() && all.iter().filter(of).count() == slice.len()
         };
         let slices = (0..12).map(|n| 1 << n).find(alike)?;
-        Some((place(&first.name, slices as usize) as u32, slices))
+        Some((slice_index(&first.name, slices as usize) as u32, slices))
     }
 
     /// Looks at where changes are said to be in force.
@@ -98,9 +98,10 @@
         let planner = &self.planners[p];
         let Some(publisher) = &planner.publisher else { return };
         for heard in &mut changes {
-            let Some(said) = publisher.in_force(heard.version) else { continue };
-            let complete = said.since.is_some() || said.at == said.of && said.of > 0;
-            let (of, at) = (said.of, said.at);
+            let Some(said) = publisher.rollout_status(heard.version) else { continue };
+            let complete = said.completed_at.is_some()
+                || said.acknowledged == said.subscriptions && said.subscriptions > 0;
+            let (of, at) = (said.subscriptions, said.acknowledged);
             // What is said again is looked at again, if not each time.
             let again = |(o, a, c, looked)| (o, a, c) == (of, at, complete) && now < looked + AGAIN;
             if heard.said.is_some_and(again) {
@@ -130,26 +131,26 @@
                         Some(server) if complete && connection.open[1] => broken.push(format!(
                             "change {} is said to be in force ({} of {}) by planner {p}; {} lacks `{server}` of `{service}`",
                             heard.version,
-                            said.at,
-                            said.of,
+                            said.acknowledged,
+                            said.subscriptions,
                             name(*f)
                         )),
                         Some(_) => {}
                     }
                 }
             }
-            if said.of > may.len() {
+            if said.subscriptions > may.len() {
                 broken.push(format!(
                     "planner {p} counts {} that use change {}, and {} are subscribed: {may:?}",
-                    said.of,
+                    said.subscriptions,
                     heard.version,
                     may.len(),
                 ));
             }
-            if said.at > has.len() {
+            if said.acknowledged > has.len() {
                 broken.push(format!(
                     "planner {p} counts {} that have change {}, and {} have it, without {:?}",
-                    said.at,
+                    said.acknowledged,
                     heard.version,
                     has.len(),
                     may.difference(&has).collect::<Vec<_>>()
@@ -186,7 +187,7 @@
                 ));
             }
         }
-        let figures = subscriber.figures();
+        let figures = subscriber.stats();
         let most = self.schedule.most;
         if figures.services > most.0 || figures.bytes > most.1 {
             // Those that have requests under way are never dropped.
@@ -232,7 +233,7 @@
         let late = |at: &Nanos| now + S < at + self.schedule.unused_after;
         let used = |s: &str| app.open.contains_key(s) || app.last_used.get(s).is_some_and(late);
         let ended = |p: usize| {
-            let serves = |l: &Listed| services_of(l).contains(&service);
+            let serves = |l: &ListedServer| services_of(l).contains(&service);
             !self.planners[p].feed.state.values().any(serves)
         };
         let connection = self.forwarders[f].connection.map(|c| self.connections[c].planner);
@@ -249,8 +250,9 @@
         let (mut services, mut bytes) = (0, 0);
         for one in wanted {
             services += 1;
-            let serves =
-                |l: &&laurelroute_plan::services::publisher::Listed| services_of(l).contains(&one.as_str());
+            let serves = |l: &&laurelroute_plan::services::publisher::ListedServer| {
+                services_of(l).contains(&one.as_str())
+            };
             // A slice has some 64 servers at most.
             bytes += 8_000 + 1_200 * self.source.servers.values().filter(serves).count().min(80);
         }
@@ -266,7 +268,7 @@
     pub(super) fn look_at_no_room(&mut self, f: usize, service: &str) {
         let app = &self.forwarders[f].app;
         let Some(subscriber) = &self.forwarders[f].subscriber else { return };
-        let (figures, most) = (subscriber.figures(), self.schedule.most);
+        let (figures, most) = (subscriber.stats(), self.schedule.most);
         if app.open.len() < most.0 / 2 && figures.bytes < most.1 / 4 {
             let open = app.open.len();
             self.breaks(format!("{} has no room for `{service}`: {open} in use, {figures:?}", name(f)));
@@ -331,7 +333,7 @@
     /// Bytes of one forwarder's process over any window.
     pub(super) fn look_at_bytes(&mut self, f: usize) {
         let seconds = (WINDOW / S) as f64;
-        let got = (RATE + DRAIN_RATE) * seconds + BURST + DRAIN_BURST + LONGEST_UPDATE as f64;
+        let got = (RATE + DRAIN_RATE) * seconds + BURST + DRAIN_BURST + MAX_UPDATE_BYTES as f64;
         let gave = SAY_RATE * seconds + SAY_BURST + LONGEST_WORD;
         let forwarder = &mut self.forwarders[f];
         forwarder.got.sort_unstable();
@@ -379,7 +381,7 @@
                     state(odd),
                     subscriber.version_of(service),
                     publisher.source(),
-                    publisher.slice_for(&who, service).is_some()
+                    publisher.assigned_members(&who, service).is_some()
                 ));
             }
             let wanted = theirs.keys().filter(|name| in_slice(name, slice)).count();
@@ -430,15 +432,16 @@
                     ));
                 }
             }
-            let figures = publisher.figures();
+            let figures = publisher.stats();
             let slices = self.source.services.len() + figures.servers / 8;
-            if figures.left > MOST_LEFT * slices + figures.servers {
+            if figures.removed_servers > MAX_REMOVED * slices + figures.servers {
                 broken.push(format!("planner {p} remembers those that left without end: {figures:?}"));
             }
             let Some(last) = planner.changes.back() else { continue };
-            let Some(said) = publisher.in_force(last.version) else { continue };
-            use laurelroute_plan::services::publisher::Lag;
-            if let Some(lag) = said.lag.iter().find(|(_, lag)| !matches!(lag, Lag::Lost(_))) {
+            let Some(said) = publisher.rollout_status(last.version) else { continue };
+            use laurelroute_plan::services::publisher::LagReason;
+            if let Some(lag) = said.lagging.iter().find(|(_, lag)| !matches!(lag, LagReason::Disconnected(_)))
+            {
                 broken.push(format!("{lag:?} lags in change {} at planner {p}, at rest", last.version));
             }
         }
@@ -446,7 +449,8 @@
         for f in 0..self.forwarders.len() {
             let Some(subscriber) = &mut self.forwarders[f].subscriber else { continue };
             for (service, since) in self.source.alive.iter().filter(|(_, since)| *since + waits < now) {
-                if subscriber.want(now, service) == laurelroute_plan::services::subscriber::Standing::Unknown
+                if subscriber.lookup(now, service)
+                    == laurelroute_plan::services::subscriber::ServiceStatus::Unknown
                 {
                     broken.push(format!(
                         "{} knows nothing of `{service}`, there since {} ms",
--- a/crates/simulation/src/services/defect.rs
+++ b/crates/simulation/src/services/defect.rs
@@ -134,7 +134,7 @@
                         let row = changes.rows.remove(k);
                         let held = app.held.get(&changes.service).and_then(|s| s.get(&row.name));
                         let new = row.facts.and_then(|f| Member::from_facts(&row.name, &f).ok());
-                        let part = |m: Option<&Member>| m.map_or(0, digest::of);
+                        let part = |m: Option<&Member>| m.map_or(0, digest::member_digest);
                         let less = part(held).wrapping_sub(part(new.as_ref()));
                         self.lost.insert(key.clone(), (row.name, less));
                     }
--- a/crates/simulation/src/services/mod.rs
+++ b/crates/simulation/src/services/mod.rs
@@ -5,7 +5,7 @@
 //! lose, delay, break and come back. All of it is drawn from a seed, and what was so at which time is kept, so that the
 //! promises are held against that record:
 //!
-//! 1. five seconds after all is mended (and twice `STUBBORN` later where the source's versions had gone back) every forwarder is connected and holds of each of its services what its planner has;
+//! 1. five seconds after all is mended (and twice `STALE_LIST_TIMEOUT` later where the source's versions had gone back) every forwarder is connected and holds of each of its services what its planner has;
 //! 2. no server is used 250 ms after word came that it drains or is gone, and a later word is not undone by an earlier;
 //!    word of that goes ahead of all else;
 //! 3. no forwarder gets or says more bytes in ten seconds than its settings allow;
@@ -25,7 +25,7 @@
 pub use defect::Defect;
 
 use crate::{Nanos, MS, S};
-use laurelroute_plan::services::publisher::STUBBORN;
+use laurelroute_plan::services::publisher::STALE_LIST_TIMEOUT;
 use schedule::HEALED;
 use world::World;
 
@@ -111,7 +111,7 @@
         let mut forwarders = 0..world.forwarders.len();
         apart = forwarders.find_map(|f| world.apart(f).map(|apart| (f, apart))).map(|(f, apart)| {
             // Whether a planner is late or the source's versions went back is only seen by what comes of it in time.
-            let owed = HEALED + EQUAL + world.restarted_at.map_or(0, |_| 2 * STUBBORN);
+            let owed = HEALED + EQUAL + world.restarted_at.map_or(0, |_| 2 * STALE_LIST_TIMEOUT);
             let late = world.now >= owed;
             if late && !world.busy(f) || world.now >= HEALED + LATEST {
                 world.breaks(apart.clone());
@@ -124,7 +124,7 @@
     }
     let equal = world.now - HEALED;
     // It stays so.
-    let still = HEALED + EQUAL + world.restarted_at.map_or(0, |_| 2 * STUBBORN);
+    let still = HEALED + EQUAL + world.restarted_at.map_or(0, |_| 2 * STALE_LIST_TIMEOUT);
     world.run_until((still + S).max(world.now + S));
     if world.broken.is_empty() && apart.is_none() {
         if let Some(apart) = (0..world.forwarders.len()).find_map(|f| world.apart(f)) {
@@ -133,6 +133,6 @@
     }
     world.look_at_the_end();
     let publishers = world.planners.iter().filter_map(|p| p.publisher.as_ref());
-    world.figures.wholes = publishers.map(|p| p.figures().wholes).sum();
+    world.figures.wholes = publishers.map(|p| p.stats().snapshots).sum();
     Verdict { broken: world.broken, equal, figures: world.figures }
 }
--- a/crates/simulation/src/services/source.rs
+++ b/crates/simulation/src/services/source.rs
@@ -4,7 +4,7 @@
 use crate::draw::Draw;
 use crate::{Nanos, MS};
 use laurelroute_plan::member::Member;
-use laurelroute_plan::services::publisher::Listed;
+use laurelroute_plan::services::publisher::ListedServer;
 use laurelroute_policy::interface::Phase;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,7 +22,7 @@
     /// The source has just started: what it says is a whole.
     pub(super) whole: bool,
     /// Servers as they are from now on, those that left as gone. One may be named twice: the last counts.
-    pub(super) entries: Vec<Listed>,
+    pub(super) entries: Vec<ListedServer>,
 }
 
 /// A server at some time: nothing while it is not listed.
@@ -30,7 +30,7 @@
 pub(super) struct Was {
     /// The batch that made it so.
     pub(super) batch: usize,
-    pub(super) listed: Option<Listed>,
+    pub(super) listed: Option<ListedServer>,
 }
 
 /// The list's source.
@@ -39,9 +39,9 @@
     draw: Draw,
     pub(super) epoch: u32,
     pub(super) version: u64,
-    pub(super) servers: BTreeMap<String, Listed>,
+    pub(super) servers: BTreeMap<String, ListedServer>,
     /// Those that have left, for their return.
-    left: Vec<Listed>,
+    left: Vec<ListedServer>,
     /// Names of all services that there may be; requests are by their places.
     pub(super) services: Vec<String>,
     pub(super) log: Vec<Batch>,
@@ -58,7 +58,7 @@
 }
 
 /// A listed server's services; who says none serves the one without a name.
-pub(super) fn services_of(listed: &Listed) -> Vec<&str> {
+pub(super) fn services_of(listed: &ListedServer) -> Vec<&str> {
     match listed.services.is_empty() {
         true => vec![""],
         false => listed.services.iter().map(String::as_str).collect(),
@@ -66,14 +66,14 @@
 }
 
 /// Services and the server that an entry names.
-pub(super) fn named(listed: &Listed) -> Vec<(String, String)> {
+pub(super) fn named(listed: &ListedServer) -> Vec<(String, String)> {
     services_of(listed).into_iter().map(|s| (s.to_owned(), listed.member.name.clone())).collect()
 }
 
 /// Services and servers in which two lists differ.
 pub(super) fn differing(
-    before: &BTreeMap<String, Listed>,
-    after: &BTreeMap<String, Listed>,
+    before: &BTreeMap<String, ListedServer>,
+    after: &BTreeMap<String, ListedServer>,
 ) -> BTreeSet<(String, String)> {
     let names = before.keys().chain(after.keys()).filter(|name| before.get(*name) != after.get(*name));
     names.flat_map(|name| before.get(name).into_iter().chain(after.get(name))).flat_map(named).collect()
@@ -119,7 +119,7 @@
     }
 
     /// A server that has never been there.
-    fn fresh(&mut self, service: usize) -> Listed {
+    fn fresh(&mut self, service: usize) -> ListedServer {
         self.joined += 1;
         let name = match self.draw.below(300) {
             0 => long(&format!("server-{}-", self.joined)),
@@ -139,24 +139,24 @@
         if services.iter().any(String::is_empty) {
             services.clear();
         }
-        self.stamp(Listed { services, member })
+        self.stamp(ListedServer { services, member })
     }
 
     /// Marks a state as a new one.
-    fn stamp(&mut self, mut listed: Listed) -> Listed {
+    fn stamp(&mut self, mut listed: ListedServer) -> ListedServer {
         self.serial += 1;
         listed.member.server.size = self.serial as f32;
         listed
     }
 
-    fn in_phase(&mut self, listed: &Listed, phase: Phase) -> Listed {
+    fn in_phase(&mut self, listed: &ListedServer, phase: Phase) -> ListedServer {
         let listed =
-            Listed { services: listed.services.clone(), member: listed.member.clone().in_phase(phase) };
+            ListedServer { services: listed.services.clone(), member: listed.member.clone().in_phase(phase) };
         self.stamp(listed)
     }
 
     /// A listed server's place in the whole list is drawn alike, so that large services change most.
-    fn any(&mut self, phase: Option<Phase>) -> Option<Listed> {
+    fn any(&mut self, phase: Option<Phase>) -> Option<ListedServer> {
         for _ in 0..8 {
             let k = self.draw.below(self.servers.len().max(1));
             let listed = self.servers.values().nth(k)?;
@@ -176,7 +176,7 @@
         self.commit(now, entries, false);
     }
 
-    fn one(&mut self, now: Nanos, entries: &mut Vec<Listed>) {
+    fn one(&mut self, now: Nanos, entries: &mut Vec<ListedServer>) {
         let kind = self.draw.below(24);
         match kind {
             0..=3 => {
@@ -204,13 +204,15 @@
             13..=15 if !self.left.is_empty() => {
                 let k = self.draw.below(self.left.len());
                 let back = self.left.swap_remove(k);
-                let back =
-                    Listed { member: back.member.in_phase(Phase::Ready).started(now / MS * MS), ..back };
+                let back = ListedServer {
+                    member: back.member.in_phase(Phase::Ready).started(now / MS * MS),
+                    ..back
+                };
                 entries.push(self.stamp(back));
             }
             16 => {
                 let Some(listed) = self.any(Some(Phase::Ready)) else { return };
-                let again = Listed { member: listed.member.clone().started(now / MS * MS), ..listed };
+                let again = ListedServer { member: listed.member.clone().started(now / MS * MS), ..listed };
                 entries.push(self.stamp(again));
             }
             // A change and its opposite.
@@ -224,15 +226,15 @@
                 let phase = [Phase::Draining, Phase::Removed][self.draw.below(2)];
                 let (from, many) =
                     (self.draw.below(self.servers.len().max(1)), self.draw.between(5, 50) as usize);
-                let rack: Vec<Listed> = self.servers.values().skip(from).take(many).cloned().collect();
+                let rack: Vec<ListedServer> = self.servers.values().skip(from).take(many).cloned().collect();
                 rack.iter().for_each(|listed| entries.push(self.in_phase(listed, phase)));
             }
             // A service ends, or comes again.
             20 => {
                 let k = self.draw.below(self.services.len());
                 let service = self.services[k].clone();
-                let serves = |l: &&Listed| services_of(l).contains(&service.as_str());
-                let of: Vec<Listed> = self.servers.values().filter(serves).cloned().collect();
+                let serves = |l: &&ListedServer| services_of(l).contains(&service.as_str());
+                let of: Vec<ListedServer> = self.servers.values().filter(serves).cloned().collect();
                 match of.len() {
                     0 => (0..self.draw.between(1, 6)).for_each(|_| entries.push(self.fresh(k))),
                     1..=20 => {
@@ -277,7 +279,7 @@
                     (Some(state), is) if is != Some(state) => entries.push(state.clone()),
                     (None, Some(is)) => {
                         let gone = is.member.clone().in_phase(Phase::Removed);
-                        entries.push(Listed { services: is.services.clone(), member: gone });
+                        entries.push(ListedServer { services: is.services.clone(), member: gone });
                     }
                     _ => {}
                 }
@@ -286,7 +288,7 @@
         self.commit(now, entries, true);
     }
 
-    fn commit(&mut self, now: Nanos, entries: Vec<Listed>, whole: bool) {
+    fn commit(&mut self, now: Nanos, entries: Vec<ListedServer>, whole: bool) {
         self.version += 1;
         let batch = self.log.len();
         for listed in &entries {
@@ -339,7 +341,7 @@
     /// Batches heard.
     pub(super) heard: usize,
     /// What is known from them.
-    pub(super) state: BTreeMap<String, Listed>,
+    pub(super) state: BTreeMap<String, ListedServer>,
     /// The next word is a whole.
     pub(super) whole: bool,
     pub(super) frozen: bool,
@@ -350,7 +352,7 @@
     /// Takes in a batch; services and servers that it changed, by name.
     pub(super) fn apply(&mut self, batch: &Batch) -> BTreeSet<(String, String)> {
         let mut touched = BTreeSet::new();
-        let mut before: BTreeMap<&str, Option<Listed>> = BTreeMap::new();
+        let mut before: BTreeMap<&str, Option<ListedServer>> = BTreeMap::new();
         for listed in &batch.entries {
             let name = &listed.member.name;
             let old = match listed.member.server.phase {
--- a/crates/simulation/src/services/world.rs
+++ b/crates/simulation/src/services/world.rs
@@ -297,7 +297,7 @@
             let batch = &self.source.log[k];
             let touched = feed.apply(batch);
             if !whole {
-                publisher.list(now, batch.version, false, batch.entries.clone());
+                publisher.apply_list(now, batch.version, false, batch.entries.clone());
                 let named = batch.entries.iter().flat_map(super::source::named).chain(touched.clone());
                 let named = named.map(|(service, _)| service).collect();
                 heard.push(Heard::new(batch.version, k, touched, named, whole));
@@ -307,7 +307,7 @@
             feed.whole = false;
             planner.changes.clear();
             let (batch, version) = (feed.heard - 1, self.source.log[feed.heard - 1].version);
-            let dropped = publisher.list(now, version, true, feed.state.values().cloned().collect());
+            let dropped = publisher.apply_list(now, version, true, feed.state.values().cloned().collect());
             if dropped != publisher::Dropped::default() {
                 self.broken.push(format!("seed {}: {dropped:?}", self.seed));
             }
@@ -357,9 +357,9 @@
             now,
             publisher::Settings {
                 site: SITE.to_owned(),
-                life: planner.life,
+                incarnation: planner.life,
                 planners,
-                most_forwarders: self.schedule.forwarders,
+                max_forwarders: self.schedule.forwarders,
                 bytes_per_second: super::RATE,
                 burst: super::BURST,
                 drain_bytes_per_second: super::DRAIN_RATE,
@@ -398,14 +398,14 @@
             name: name(f),
             site: SITE.to_owned(),
             planners: (0..self.planners.len()).map(|p| format!("planner-{p}")).collect(),
-            most_services: self.schedule.most.0,
-            most_bytes: self.schedule.most.1,
-            unused_after: self.schedule.unused_after,
-            unknown_for: self.schedule.unknown_for,
+            max_services: self.schedule.most.0,
+            max_bytes: self.schedule.most.1,
+            unused_timeout: self.schedule.unused_after,
+            unknown_ttl: self.schedule.unknown_for,
             bytes_per_second: super::SAY_RATE,
             burst: super::SAY_BURST,
-            takes_per_second: super::RATE,
-            takes_burst: super::BURST,
+            receive_bytes_per_second: super::RATE,
+            receive_burst: super::BURST,
             seed: self.draw.between(0, u64::MAX),
         };
         let forwarder = &mut self.forwarders[f];
@@ -457,7 +457,7 @@
             let until = self.forwarders[f].paused_until;
             return self.at(until + MS, Event::Poll(f, life));
         }
-        let silent = now >= self.forwarders[f].heard_at + subscriber::SILENCE;
+        let silent = now >= self.forwarders[f].heard_at + subscriber::PLANNER_SILENCE_TIMEOUT;
         if let Some(c) = self.forwarders[f].connection.filter(|_| silent) {
             self.hung_up(c, End::Forwarder);
             self.send(c, End::Planner, Message::Close);
@@ -525,7 +525,7 @@
         self.forwarders[f].trying = None;
         let now = self.now;
         if let Some(subscriber) = &mut self.forwarders[f].subscriber {
-            subscriber.failed(now, (attempt & 255) as usize);
+            subscriber.connect_failed(now, (attempt & 255) as usize);
         }
         self.heed(f);
     }
@@ -537,7 +537,7 @@
         }
         let planner = &mut self.planners[p];
         let Some(publisher) = &mut planner.publisher else { return };
-        if publisher.joined(now, &name(f), (f % 3) as u8).is_err() {
+        if publisher.forwarder_connected(now, &name(f), (f % 3) as u8).is_err() {
             self.figures.refused += 1;
             return self.at(now + link.delay, Event::GiveUp(f, attempt));
         }
@@ -585,7 +585,7 @@
                 if let Some(publisher) =
                     planner.publisher.as_mut().filter(|_| planner.joined.get(&f) == Some(&c))
                 {
-                    publisher.left(now, &name(f));
+                    publisher.forwarder_disconnected(now, &name(f));
                     self.pump(p);
                     self.ask_in_force(p);
                 }
@@ -597,7 +597,7 @@
                 self.freeze(c);
                 self.forwarders[f].connection = None;
                 if let Some(subscriber) = &mut self.forwarders[f].subscriber {
-                    subscriber.lost(now, p);
+                    subscriber.connection_lost(now, p);
                 }
                 self.heed(f);
             }
@@ -676,7 +676,7 @@
                 }
                 if let Some(former) = former {
                     self.freeze(former);
-                    let word = Message::Subscribe(Subscriber::last_word(), now);
+                    let word = Message::Subscribe(Subscriber::leave_message(), now);
                     self.gave(f, former, &word);
                     self.send(former, End::Planner, word);
                     self.close(former, End::Forwarder);
@@ -714,7 +714,7 @@
             Message::Report(r) => r.encoded_len(),
             Message::Hello(_) | Message::Update { .. } | Message::Close => return,
         };
-        let bytes = bytes + publisher::FRAMING;
+        let bytes = bytes + publisher::FRAMING_BYTES;
         self.forwarders[f].gave.push((self.now, bytes));
         self.connections[c].heard.push_back((self.now, bytes));
     }
@@ -784,7 +784,7 @@
     /// Has a planner say what there is to say to those for whom there is news.
     pub(super) fn pump(&mut self, p: usize) {
         let Some(publisher) = &mut self.planners[p].publisher else { return };
-        for stirred in publisher.stirred() {
+        for stirred in publisher.take_ready_forwarders() {
             let f = (0..self.forwarders.len()).find(|f| name(*f) == stirred);
             if let Some(c) = f.and_then(|f| self.planners[p].joined.get(&f)).copied() {
                 self.speak(c);
@@ -804,7 +804,7 @@
                 Ok(Some(update)) => update,
                 Err(_) => {
                     // It is unresponsive.
-                    publisher.left(now, &name(f));
+                    publisher.forwarder_disconnected(now, &name(f));
                     self.figures.unresponsive += 1;
                     self.freeze(c);
                     self.close(c, End::Planner);
@@ -822,7 +822,7 @@
             self.push(c, update);
         }
         let Some(publisher) = &self.planners[p].publisher else { return };
-        let wake = publisher.wake_at(now, &name(f)).max(now + MS);
+        let wake = publisher.next_wakeup(now, &name(f)).max(now + MS);
         if wake < now + 60 * S && self.connections[c].wake.is_none_or(|at| wake < at) {
             self.connections[c].wake = Some(wake);
             self.at(wake, Event::Wake(c));
@@ -831,7 +831,7 @@
 
     fn push(&mut self, c: usize, update: wire::Update) {
         let heard = self.planners[self.connections[c].planner].feed.heard;
-        let bytes = update.encoded_len() + publisher::FRAMING;
+        let bytes = update.encoded_len() + publisher::FRAMING_BYTES;
         self.figures.updates += 1;
         self.figures.bytes += bytes as u64;
         let (now, closed) = (self.now, super::app::closings(&update));
