--- a/crates/node/src/fleet/cli.rs
+++ b/crates/node/src/fleet/cli.rs
@@ -13,7 +13,8 @@
         #[arg(long)]
         json: bool,
     },
-    /// Explains why a member is in or out: whether this node watches it, how long it has been silent, which members accuse it.
+    /// Explains why a member is in or out: whether this node watches it, how long it has been silent, which members
+    /// accuse it.
     Explain {
         /// Name of the member.
         name: String,
--- a/crates/node/src/fleet/learned_state.rs
+++ b/crates/node/src/fleet/learned_state.rs
@@ -1,4 +1,5 @@
-//! Converts what this node has learned about servers to and from the fixed-point form that members send to a starting one.
+//! Converts what this node has learned about servers to and from the fixed-point form that members send to a starting
+//! one.
 
 use laurelroute_policy::interface::{Endpoint, LearnedServer, LearnedState};
 use laurelroute_replica::lesson::MOST_SERVERS;
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -185,7 +185,8 @@
         }
     }
 
-    /// Passes a datagram to the state machine that it is for: a replica datagram has the high bit of its first byte set.
+    /// Passes a datagram to the state machine that it is for: a replica datagram has the high bit of its first byte
+    /// set.
     fn receive(&self, gateway: &Rc<Gateway>, seat: Seat, body: &[u8]) {
         let now = gateway.clock.now();
         if body.first().is_some_and(|version| version & 0x80 != 0) {
@@ -279,7 +280,8 @@
         if refused.get(&(seat, reason)).is_some_and(|at| now.saturating_sub(*at) < REFUSAL_LOG_INTERVAL) {
             return;
         }
-        // One entry per seat and reason. Reasons contain versions received from the network, so the map has to be bounded.
+        // One entry per seat and reason. Reasons contain versions received from the network, so the map has to be
+        // bounded.
         if refused.len() >= 8 * self.config.addresses.len() {
             refused.clear();
         }
--- a/crates/node/src/fleet/replica.rs
+++ b/crates/node/src/fleet/replica.rs
@@ -1,5 +1,5 @@
-//! This member's replica of the state shared by the fleet: bans and drains of servers. Stores it on disk, applies changes to
-//! the gateway and reports to operators.
+//! This member's replica of the state shared by the fleet: bans and drains of servers. Stores it on disk, applies
+//! changes to the gateway and reports to operators.
 //!
 //! The protocol that keeps replicas consistent is in `laurelroute-replica`.
 
@@ -106,7 +106,8 @@
         let Some(path) = self.path.clone() else { return };
         loop {
             if self.written.borrow().1.is_some() {
-                // After a failure the write is retried even if nothing changes, so that a disk that recovers is up to date.
+                // After a failure the write is retried even if nothing changes, so that a disk that recovers is up to
+                // date.
                 let _ = tokio::time::timeout(WRITE_RETRY_INTERVAL, self.write_requested.notified()).await;
             } else {
                 self.write_requested.notified().await;
@@ -186,7 +187,8 @@
         }
     }
 
-    /// Sends what this node has learned about servers to a member that starts. All rows of a transfer come from one snapshot.
+    /// Sends what this node has learned about servers to a member that starts. All rows of a transfer come from one
+    /// snapshot.
     fn send_learned_state(&self, gateway: &Rc<Gateway>, to: Seat, number: u32, first: u32) {
         let now = gateway.clock.now();
         let outputs = {
@@ -278,7 +280,8 @@
         reported.iter().for_each(|host| self.apply_drain(gateway, host));
     }
 
-    /// Ends drains that other members reported and that this node's own list has not shown within [`REPORTED_DRAIN_TTL`].
+    /// Ends drains that other members reported and that this node's own list has not shown within
+    /// [`REPORTED_DRAIN_TTL`].
     pub(super) fn expire_reported_drains(&self, gateway: &Rc<Gateway>, now: Nanos) {
         let expired = |(host, since): (&String, &Nanos)| {
             (now.saturating_sub(*since) >= REPORTED_DRAIN_TTL).then(|| host.clone())
@@ -361,8 +364,8 @@
         let members: Vec<Seat> =
             self.machine.borrow().view().map_or_else(Vec::new, |v| v.members.keys().copied().collect());
         let others = members.iter().filter(|s| **s != self.config.own_seat).count();
-        // Done when a newer query has replaced this one or all members hold the entry; one that does not may receive it a
-        // moment later.
+        // Done when a newer query has replaced this one or all members hold the entry; one that does not may receive
+        // it a moment later.
         let done = || {
             let query = self.replica.query.borrow();
             query.0 != number || query.1.len() >= others && query.1.values().all(|has| *has)
--- a/crates/node/src/fleet/table.rs
+++ b/crates/node/src/fleet/table.rs
@@ -48,8 +48,8 @@
     pub key: Option<hmac::Key>,
     /// File that membership events are appended to, one JSON object per line.
     pub history: Option<PathBuf>,
-    /// Number of other members that have to hold an operator's change before the call is answered, if there are that many
-    /// and they respond in time.
+    /// Number of other members that have to hold an operator's change before the call is answered, if there are that
+    /// many and they respond in time.
     pub confirm: usize,
 }
 
--- a/crates/node/src/services/directory.rs
+++ b/crates/node/src/services/directory.rs
@@ -1,8 +1,8 @@
 //! The services that a forwarder's requests name, each with a gateway of its own.
 //!
-//! The subscriber holds the services' state. Each service that it holds gets a gateway when its servers arrive and loses it
-//! when the service is dropped. An idle gateway costs only memory: its timers sleep, and its connections are swept only while
-//! it may have any.
+//! The subscriber holds the services' state. Each service that it holds gets a gateway when its servers arrive and
+//! loses it when the service is dropped. An idle gateway costs only memory: its timers sleep, and its connections are
+//! swept only while it may have any.
 
 use crate::source;
 use laurelroute_core::gateway::Gateway;
--- a/crates/node/src/services/forwarder.rs
+++ b/crates/node/src/services/forwarder.rs
@@ -25,7 +25,8 @@
 /// How long a planner may take to accept a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Starts the subscription to the planners; returns where requests name their service and the directory that resolves it.
+/// Starts the subscription to the planners; returns where requests name their service and the directory that resolves
+/// it.
 pub(crate) fn start(
     gateway: &Rc<Gateway>,
     site: &Site,
--- a/crates/node/src/services/mod.rs
+++ b/crates/node/src/services/mod.rs
@@ -1,5 +1,5 @@
-//! Service discovery by subscription. Planners hold all services ([`planner`]); forwarders subscribe to the services that
-//! their requests name ([`forwarder`], [`directory`]). The settings are in [`table`].
+//! Service discovery by subscription. Planners hold all services ([`planner`]); forwarders subscribe to the services
+//! that their requests name ([`forwarder`], [`directory`]). The settings are in [`table`].
 
 pub(crate) mod directory;
 pub(crate) mod forwarder;
--- a/crates/node/src/services/planner.rs
+++ b/crates/node/src/services/planner.rs
@@ -1,7 +1,7 @@
 //! The planner's role with services: takes discovery's list and publishes changes of services to their subscribers.
 //!
-//! Runs on one thread without disk access. A peer that does not authenticate gets nothing; one that does is limited in message
-//! size (by the channel), in its subscriptions (by the publisher) and in time.
+//! Runs on one thread without disk access. A peer that does not authenticate gets nothing; one that does is limited
+//! in message size (by the channel), in its subscriptions (by the publisher) and in time.
 
 use super::table::PlannerServices;
 use crate::discovery::{Sink, Watcher};
--- a/crates/node/src/services/table.rs
+++ b/crates/node/src/services/table.rs
@@ -12,8 +12,8 @@
 const MAX_SECONDS: u64 = 86_400;
 /// Upper bound of the traffic to or from one forwarder, in bytes per second or as a burst.
 const MAX_TRAFFIC_BYTES: u32 = 10_000_000;
-/// Upper bound of the services that a forwarder holds. A forwarder holds those that its requests name; where it would have to
-/// hold all, a node without planners fits better.
+/// Upper bound of the services that a forwarder holds. A forwarder holds those that its requests name; where it would
+/// have to hold all, a node without planners fits better.
 const MAX_SERVICES: u32 = 10_000;
 /// Upper bound of the memory for services, in bytes.
 const MAX_SERVICE_BYTES: u32 = 1 << 30;
--- a/crates/node/src/shift/api.rs
+++ b/crates/node/src/shift/api.rs
@@ -1,4 +1,5 @@
-//! The shift's calls at the management address: `GET /_shift`, `POST /_shift/VERB/WHO/WHY`, and `POST /_shift/insist/VERB/WHO/WHY`.
+//! The shift's calls at the management address: `GET /_shift`, `POST /_shift/VERB/WHO/WHY`, and
+//! `POST /_shift/insist/VERB/WHO/WHY`.
 
 use crate::management::percent_encode;
 use hyper::StatusCode;
--- a/crates/node/src/shift/mod.rs
+++ b/crates/node/src/shift/mod.rs
@@ -21,8 +21,8 @@
 
 /// Evaluations between two writes of the evidence: up to 10 s of it are lost when the process is killed.
 const EVIDENCE_EVERY: u32 = 40;
-/// Writes queued for the disk. Once half of the queue is used, evidence is no longer queued, so that there is room for changes
-/// while the disk hangs.
+/// Writes queued for the disk. Once half of the queue is used, evidence is no longer queued, so that there is room
+/// for changes while the disk hangs.
 const MAX_QUEUED_WRITES: usize = 256;
 
 /// Why a node cannot start with the configured shift.
--- a/crates/node/src/shift/watch.rs
+++ b/crates/node/src/shift/watch.rs
@@ -1,4 +1,5 @@
-//! `laurelroute shift watch`: a live view of the shift's status for a terminal of 80 by 24, readable without colour as well.
+//! `laurelroute shift watch`: a live view of the shift's status for a terminal of 80 by 24, readable without colour
+//! as well.
 
 use super::cli::{fetch_status, ShiftCommandError};
 use laurelroute_shift::explain::{Row, Status};
--- a/crates/node/src/upgrade/link.rs
+++ b/crates/node/src/upgrade/link.rs
@@ -34,8 +34,8 @@
     }
 }
 
-/// A connection between the two processes. SOCK_SEQPACKET keeps packets and their descriptors together; tokio has no type for
-/// it and polls it as a datagram socket.
+/// A connection between the two processes. SOCK_SEQPACKET keeps packets and their descriptors together; tokio has no
+/// type for it and polls it as a datagram socket.
 pub(crate) struct Link(UnixDatagram);
 
 impl Link {
@@ -116,8 +116,8 @@
     }
 }
 
-/// Queue on which the old process puts idle clients' connections and from which both processes can take them: the kernel gives
-/// each to exactly one.
+/// Queue on which the old process puts idle clients' connections and from which both processes can take them: the
+/// kernel gives each to exactly one.
 pub(super) struct IdleQueue {
     sender: Link,
     /// Receiving end, shared with the new process.
@@ -143,8 +143,8 @@
     }
 }
 
-/// Path of a file shared by the processes of the node that listens on this address, in the folder that TMPDIR names; `None`
-/// without such a folder.
+/// Path of a file shared by the processes of the node that listens on this address, in the folder that TMPDIR names;
+/// `None` without such a folder.
 pub(crate) fn runtime_path(listen: SocketAddr, kind: &str) -> Option<PathBuf> {
     let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty())?;
     let name =
@@ -152,8 +152,8 @@
     Some(Path::new(&folder).join(name))
 }
 
-/// The address of the socket file at `path`. The folder is opened and addressed through its descriptor, as a socket address has
-/// room for only 107 bytes; it has to stay open while the address is used.
+/// The address of the socket file at `path`. The folder is opened and addressed through its descriptor, as a socket
+/// address has room for only 107 bytes; it has to stay open while the address is used.
 pub(super) fn socket_address(path: &Path) -> Result<(std::fs::File, SocketAddrUnix), LinkError> {
     let folder = std::fs::File::open(path.parent().unwrap_or(Path::new("/")))?;
     let name = path.file_name().unwrap_or_default().to_string_lossy().into_owned();
--- a/crates/node/src/upgrade/predecessor.rs
+++ b/crates/node/src/upgrade/predecessor.rs
@@ -10,7 +10,8 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// How long the old process's offer is waited for. A running one sends it at once; clients must not wait for a stopped one.
+/// How long the old process's offer is waited for. A running one sends it at once; clients must not wait for a
+/// stopped one.
 const OFFER_TIMEOUT: Duration = Duration::from_millis(120);
 
 /// Result of requesting a takeover from the process that already serves at the address.
--- a/crates/node/src/upgrade/reuseport.rs
+++ b/crates/node/src/upgrade/reuseport.rs
@@ -1,8 +1,9 @@
 //! Routes new connections to one of two processes that share an address by SO_REUSEPORT.
 //!
-//! The kernel distributes connections over the group's sockets by a hash. If one of the processes is stopped, half of the
-//! connections would wait in its queue. A classic BPF program that returns a constant selects the socket with that index in
-//! the group instead (SO_ATTACH_REUSEPORT_CBPF, socket(7)). An index outside the group falls back to the hash.
+//! The kernel distributes connections over the group's sockets by a hash. If one of the processes is stopped, half of
+//! the connections would wait in its queue. A classic BPF program that returns a constant selects the socket with
+//! that index in the group instead (SO_ATTACH_REUSEPORT_CBPF, socket(7)). An index outside the group falls back to
+//! the hash.
 
 use nix::libc::{sock_filter, sock_fprog, BPF_K, BPF_RET};
 use nix::sys::socket::{setsockopt, sockopt::AttachReusePortCbpf};
@@ -14,8 +15,8 @@
 /// State of a listening socket in the kernel's tables.
 const STATE_LISTEN: &str = "0A";
 
-/// Routes all new connections to the socket that was the last to listen on the address. The group is ordered by when its
-/// sockets started to listen.
+/// Routes all new connections to the socket that was the last to listen on the address. The group is ordered by when
+/// its sockets started to listen.
 pub(super) fn route_to_newest(socket: impl AsFd, address: SocketAddr) -> io::Result<()> {
     let table = if address.is_ipv4() { "/proc/self/net/tcp" } else { "/proc/self/net/tcp6" };
     let sockets = count_listening(BufReader::new(File::open(table)?).lines(), address)?;
@@ -26,9 +27,9 @@
     Ok(setsockopt(&socket, AttachReusePortCbpf, &program)?)
 }
 
-/// Counts the sockets that listen on the address, in a table in the format of proc(5): a header, then all listening sockets.
-/// The rest is not read: with tens of thousands of closed connections, reading it on a busy machine took longer than clients
-/// wait.
+/// Counts the sockets that listen on the address, in a table in the format of proc(5): a header, then all listening
+/// sockets. The rest is not read: with tens of thousands of closed connections, reading it on a busy machine took
+/// longer than clients wait.
 fn count_listening(
     table: impl Iterator<Item = io::Result<String>>,
     address: SocketAddr,
--- a/crates/node/src/upgrade/takeover.rs
+++ b/crates/node/src/upgrade/takeover.rs
@@ -34,15 +34,16 @@
 pub(crate) enum ClientListener {
     /// On sockets that already listen.
     Listening(Vec<TcpListener>),
-    /// On a bound socket that listens only once this process serves: until then all connections go to the old process, which
-    /// has not answered.
+    /// On a bound socket that listens only once this process serves: until then all connections go to the old
+    /// process, which has not answered.
     Bound(TcpSocket, SocketAddr),
 }
 
 /// Starts accepting connections of this kind on a listening socket.
 pub(crate) type AcceptFn = Box<dyn Fn(SocketKind, Rc<TcpListener>) -> JoinHandle<()>>;
 
-/// This process's part in takeovers of the address: it may have an old process before it, a new one after it, both or neither.
+/// This process's part in takeovers of the address: it may have an old process before it, a new one after it, both or
+/// neither.
 pub(crate) struct Takeover {
     /// Whether new connections are accepted.
     gate: watch::Sender<AcceptState>,
@@ -107,8 +108,8 @@
         old_role.has_yielded() && !old_role.in_fallback()
     }
 
-    /// Stops accepting: connections in the backlog are still accepted unless the new process accepts them. Returns when that is
-    /// done.
+    /// Stops accepting: connections in the backlog are still accepted unless the new process accepts them. Returns
+    /// when that is done.
     pub(crate) async fn stop_accepting(&self) {
         if self.successor_serves() {
             return;
@@ -144,8 +145,8 @@
         }
     }
 
-    /// Starts serving on these listeners: at once, or once there is a list if an old process serves. From then on a new process
-    /// may take over from this one.
+    /// Starts serving on these listeners: at once, or once there is a list if an old process serves. From then on a
+    /// new process may take over from this one.
     pub(crate) async fn serve(
         self: Rc<Self>,
         gateway: Rc<Gateway>,
@@ -210,8 +211,8 @@
         let _ = link.send(&Message::Ready, &[]).await;
     }
 
-    /// Waits for an old process that did not answer when this one started. When it runs again, its listening sockets are
-    /// served and it hands over as usual.
+    /// Waits for an old process that did not answer when this one started. When it runs again, its listening sockets
+    /// are served and it hands over as usual.
     async fn await_offer(self: Rc<Self>, gateway: Rc<Gateway>, link: Link) {
         match receive_offer(&link).await {
             Ok(mut offer) => {
@@ -298,8 +299,8 @@
         }
     }
 
-    /// Serves one new process from its connection to its end. A second one at the same time gets no answer and shares the
-    /// address without a handover.
+    /// Serves one new process from its connection to its end. A second one at the same time gets no answer and shares
+    /// the address without a handover.
     async fn await_successor(&self, gateway: &Rc<Gateway>, listener: UnixListener) {
         let accepted = listener.accept().await.and_then(|(stream, _)| Link::new(stream.into_std()?.into()));
         let Ok(link) = accepted.map(Rc::new) else { return tokio::time::sleep(TICK_INTERVAL).await };
@@ -421,8 +422,8 @@
         }
     }
 
-    /// Sends the new process what it needs, the listening sockets last. With many servers this exceeds the socket's buffer and is
-    /// sent as the new process reads.
+    /// Sends the new process what it needs, the listening sockets last. With many servers this exceeds the socket's
+    /// buffer and is sent as the new process reads.
     fn send_offer(&self, gateway: &Rc<Gateway>, link: &Rc<Link>, quota: usize) {
         let records = gateway.fleet(|f| f.bans.records().cloned().collect());
         let chunks = LearnedStateChunk::split(&gateway.export_learned());
@@ -475,7 +476,8 @@
         }
     }
 
-    /// Sends a ban update to the node's other process and waits for the acknowledgement. Returns at once where there is none.
+    /// Sends a ban update to the node's other process and waits for the acknowledgement. Returns at once where there
+    /// is none.
     pub(crate) async fn send_ban_update(&self, record: BanRecord) {
         let links = self.links.borrow().clone();
         for link in links {
