--- a/crates/channel/src/frames.rs
+++ b/crates/channel/src/frames.rs
@@ -1,6 +1,6 @@
 //! Messages on a stream: four bytes of length, highest first, then the message.
 
-use laurelroute_plan::wire::{Body, Frame, LONGEST};
+use laurelroute_plan::wire::{Body, Frame, MAX_MESSAGE_BYTES};
 use prost::Message;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
@@ -11,7 +11,7 @@
     #[error("{0}")]
     Stream(#[from] std::io::Error),
     /// A message is too long to be taken.
-    #[error("a message of {0} bytes; at most {LONGEST} are taken")]
+    #[error("a message of {0} bytes; at most {MAX_MESSAGE_BYTES} are taken")]
     TooLong(usize),
     /// The bytes are no message.
     #[error("a message that cannot be read: {0}")]
@@ -24,7 +24,7 @@
 /// Reads the next message; `None` for one of a kind that this version does not know.
 pub async fn read(stream: &mut (impl AsyncRead + Unpin)) -> Result<Option<Body>, FrameError> {
     let length = stream.read_u32().await? as usize;
-    if length > LONGEST {
+    if length > MAX_MESSAGE_BYTES {
         return Err(FrameError::TooLong(length));
     }
     let mut bytes = Vec::with_capacity(length.min(FIRST));
@@ -39,7 +39,7 @@
 pub async fn write(stream: &mut (impl AsyncWrite + Unpin), body: Body) -> Result<usize, FrameError> {
     let frame = Frame::from(body);
     let length = frame.encoded_len();
-    if length > LONGEST {
+    if length > MAX_MESSAGE_BYTES {
         return Err(FrameError::TooLong(length));
     }
     let mut bytes = Vec::with_capacity(length + 4);
@@ -54,7 +54,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use laurelroute_plan::wire::{Ask, Part};
+    use laurelroute_plan::wire::{ExplainRequest, PlanUpdate};
 
     fn run<T>(future: impl std::future::Future<Output = T>) -> T {
         tokio::runtime::Builder::new_current_thread().build().unwrap().block_on(future)
@@ -64,7 +64,10 @@
     fn messages_come_as_they_were_sent_and_bad_ones_are_told_apart() {
         run(async {
             let (mut a, mut b) = tokio::io::duplex(1 << 20);
-            let bodies = [Body::Ask(Ask::default()), Body::Part(Part { version: 7, ..Part::default() })];
+            let bodies = [
+                Body::ExplainRequest(ExplainRequest::default()),
+                Body::PlanUpdate(PlanUpdate { version: 7, ..PlanUpdate::default() }),
+            ];
             for body in &bodies {
                 write(&mut a, body.clone()).await.unwrap();
             }
@@ -88,8 +91,8 @@
     fn a_message_beyond_the_bound_is_not_sent() {
         run(async {
             let (mut a, _b) = tokio::io::duplex(64);
-            let part = Part { removed: vec!["x".repeat(LONGEST)], ..Part::default() };
-            assert!(matches!(write(&mut a, Body::Part(part)).await, Err(FrameError::TooLong(_))));
+            let part = PlanUpdate { removed: vec!["x".repeat(MAX_MESSAGE_BYTES)], ..PlanUpdate::default() };
+            assert!(matches!(write(&mut a, Body::PlanUpdate(part)).await, Err(FrameError::TooLong(_))));
         });
     }
 }
--- a/crates/channel/src/hello.rs
+++ b/crates/channel/src/hello.rs
@@ -1,8 +1,8 @@
 //! The handshake after TLS: who both are, and which version of the messages they speak.
 
 use crate::frames::{self, FrameError};
-use laurelroute_plan::member::LONGEST_NAME;
-use laurelroute_plan::wire::{Body, Hello, Refusal, Role, NEWEST, OLDEST};
+use laurelroute_plan::member::MAX_NAME_BYTES;
+use laurelroute_plan::wire::{Body, Hello, Refusal, Role, NEWEST_VERSION, OLDEST_VERSION};
 use tokio::io::{AsyncRead, AsyncWrite};
 
 /// What this side is.
@@ -15,7 +15,7 @@
     /// The installation.
     pub site: String,
     /// When this life began, Unix time in milliseconds.
-    pub life: u64,
+    pub incarnation: u64,
     /// Its zone.
     pub zone: u8,
     /// It goes by services.
@@ -26,12 +26,12 @@
     /// The first word.
     pub fn hello(&self) -> Hello {
         Hello {
-            oldest: OLDEST,
-            newest: NEWEST,
+            oldest: OLDEST_VERSION,
+            newest: NEWEST_VERSION,
             role: self.role as i32,
             name: self.name.clone(),
             site: self.site.clone(),
-            life: self.life,
+            incarnation: self.incarnation,
             zone: self.zone.into(),
             services: self.services,
         }
@@ -48,13 +48,15 @@
     #[error("its first message is no greeting")]
     NoHello,
     /// No common version.
-    #[error("it speaks versions {0} to {1} of the messages, this program {OLDEST} to {NEWEST}")]
+    #[error(
+        "it speaks versions {0} to {1} of the messages, this program {OLDEST_VERSION} to {NEWEST_VERSION}"
+    )]
     Version(u32, u32),
     /// Another installation.
     #[error("it belongs to site `{0}`")]
     Site(String),
     /// Its name is empty or too long.
-    #[error("its name has {0} bytes; 1 to {LONGEST_NAME} are allowed")]
+    #[error("its name has {0} bytes; 1 to {MAX_NAME_BYTES} are allowed")]
     Name(usize),
     /// Not what is spoken to here.
     #[error("it is no {0:?}")]
@@ -68,11 +70,11 @@
     if hello.version().is_none() {
         return Err(HelloError::Version(hello.oldest, hello.newest));
     }
-    if hello.name.is_empty() || hello.name.len() > LONGEST_NAME {
+    if hello.name.is_empty() || hello.name.len() > MAX_NAME_BYTES {
         return Err(HelloError::Name(hello.name.len()));
     }
     if hello.site != site {
-        return Err(HelloError::Site(hello.site.chars().take(LONGEST_NAME).collect()));
+        return Err(HelloError::Site(hello.site.chars().take(MAX_NAME_BYTES).collect()));
     }
     if !roles.contains(&hello.role()) {
         return Err(HelloError::Role(roles.first().copied().unwrap_or(Role::Unknown)));
@@ -81,7 +83,7 @@
 }
 
 /// Greets as the side that connected.
-pub async fn greet<S: AsyncRead + AsyncWrite + Unpin>(
+pub async fn connect<S: AsyncRead + AsyncWrite + Unpin>(
     stream: &mut S,
     own: &Identity,
     wanted: Role,
@@ -95,19 +97,19 @@
 }
 
 /// Greets as the side that was connected to. A peer that does not fit hears why.
-pub async fn welcome<S: AsyncRead + AsyncWrite + Unpin>(
+pub async fn accept_hello<S: AsyncRead + AsyncWrite + Unpin>(
     stream: &mut S,
     own: &Identity,
     roles: &[Role],
 ) -> Result<Hello, HelloError> {
-    let hello = heard(stream, own, roles).await?;
-    answered(stream, own).await?;
+    let hello = receive_hello(stream, own, roles).await?;
+    accept(stream, own).await?;
     Ok(hello)
 }
 
 /// The first half of [`welcome`]: hears a greeting and leaves it without an answer, which [`answered`] or [`refused`] has
 /// to give. A peer that does not fit hears why.
-pub async fn heard<S: AsyncRead + AsyncWrite + Unpin>(
+pub async fn receive_hello<S: AsyncRead + AsyncWrite + Unpin>(
     stream: &mut S,
     own: &Identity,
     roles: &[Role],
@@ -117,19 +119,19 @@
         _ => Err(HelloError::NoHello),
     };
     if let Err(error) = &fits {
-        let _ = refused(stream, format!("to {}: {error}", own.name)).await;
+        let _ = send_refusal(stream, format!("to {}: {error}", own.name)).await;
     }
     fits
 }
 
 /// Answers a greeting that was heard.
-pub async fn answered(stream: &mut (impl AsyncWrite + Unpin), own: &Identity) -> Result<(), HelloError> {
+pub async fn accept(stream: &mut (impl AsyncWrite + Unpin), own: &Identity) -> Result<(), HelloError> {
     frames::write(stream, Body::Hello(own.hello())).await?;
     Ok(())
 }
 
 /// Says why a greeting that was heard is not answered.
-pub async fn refused(stream: &mut (impl AsyncWrite + Unpin), reason: String) -> Result<(), HelloError> {
+pub async fn send_refusal(stream: &mut (impl AsyncWrite + Unpin), reason: String) -> Result<(), HelloError> {
     frames::write(stream, Body::Refusal(Refusal { reason })).await?;
     Ok(())
 }
@@ -139,7 +141,7 @@
     use super::*;
 
     fn identity(role: Role, name: &str, site: &str) -> Identity {
-        Identity { role, name: name.into(), site: site.into(), life: 1, zone: 0, services: false }
+        Identity { role, name: name.into(), site: site.into(), incarnation: 1, zone: 0, services: false }
     }
 
     fn meet(mut hello: Hello) -> (Result<Hello, HelloError>, Option<Body>) {
@@ -149,7 +151,7 @@
             hello.zone = 3;
             frames::write(&mut a, Body::Hello(hello)).await.unwrap();
             let own = identity(Role::Planner, "p0", "perth");
-            let met = welcome(&mut b, &own, &[Role::Forwarder]).await;
+            let met = accept_hello(&mut b, &own, &[Role::Forwarder]).await;
             (met, frames::read(&mut a).await.unwrap())
         })
     }
@@ -161,7 +163,7 @@
         assert_eq!(met.unwrap().zone, 3);
         assert!(matches!(answer, Some(Body::Hello(h)) if h.name == "p0"));
         // A later program that still understands this one's messages.
-        assert!(meet(Hello { newest: NEWEST + 1, ..forwarder.clone() }).0.is_ok());
+        assert!(meet(Hello { newest: NEWEST_VERSION + 1, ..forwarder.clone() }).0.is_ok());
         let why = |hello| match meet(hello) {
             (Err(error), Some(Body::Refusal(told))) => {
                 assert!(told.reason.ends_with(&error.to_string()), "{told:?}");
@@ -169,7 +171,7 @@
             }
             other => panic!("{other:?}"),
         };
-        let later = Hello { oldest: NEWEST + 1, newest: NEWEST + 2, ..forwarder.clone() };
+        let later = Hello { oldest: NEWEST_VERSION + 1, newest: NEWEST_VERSION + 2, ..forwarder.clone() };
         assert!(why(later).starts_with("it speaks versions 2 to 3"));
         assert_eq!(why(Hello { site: "albany".into(), ..forwarder.clone() }), "it belongs to site `albany`");
         assert_eq!(why(Hello { role: Role::Planner as i32, ..forwarder.clone() }), "it is no Forwarder");
--- a/crates/channel/src/subscription.rs
+++ b/crates/channel/src/subscription.rs
@@ -8,7 +8,7 @@
 use crate::hello::{self, HelloError, Identity};
 use laurelroute_plan::services::publisher::{PublishError, Publisher};
 use laurelroute_plan::services::subscriber::{self, Subscriber};
-use laurelroute_plan::wire::{Acknowledge, Body, Hello, Refusal, Report, Role, Subscribe};
+use laurelroute_plan::wire::{Body, Hello, Refusal, Report, Role, Subscribe, UpdateAck};
 use laurelroute_policy::interface::Nanos;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -41,7 +41,7 @@
 const MOST_REASON: usize = 500;
 /// Forwarders that are just starting at a planner, at once: the first seconds of each cost it far more than all that follows.
 /// Those that it has must go on being told of changes, and hear that it lives, while hundreds come.
-pub const STARTING: usize = 32;
+pub const MAX_STARTING: usize = 32;
 /// A forwarder is starting until it has been told what the bytes for a burst allow, but for no longer than this.
 const START: Duration = Duration::from_millis(300);
 /// A forwarder waits for so long until its turn to start comes, and else goes to another planner or comes again.
@@ -77,7 +77,7 @@
     #[error("{0}")]
     Publish(#[from] PublishError),
     /// As many forwarders are starting as may at once.
-    #[error("{STARTING} forwarders are just starting here")]
+    #[error("{MAX_STARTING} forwarders are just starting here")]
     Starting,
     /// A newer connection of the same forwarder has come.
     #[error("a newer connection of the same name has come")]
@@ -93,19 +93,19 @@
 }
 
 /// What the forwarder's loops work on, and whom they tell.
-pub struct Subscribing<'a> {
+pub struct SubscriberClient<'a> {
     /// What is subscribed to.
     pub subscriber: &'a RefCell<Subscriber>,
     /// The time, in the subscriber's count.
     pub now: &'a dyn Fn() -> Nanos,
     /// To be notified (`notify_one`) after `Subscriber::lookup` has answered `Waiting`: it is said at once.
-    pub wanted: &'a Notify,
+    pub interest_added: &'a Notify,
     /// Called after anything that may have changed what is held: `Subscriber::changes` is to be taken.
-    pub changed: &'a dyn Fn(),
+    pub on_change: &'a dyn Fn(),
     /// Makes a report, mostly by `Subscriber::next_report`; called twice a second while a planner is there.
     pub report: &'a dyn Fn(Nanos) -> Option<Report>,
     /// Called with a planner's place as a connection to it is up (`Ok`), or has ended or could not be made, for the log.
-    pub noted: &'a dyn Fn(usize, Result<&Hello, &SessionError>),
+    pub on_session: &'a dyn Fn(usize, Result<&Hello, &SessionError>),
 }
 
 type Ended = Result<(), SessionError>;
@@ -122,10 +122,10 @@
     }
 }
 
-impl Subscribing<'_> {
+impl SubscriberClient<'_> {
     /// Keeps a connection to one planner after the other, as the subscriber wants them, for good. `connect` gives a
     /// stream to the planner at that place, TLS included; greeting is done here. What it takes is bounded here too.
-    pub async fn keep<S, C, F>(&self, own: &Identity, connect: C) -> std::convert::Infallible
+    pub async fn run<S, C, F>(&self, own: &Identity, connect: C) -> std::convert::Infallible
     where
         S: AsyncRead + AsyncWrite + Unpin,
         C: Fn(usize) -> F,
@@ -146,20 +146,20 @@
                     session = None;
                     self.subscriber.borrow_mut().connection_lost((self.now)(), place);
                     if let Err(error) = ended {
-                        (self.noted)(place, Err(&error));
+                        (self.on_session)(place, Err(&error));
                     }
-                    (self.changed)();
+                    (self.on_change)();
                     next = Instant::now();
                 }
                 (to, made) = of(&mut connecting) => {
                     connecting = None;
                     match made {
                         Ok((stream, planner)) => {
-                            (self.noted)(to, Ok(&planner));
+                            (self.on_session)(to, Ok(&planner));
                             // In this order: what the former planner still says is no longer taken in.
                             leave.notify_one();
                             parting = session.take();
-                            self.subscriber.borrow_mut().connected((self.now)(), to, planner.life);
+                            self.subscriber.borrow_mut().connected((self.now)(), to, planner.incarnation);
                             (place, leave) = (to, Rc::new(Notify::new()));
                             session = Some(Box::pin(self.session(to, stream, leave.clone())));
                         }
@@ -174,11 +174,11 @@
                                 false => subscriber.connect_failed((self.now)(), to),
                             }
                             drop(subscriber);
-                            (self.noted)(to, Err(&error));
+                            (self.on_session)(to, Err(&error));
                             next = Instant::now();
                         }
                     }
-                    (self.changed)();
+                    (self.on_change)();
                 }
                 _ = sleep_until(next) => {
                     next = Instant::now() + TICK;
@@ -188,13 +188,13 @@
                         subscriber.poll(now);
                         if connecting.is_none() { subscriber.try_next(now) } else { None }
                     };
-                    (self.changed)();
+                    (self.on_change)();
                     if let Some(to) = to {
                         let stream = connect(to);
                         connecting = Some(Box::pin(async move {
                             let made = async {
                                 let mut stream = stream.await?;
-                                let planner = hello::greet(&mut stream, own, Role::Planner).await?;
+                                let planner = hello::connect(&mut stream, own, Role::Planner).await?;
                                 if planner.services { Ok((stream, planner)) } else { Err(SessionError::NoServices) }
                             };
                             (to, timeout(CONNECT, made).await.unwrap_or(Err(SessionError::Silent)))
@@ -233,7 +233,7 @@
         &self,
         place: usize,
         reader: &mut (impl AsyncRead + Unpin),
-        answers: mpsc::Sender<Acknowledge>,
+        answers: mpsc::Sender<UpdateAck>,
     ) -> Ended {
         loop {
             let silence = Duration::from_nanos(subscriber::PLANNER_SILENCE_TIMEOUT);
@@ -243,19 +243,19 @@
                 _ => continue,
             };
             let answer = self.subscriber.borrow_mut().receive((self.now)(), place, &update);
-            (self.changed)();
+            (self.on_change)();
             if let Some(answer) = answer {
                 answers.try_send(answer).map_err(|_| SessionError::Flood)?;
             }
             // What is refused is asked for anew.
-            self.wanted.notify_one();
+            self.interest_added.notify_one();
         }
     }
 
     async fn say(
         &self,
         writer: &mut (impl AsyncWrite + Unpin),
-        mut waiting: mpsc::Receiver<Acknowledge>,
+        mut waiting: mpsc::Receiver<UpdateAck>,
     ) -> Ended {
         let mut next = Instant::now();
         let mut report_at = Instant::now() + REPORT;
@@ -264,11 +264,11 @@
             tokio::select! {
                 biased;
                 Some(answer) = waiting.recv() => {
-                    timeout(WRITE, frames::write(writer, Body::Acknowledge(answer))).await.map_err(late)??;
+                    timeout(WRITE, frames::write(writer, Body::UpdateAck(answer))).await.map_err(late)??;
                     said = Instant::now();
                     continue;
                 }
-                _ = self.wanted.notified() => {}
+                _ = self.interest_added.notified() => {}
                 _ = sleep_until(next) => next = Instant::now() + TICK,
             }
             while let Some(subscribe) = self.next_subscribe() {
@@ -310,7 +310,7 @@
 type Lives = Vec<(u64, String)>;
 
 /// A publisher and the connections of its forwarders.
-pub struct Publishing {
+pub struct PublisherServer {
     publisher: RefCell<Publisher>,
     now: Box<dyn Fn() -> Nanos>,
     /// Bounded by the publisher, which takes no more forwarders than it is told.
@@ -321,15 +321,15 @@
     starting: Semaphore,
 }
 
-impl std::fmt::Debug for Publishing {
+impl std::fmt::Debug for PublisherServer {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "Publishing({} connections)", self.seats.borrow().len())
+        write!(f, "PublisherServer({} connections)", self.seats.borrow().len())
     }
 }
 
 /// Gives a forwarder's seat up, however its connection ends.
 struct Seated<'a> {
-    publishing: &'a Publishing,
+    publishing: &'a PublisherServer,
     peer: &'a Hello,
     /// Its name at the publisher.
     name: String,
@@ -359,16 +359,16 @@
     }
 }
 
-impl Publishing {
+impl PublisherServer {
     /// A publisher without connections. `now` tells the time in the publisher's count.
     pub fn new(publisher: Publisher, now: Box<dyn Fn() -> Nanos>) -> Self {
-        Publishing {
+        PublisherServer {
             publisher: RefCell::new(publisher),
             now,
             seats: RefCell::default(),
             lives: RefCell::default(),
             connections: Cell::new(0),
-            starting: Semaphore::new(STARTING),
+            starting: Semaphore::new(MAX_STARTING),
         }
     }
 
@@ -393,7 +393,7 @@
     fn place(&self, peer: &Hello) -> Result<String, SessionError> {
         let mut lives = self.lives.borrow_mut();
         let here = lives.entry(peer.name.clone()).or_default();
-        if let Some((_, name)) = here.iter().find(|(life, _)| *life == peer.life) {
+        if let Some((_, name)) = here.iter().find(|(life, _)| *life == peer.incarnation) {
             return Ok(name.clone());
         }
         let mut name = peer.name.clone();
@@ -401,15 +401,15 @@
             // The oldest one has to go, and its name goes over.
             let oldest = here.iter().enumerate().min_by_key(|(_, (life, _))| *life).map(|(k, _)| k);
             let (life, former) = here.swap_remove(oldest.unwrap_or(0));
-            if peer.life < life {
+            if peer.incarnation < life {
                 here.push((life, former));
                 return Err(SessionError::Replaced);
             }
             name = former;
         } else if here.iter().any(|(_, other)| *other == name) {
-            name = format!("{name}~{:x}", peer.life);
+            name = format!("{name}~{:x}", peer.incarnation);
         }
-        here.push((peer.life, name.clone()));
+        here.push((peer.incarnation, name.clone()));
         Ok(name)
     }
 
@@ -417,7 +417,7 @@
     fn forget(&self, peer: &Hello) -> bool {
         let mut lives = self.lives.borrow_mut();
         let Some(here) = lives.get_mut(&peer.name) else { return false };
-        here.retain(|(life, _)| *life != peer.life);
+        here.retain(|(life, _)| *life != peer.incarnation);
         let others = !here.is_empty();
         if !others {
             lives.remove(&peer.name);
@@ -426,7 +426,7 @@
     }
 
     /// Tells the publisher the time, for good.
-    pub async fn tick(&self) -> std::convert::Infallible {
+    pub async fn run_timer(&self) -> std::convert::Infallible {
         loop {
             self.with(|publisher, now| publisher.poll(now));
             tokio::time::sleep(TICK).await;
@@ -435,19 +435,19 @@
 
     /// Greets a forwarder whose greeting was heard (see [`hello::heard`]) and leads it until its connection ends. One that
     /// is not taken hears why before it is greeted, so that it goes to another planner.
-    pub async fn lead<S>(&self, mut stream: S, own: &Identity, peer: &Hello) -> Result<(), SessionError>
+    pub async fn serve<S>(&self, mut stream: S, own: &Identity, peer: &Hello) -> Result<(), SessionError>
     where
         S: AsyncRead + AsyncWrite + Unpin,
     {
         if !peer.services {
             let reason =
                 format!("to {}: this planner goes by services, and the forwarder does not", own.name);
-            let _ = timeout(PART, hello::refused(&mut stream, reason)).await;
+            let _ = timeout(PART, hello::send_refusal(&mut stream, reason)).await;
             return Err(SessionError::NoServices);
         }
         let Ok(Ok(start)) = timeout(QUEUE, self.starting.acquire()).await else {
             let reason = format!("to {}: {}", own.name, SessionError::Starting);
-            let _ = timeout(PART, hello::refused(&mut stream, reason)).await;
+            let _ = timeout(PART, hello::send_refusal(&mut stream, reason)).await;
             return Err(SessionError::Starting);
         };
         let zone = peer.zone.min(255) as u8;
@@ -461,7 +461,8 @@
         let name = match joined {
             Ok(name) => name,
             Err(error) => {
-                let _ = timeout(PART, hello::refused(&mut stream, format!("to {}: {error}", own.name))).await;
+                let _ = timeout(PART, hello::send_refusal(&mut stream, format!("to {}: {error}", own.name)))
+                    .await;
                 return Err(error);
             }
         };
@@ -472,7 +473,7 @@
         // It finds that it is not the latest any longer.
         former.inspect(|f| f.news.notify_one());
         let seated = Seated { publishing: self, peer, name, number };
-        timeout(WRITE, hello::answered(&mut stream, own)).await.map_err(late)??;
+        timeout(WRITE, hello::accept(&mut stream, own)).await.map_err(late)??;
         let (mut reader, mut writer) = tokio::io::split(stream);
         let ended = tokio::select! {
             ended = self.hear(&seated, &mut reader) => ended,
@@ -504,7 +505,7 @@
                     leaving |= subscribe.leaving;
                     self.with(|publisher, now| publisher.subscribe(now, name, &subscribe))?;
                 }
-                Some(Body::Acknowledge(answer)) => {
+                Some(Body::UpdateAck(answer)) => {
                     self.with(|publisher, now| publisher.acknowledge(now, name, &answer))
                 }
                 Some(Body::Report(report)) => {
--- a/crates/channel/tests/subscription.rs
+++ b/crates/channel/tests/subscription.rs
@@ -2,7 +2,7 @@
 
 use laurelroute_channel::frames;
 use laurelroute_channel::hello::{self, HelloError, Identity};
-use laurelroute_channel::subscription::{Publishing, SessionError, Subscribing, STARTING};
+use laurelroute_channel::subscription::{PublisherServer, SessionError, SubscriberClient, MAX_STARTING};
 use laurelroute_plan::member::Member;
 use laurelroute_plan::services::publisher::{self, ListedServer, Publisher};
 use laurelroute_plan::services::subscriber::{self, Change, ServiceStatus, Subscriber};
@@ -19,7 +19,7 @@
 const SITE: &str = "perth";
 
 fn identity(role: Role, name: &str, life: u64) -> Identity {
-    Identity { role, name: name.into(), site: SITE.into(), life, zone: 1, services: true }
+    Identity { role, name: name.into(), site: SITE.into(), incarnation: life, zone: 1, services: true }
 }
 
 /// The time since the test's start, not from zero: that is no time.
@@ -43,7 +43,7 @@
 
 /// A planner that may be stopped and started again.
 struct Planner {
-    publishing: Rc<Publishing>,
+    publishing: Rc<PublisherServer>,
     identity: Identity,
     alive: Cell<bool>,
     sessions: RefCell<Vec<AbortHandle>>,
@@ -64,7 +64,7 @@
             drain_burst: 4_000.0,
         };
         let clock = now.clone();
-        let publishing = Publishing::new(Publisher::new(now(), settings), Box::new(move || clock()));
+        let publishing = PublisherServer::new(Publisher::new(now(), settings), Box::new(move || clock()));
         let planner = Rc::new(Planner {
             publishing: Rc::new(publishing),
             identity: identity(Role::Planner, name, life),
@@ -73,7 +73,7 @@
             ended: RefCell::default(),
         });
         let ticking = planner.publishing.clone();
-        spawn_local(async move { ticking.tick().await });
+        spawn_local(async move { ticking.run_timer().await });
         planner
     }
 
@@ -89,8 +89,8 @@
         let (near, mut far) = tokio::io::duplex(1 << 16);
         let planner = self.clone();
         let session = spawn_local(async move {
-            let peer = hello::heard(&mut far, &planner.identity, &[Role::Forwarder]).await.unwrap();
-            let ended = planner.publishing.lead(far, &planner.identity, &peer).await;
+            let peer = hello::receive_hello(&mut far, &planner.identity, &[Role::Forwarder]).await.unwrap();
+            let ended = planner.publishing.serve(far, &planner.identity, &peer).await;
             planner.ended.borrow_mut().push(ended);
         });
         self.sessions.borrow_mut().push(session.abort_handle());
@@ -158,16 +158,16 @@
                 let word = word.map(|h| h.name.clone()).map_err(|e| e.to_string());
                 kept.noted.borrow_mut().push((place, word));
             };
-            let subscribing = Subscribing {
+            let subscribing = SubscriberClient {
                 subscriber: &kept.subscriber,
                 now: &*kept.now,
-                wanted: &kept.wanted,
-                changed: &changed,
+                interest_added: &kept.wanted,
+                on_change: &changed,
                 report: &|now| kept.subscriber.borrow_mut().next_report(now, &mut std::iter::empty()),
-                noted: &noted,
+                on_session: &noted,
             };
             let planners = &planners;
-            subscribing.keep(&own, |place| async move { planners[place].connect() }).await;
+            subscribing.run(&own, |place| async move { planners[place].connect() }).await;
         });
         (forwarder, task.abort_handle())
     }
@@ -293,9 +293,9 @@
         let planner = Planner::new(&now, "p0", 10);
         planner.list(1, true, both());
         let mut first = planner.connect().unwrap();
-        hello::greet(&mut first, &identity(Role::Forwarder, "f0", 1), Role::Planner).await.unwrap();
+        hello::connect(&mut first, &identity(Role::Forwarder, "f0", 1), Role::Planner).await.unwrap();
         let mut second = planner.connect().unwrap();
-        hello::greet(&mut second, &identity(Role::Forwarder, "f0", 1), Role::Planner).await.unwrap();
+        hello::connect(&mut second, &identity(Role::Forwarder, "f0", 1), Role::Planner).await.unwrap();
         until("the first has ended", || !planner.ended.borrow().is_empty()).await;
         assert!(matches!(planner.ended.borrow()[..], [Err(SessionError::Replaced)]));
         let refusal = loop {
@@ -361,20 +361,20 @@
         let planner = Planner::new(&now, "p0", 1_000);
         planner.list(1, true, both());
         let mut streams = Vec::new();
-        for k in 0..STARTING {
+        for k in 0..MAX_STARTING {
             let mut stream = planner.connect().unwrap();
             let own = identity(Role::Forwarder, &format!("f{k}"), 1);
-            hello::greet(&mut stream, &own, Role::Planner).await.unwrap();
+            hello::connect(&mut stream, &own, Role::Planner).await.unwrap();
             streams.push(stream);
         }
-        assert_eq!(planner.forwarders(), STARTING);
+        assert_eq!(planner.forwarders(), MAX_STARTING);
         // Each of them has wanted nothing yet. The next one waits for its turn, which comes as they are through.
         let mut stream = planner.connect().unwrap();
         let own = identity(Role::Forwarder, "late", 1);
-        hello::greet(&mut stream, &own, Role::Planner).await.unwrap();
-        assert_eq!(planner.forwarders(), STARTING + 1);
+        hello::connect(&mut stream, &own, Role::Planner).await.unwrap();
+        assert_eq!(planner.forwarders(), MAX_STARTING + 1);
         // Many that want something are through as soon as they have it.
-        let forwarders: Vec<_> = (0..3 * STARTING)
+        let forwarders: Vec<_> = (0..3 * MAX_STARTING)
             .map(|k| Forwarder::start(&now, &format!("g{k}"), std::slice::from_ref(&planner)).0)
             .collect();
         until("all hold what they want", || {
@@ -391,7 +391,7 @@
         let planner = Planner::new(&now, "p0", 10);
         let mut stream = planner.connect().unwrap();
         let own = Identity { services: false, ..identity(Role::Forwarder, "f0", 1) };
-        let refused = hello::greet(&mut stream, &own, Role::Planner).await.unwrap_err();
+        let refused = hello::connect(&mut stream, &own, Role::Planner).await.unwrap_err();
         assert!(
             matches!(&refused, HelloError::Refused(why) if why.contains("goes by services")),
             "{refused}"
@@ -408,7 +408,7 @@
         let now = clock();
         let planner = Planner::new(&now, "p0", 10);
         let mut stream = planner.connect().unwrap();
-        hello::greet(&mut stream, &identity(Role::Forwarder, "f0", 1), Role::Planner).await.unwrap();
+        hello::connect(&mut stream, &identity(Role::Forwarder, "f0", 1), Role::Planner).await.unwrap();
         tokio::io::AsyncWriteExt::write_all(&mut stream, &[0, 0, 0, 1, 0xff]).await.unwrap();
         until("it has ended", || !planner.ended.borrow().is_empty()).await;
         assert!(matches!(
--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -7,7 +7,7 @@
 use crate::shift::cli::ShiftCommandError;
 use crate::site::{Site, SiteError};
 use clap::{Parser, Subcommand};
-use laurelroute_plan::wire::Ask;
+use laurelroute_plan::wire::ExplainRequest;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -160,7 +160,7 @@
         Some(Command::Plan) => Ok(run::start(site, Role::Planner)?),
         Some(Command::Explain { plan, server, class, change, service }) => {
             let (server, class) = (server.unwrap_or_default(), class.unwrap_or_default());
-            let query = Ask { server, class, change: change.unwrap_or_default(), service };
+            let query = ExplainRequest { server, class, change: change.unwrap_or_default(), service };
             Ok(crate::explain::explain(site, plan, query)?)
         }
         Some(Command::Ready { at }) => print_reply(&ManagementRequest::Ready, at),
--- a/crates/node/src/explain.rs
+++ b/crates/node/src/explain.rs
@@ -6,7 +6,7 @@
 use laurelroute_channel::hello::{self, HelloError, Identity};
 use laurelroute_core::connect::connect_with_retry;
 use laurelroute_core::retry_io::RetryingStream;
-use laurelroute_plan::wire::{Ask, Body, Role};
+use laurelroute_plan::wire::{Body, ExplainRequest, Role};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
@@ -37,23 +37,33 @@
 }
 
 /// Prints the planner's answer to a query; a query that names nothing covers the plan as a whole.
-pub(crate) fn explain(site: Option<&Path>, planner: SocketAddr, query: Ask) -> Result<(), ExplainError> {
+pub(crate) fn explain(
+    site: Option<&Path>,
+    planner: SocketAddr,
+    query: ExplainRequest,
+) -> Result<(), ExplainError> {
     let path = site.ok_or(RoleError::Missing("peers"))?;
     let peers = Site::load(path, None)?.levels.peers.ok_or(RoleError::Missing("peers"))?;
     let tls = peers.tls().map_err(RoleError::from)?;
-    let identity =
-        Identity { role: Role::Asker, name: peers.name, site: peers.site, life: 0, zone: 0, services: false };
+    let identity = Identity {
+        role: Role::Operator,
+        name: peers.name,
+        site: peers.site,
+        incarnation: 0,
+        zone: 0,
+        services: false,
+    };
     let exchange = async {
         let connect_error = |e| ExplainError::Connect(planner, e);
         let stream = connect_with_retry(planner).await.map_err(connect_error)?;
         let mut stream = tls.connect(RetryingStream::new(stream)).await.map_err(connect_error)?;
-        hello::greet(&mut stream, &identity, Role::Planner)
+        hello::connect(&mut stream, &identity, Role::Planner)
             .await
             .map_err(|e| ExplainError::Hello(planner, e))?;
         let frame_error = |e| ExplainError::Frame(planner, e);
-        frames::write(&mut stream, Body::Ask(query)).await.map_err(frame_error)?;
+        frames::write(&mut stream, Body::ExplainRequest(query)).await.map_err(frame_error)?;
         match frames::read(&mut stream).await.map_err(frame_error)? {
-            Some(Body::Told(answer)) => Ok(answer.text),
+            Some(Body::ExplainResponse(answer)) => Ok(answer.text),
             _ => Err(ExplainError::UnexpectedMessage(planner)),
         }
     };
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -19,9 +19,9 @@
 use laurelroute_core::retry_io::RetryingStream;
 use laurelroute_http::service::Routing;
 use laurelroute_plan::follower::{Follower, View};
-use laurelroute_plan::lead::{self, Told};
+use laurelroute_plan::lead::{self, AppliedMembers};
 use laurelroute_plan::member::Member;
-use laurelroute_plan::reporter::{Now, Reporter};
+use laurelroute_plan::reporter::{NodeState, Reporter};
 use laurelroute_plan::wire::{Body, Role};
 use laurelroute_policy::interface::{ListKind, Nanos, NodePlan, Phase};
 use rand_core::{RngCore, SeedableRng};
@@ -76,7 +76,7 @@
     gateway: Rc<Gateway>,
     follower: RefCell<Follower>,
     /// The servers already passed to the gateway.
-    applied: RefCell<Told>,
+    applied: RefCell<AppliedMembers>,
     /// The plan last passed to the gateway.
     node_plan: RefCell<NodePlan>,
     /// The operator's own limit of connections to one server.
@@ -117,7 +117,7 @@
             role: Role::Forwarder,
             name: self.peers.name.clone(),
             site: self.peers.site.clone(),
-            life: now / 1_000_000,
+            incarnation: now / 1_000_000,
             zone: gateway.config.settings.zone,
             services: false,
         };
@@ -158,7 +158,7 @@
                 ListKind::Changes => false,
             };
             let now = forwarder.gateway.clock.now();
-            forwarder.follower.borrow_mut().membership(now, version, full, members);
+            forwarder.follower.borrow_mut().update_membership(now, version, full, members);
             forwarder.apply();
         })
     }
@@ -189,7 +189,7 @@
     fn node_plan_from(&self, view: &View) -> NodePlan {
         let config = &self.gateway.config;
         let tenants = config.tenants.iter().zip(&config.settings.tenant_quota);
-        lead::guide(
+        lead::node_plan(
             view,
             |name| self.gateway.fleet(|f| f.endpoint_of(name)),
             &config.classes,
@@ -205,7 +205,7 @@
             let isolated = {
                 let mut follower = self.follower.borrow_mut();
                 follower.poll(now);
-                follower.alone(now)
+                follower.needs_membership(now)
             };
             if isolated && watch.is_none() {
                 tracing::warn!("no planner is reachable: the server list is read from discovery");
@@ -263,7 +263,7 @@
         let mut stream = timeout(HANDSHAKE_TIMEOUT, tls.connect(RetryingStream::new(stream)))
             .await
             .map_err(timed_out)??;
-        let planner = timeout(HANDSHAKE_TIMEOUT, hello::greet(&mut stream, &self.identity, Role::Planner))
+        let planner = timeout(HANDSHAKE_TIMEOUT, hello::connect(&mut stream, &self.identity, Role::Planner))
             .await
             .map_err(timed_out)??;
         tracing::info!("planner {address}: connected to `{}`", planner.name.escape_debug());
@@ -272,7 +272,7 @@
         let read = async {
             loop {
                 let body = timeout(READ_TIMEOUT, frames::read(&mut reader)).await.map_err(timed_out)??;
-                let Some(Body::Part(part)) = body else { continue };
+                let Some(Body::PlanUpdate(part)) = body else { continue };
                 let reply =
                     self.follower.borrow_mut().receive(self.gateway.clock.now(), planner_index, &part);
                 self.apply();
@@ -287,7 +287,7 @@
             let mut next_report_at = tokio::time::Instant::now();
             loop {
                 let body = tokio::select! {
-                    Some(reply) = queued_replies.recv() => Some(Body::Reply(reply)),
+                    Some(reply) = queued_replies.recv() => Some(Body::PlanAck(reply)),
                     _ = tokio::time::sleep_until(next_report_at) => {
                         next_report_at = tokio::time::Instant::now() + REPORT_INTERVAL;
                         self.report(&mut reporter)
@@ -307,7 +307,7 @@
         let (observed, [classes, tenants]) =
             (self.gateway.observed_servers(), self.gateway.admission_rates());
         let config = &self.gateway.config;
-        let now = Now {
+        let now = NodeState {
             servers: observed.iter().map(|(name, o)| (name.as_str(), *o)).collect(),
             classes: config.classes.iter().map(String::as_str).zip(classes).collect(),
             tenants: config.tenants.iter().zip(tenants).collect(),
--- a/crates/node/src/levels.rs
+++ b/crates/node/src/levels.rs
@@ -6,8 +6,8 @@
 };
 use crate::site::{Classes, SiteError, Validator};
 use laurelroute_channel::tls::{Tls, TlsError};
-use laurelroute_plan::member::LONGEST_NAME;
-use laurelroute_plan::planner::SETTLE;
+use laurelroute_plan::member::MAX_NAME_BYTES;
+use laurelroute_plan::planner::DEFAULT_SETTLE_TIME;
 use laurelroute_policy::interface::Nanos;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -188,8 +188,8 @@
 
 fn peers(validator: &Validator<'_>, table: PeersTable) -> Result<PeerSettings, SiteError> {
     for (key, name) in [("peers.site", &table.site), ("peers.name", &table.name)] {
-        if name.get_ref().is_empty() || name.get_ref().len() > LONGEST_NAME {
-            return Err(validator.error_at(name, format!("`{key}` has to have 1 to {LONGEST_NAME} bytes")));
+        if name.get_ref().is_empty() || name.get_ref().len() > MAX_NAME_BYTES {
+            return Err(validator.error_at(name, format!("`{key}` has to have 1 to {MAX_NAME_BYTES} bytes")));
         }
     }
     Ok(PeerSettings {
@@ -304,7 +304,7 @@
                 "plan.settle_ms",
                 table.settle_ms,
                 MAX_SETTLE_MS,
-                SETTLE / 1_000_000,
+                DEFAULT_SETTLE_TIME / 1_000_000,
             )?,
         limits,
         services,
--- a/crates/node/src/plan.rs
+++ b/crates/node/src/plan.rs
@@ -17,8 +17,8 @@
 use laurelroute_channel::tls::Tls;
 use laurelroute_core::clock::Clock;
 use laurelroute_core::retry_io::RetryingStream;
-use laurelroute_plan::planner::{Planner, ReportError, Settings, SETTLE};
-use laurelroute_plan::wire::{Body, Hello, Role, Told};
+use laurelroute_plan::planner::{Planner, ReportError, Settings, DEFAULT_SETTLE_TIME};
+use laurelroute_plan::wire::{Body, ExplainResponse, Hello, Role};
 use laurelroute_policy::interface::ListKind;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -112,7 +112,7 @@
             role: Role::Planner,
             name: peers.name,
             site: peers.site,
-            life,
+            incarnation: life,
             zone: 0,
             services: false,
         },
@@ -140,13 +140,13 @@
         |class: &String| plan.and_then(|p| p.limits.iter().find(|(name, _)| name == class)).map(|l| l.1);
     Settings {
         site: name.to_owned(),
-        life,
+        incarnation: life,
         planners: plan.map_or(1, |p| p.planners),
-        cap: plan.and_then(|p| p.max_connections),
-        wanted: plan.map_or(8, |p| p.wanted_connections),
-        cold_from: core.settings.initial_capacity,
+        max_connections: plan.and_then(|p| p.max_connections),
+        wanted_connections: plan.map_or(8, |p| p.wanted_connections),
+        initial_capacity: core.settings.initial_capacity,
         ramp: core.settings.ramp,
-        settle: plan.map_or(SETTLE, |p| p.settle),
+        settle_time: plan.map_or(DEFAULT_SETTLE_TIME, |p| p.settle),
         classes: core.classes.iter().map(|c| (c.clone(), limit(c))).collect(),
         tenants: core
             .tenants
@@ -170,7 +170,7 @@
             let members = entries.into_iter().map(source::to_member).collect();
             let now = server.clock.now();
             let mut planner = server.planner.borrow_mut();
-            planner.membership(now, version, kind == ListKind::Full, members);
+            planner.update_membership(now, version, kind == ListKind::Full, members);
             server.warn_of_limits(&planner);
             server.changed.notify_waiters();
         })
@@ -229,15 +229,16 @@
         let mut stream = timeout(HANDSHAKE_TIMEOUT, self.tls.accept(RetryingStream::new(stream)))
             .await
             .map_err(timed_out)??;
-        let accepted_roles = [Role::Forwarder, Role::Asker];
-        let peer = timeout(HANDSHAKE_TIMEOUT, hello::welcome(&mut stream, &self.identity, &accepted_roles))
-            .await
-            .map_err(timed_out)??;
-        if peer.role() == Role::Asker {
+        let accepted_roles = [Role::Forwarder, Role::Operator];
+        let peer =
+            timeout(HANDSHAKE_TIMEOUT, hello::accept_hello(&mut stream, &self.identity, &accepted_roles))
+                .await
+                .map_err(timed_out)??;
+        if peer.role() == Role::Operator {
             return timeout(HANDSHAKE_TIMEOUT, self.answer_query(&mut stream)).await.map_err(timed_out)?;
         }
         let zone = peer.zone.min(255) as u8;
-        self.planner.borrow_mut().joined(self.clock.now(), &peer.name, zone)?;
+        self.planner.borrow_mut().forwarder_connected(self.clock.now(), &peer.name, zone)?;
         let number = self.last_connection.get() + 1;
         self.last_connection.set(number);
         self.latest_connections.borrow_mut().insert(peer.name.clone(), number);
@@ -245,7 +246,7 @@
         let mut latest_connections = self.latest_connections.borrow_mut();
         if latest_connections.get(&peer.name) == Some(&number) {
             latest_connections.remove(&peer.name);
-            self.planner.borrow_mut().left(self.clock.now(), &peer.name);
+            self.planner.borrow_mut().forwarder_disconnected(self.clock.now(), &peer.name);
         }
         result
     }
@@ -255,12 +256,12 @@
         &self,
         stream: &mut S,
     ) -> Result<(), SessionError> {
-        if let Some(Body::Ask(query)) = frames::read(stream).await? {
+        if let Some(Body::ExplainRequest(query)) = frames::read(stream).await? {
             let text = match query.change > 0 || query.service.is_some() {
                 true => "this planner does not go by services\n".to_owned(),
                 false => self.planner.borrow().explain(&query),
             };
-            frames::write(stream, Body::Told(Told { text })).await?;
+            frames::write(stream, Body::ExplainResponse(ExplainResponse { text })).await?;
         }
         Ok(())
     }
@@ -283,7 +284,7 @@
                     return Err(SessionError::Replaced);
                 }
                 match body {
-                    Some(Body::Reply(reply)) => self.planner.borrow_mut().reply(&peer.name, &reply),
+                    Some(Body::PlanAck(reply)) => self.planner.borrow_mut().handle_ack(&peer.name, &reply),
                     Some(Body::Report(report)) => {
                         let now = self.clock.now();
                         self.planner.borrow_mut().report(now, &peer.name, &report)?;
@@ -299,9 +300,9 @@
             loop {
                 let changed = self.changed.notified();
                 while current() {
-                    let part = self.planner.borrow_mut().next_part(self.clock.now(), &peer.name);
+                    let part = self.planner.borrow_mut().next_update(self.clock.now(), &peer.name);
                     let Some(part) = part else { break };
-                    timeout(WRITE_TIMEOUT, frames::write(&mut writer, Body::Part(part)))
+                    timeout(WRITE_TIMEOUT, frames::write(&mut writer, Body::PlanUpdate(part)))
                         .await
                         .map_err(timed_out)??;
                 }
--- a/crates/node/src/services/directory.rs
+++ b/crates/node/src/services/directory.rs
@@ -157,9 +157,9 @@
                         gateway.apply_plan(NodePlan::default());
                         continue;
                     }
-                    let view = View { words, trust: 1.0, ..View::default() };
+                    let view = View { planned: words, trust: 1.0, ..View::default() };
                     let known = |name: &str| gateway.fleet(|f| f.endpoint_of(name));
-                    let plan = lead::guide(&view, known, &[], std::iter::empty());
+                    let plan = lead::node_plan(&view, known, &[], std::iter::empty());
                     gateway.apply_plan(self.effective_plan(&plan));
                     self.node_plans.borrow_mut().insert(service, plan);
                 }
--- a/crates/node/src/services/forwarder.rs
+++ b/crates/node/src/services/forwarder.rs
@@ -6,7 +6,7 @@
 use crate::log::RateLimitedWarning;
 use crate::site::Site;
 use laurelroute_channel::hello::Identity;
-use laurelroute_channel::subscription::{SessionError, Subscribing};
+use laurelroute_channel::subscription::{SessionError, SubscriberClient};
 use laurelroute_channel::tls::Tls;
 use laurelroute_core::connect::connect_with_retry;
 use laurelroute_core::gateway::Gateway;
@@ -64,7 +64,7 @@
         role: Role::Forwarder,
         name: peers.name.clone(),
         site: peers.site.clone(),
-        life: now / 1_000_000,
+        incarnation: now / 1_000_000,
         zone: gateway.config.settings.zone,
         services: true,
     };
@@ -104,13 +104,13 @@
         }
     };
     let (now, changed) = (|| directory.now(), || directory.apply_changes());
-    let subscribing = Subscribing {
+    let subscribing = SubscriberClient {
         subscriber: &directory.subscriber,
         now: &now,
-        wanted: &directory.wanted,
-        changed: &changed,
+        interest_added: &directory.wanted,
+        on_change: &changed,
         report: &|now| directory.report(now),
-        noted: &on_session_change,
+        on_session: &on_session_change,
     };
     let (planners, tls) = (&planners, &tls);
     let connect = |index: usize| async move {
@@ -118,5 +118,5 @@
         stream.set_nodelay(true)?;
         tls.connect(RetryingStream::new(stream)).await
     };
-    subscribing.keep(&identity, connect).await;
+    subscribing.run(&identity, connect).await;
 }
--- a/crates/node/src/services/planner.rs
+++ b/crates/node/src/services/planner.rs
@@ -11,12 +11,12 @@
 use crate::source;
 use laurelroute_channel::frames::{self, FrameError};
 use laurelroute_channel::hello::{self, Identity};
-use laurelroute_channel::subscription::{Publishing, SessionError};
+use laurelroute_channel::subscription::{PublisherServer, SessionError};
 use laurelroute_channel::tls::Tls;
 use laurelroute_core::clock::Clock;
 use laurelroute_core::retry_io::RetryingStream;
 use laurelroute_plan::services::publisher::{Dropped, ListedServer, Publisher, Settings};
-use laurelroute_plan::wire::{Body, Role, Told};
+use laurelroute_plan::wire::{Body, ExplainResponse, Role};
 use laurelroute_policy::interface::ListKind;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -35,7 +35,7 @@
 
 /// The publishing planner and its connections.
 struct PublishingServer {
-    publishing: Rc<Publishing>,
+    publishing: Rc<PublisherServer>,
     identity: Identity,
     tls: Tls,
     max_connections: usize,
@@ -76,12 +76,12 @@
     let listener = listen(plan.listen)?;
     let publisher = Publisher::new(clock.now(), settings);
     let server = Rc::new(PublishingServer {
-        publishing: Rc::new(Publishing::new(publisher, Box::new(move || clock.now()))),
+        publishing: Rc::new(PublisherServer::new(publisher, Box::new(move || clock.now()))),
         identity: Identity {
             role: Role::Planner,
             name: peers.name.clone(),
             site: peers.site.clone(),
-            life,
+            incarnation: life,
             zone: 0,
             services: true,
         },
@@ -93,7 +93,7 @@
     });
     spawn_local(watch(server.sink()).with_all_addresses().with_services().follow());
     let publishing = server.publishing.clone();
-    spawn_local(async move { publishing.tick().await });
+    spawn_local(async move { publishing.run_timer().await });
     spawn_local(server.accept(listener));
     Ok(())
 }
@@ -160,21 +160,21 @@
         stream.set_nodelay(true)?;
         let handshake = async {
             let mut stream = self.tls.accept(RetryingStream::new(stream)).await?;
-            let roles = [Role::Forwarder, Role::Asker];
-            let peer = hello::heard(&mut stream, &self.identity, &roles).await?;
+            let roles = [Role::Forwarder, Role::Operator];
+            let peer = hello::receive_hello(&mut stream, &self.identity, &roles).await?;
             Ok::<_, SessionError>((stream, peer))
         };
         let (mut stream, peer) =
             timeout(HANDSHAKE_TIMEOUT, handshake).await.map_err(|_| SessionError::Silent)??;
         match peer.role() {
-            Role::Asker => {
+            Role::Operator => {
                 let explanation = async {
-                    hello::answered(&mut stream, &self.identity).await?;
+                    hello::accept(&mut stream, &self.identity).await?;
                     Ok(self.answer_query(&mut stream).await?)
                 };
                 timeout(HANDSHAKE_TIMEOUT, explanation).await.map_err(|_| SessionError::Silent)?
             }
-            _ => self.publishing.lead(stream, &self.identity, &peer).await,
+            _ => self.publishing.serve(stream, &self.identity, &peer).await,
         }
     }
 
@@ -183,9 +183,9 @@
         &self,
         stream: &mut S,
     ) -> Result<(), FrameError> {
-        if let Some(Body::Ask(ask)) = frames::read(stream).await? {
+        if let Some(Body::ExplainRequest(ask)) = frames::read(stream).await? {
             let text = self.publishing.with(|publisher, now| publisher.explain(now, &ask));
-            frames::write(stream, Body::Told(Told { text })).await?;
+            frames::write(stream, Body::ExplainResponse(ExplainResponse { text })).await?;
         }
         Ok(())
     }
--- a/crates/plan/src/check.rs
+++ b/crates/plan/src/check.rs
@@ -1,6 +1,6 @@
 //! Whether a report makes sense: looked at before anything of it counts, the same for plans and for services.
 
-use crate::member::LONGEST_NAME;
+use crate::member::MAX_NAME_BYTES;
 use crate::planner::ReportError;
 use crate::wire::Report;
 
@@ -13,23 +13,23 @@
     if rows > MOST_SEEN {
         return Err(ReportError::Rows(rows));
     }
-    if report.following.len() > LONGEST_NAME {
+    if report.following.len() > MAX_NAME_BYTES {
         return Err(ReportError::Name(report.following.len()));
     }
     let figure = |server: &str, field, value: f32, most: f32| {
         if (0.0..=most).contains(&value) {
             return Ok(());
         }
-        let server = server.chars().take(LONGEST_NAME).collect();
-        Err(ReportError::Figure { server, field, value: value.to_string() })
+        let server = server.chars().take(MAX_NAME_BYTES).collect();
+        Err(ReportError::InvalidValue { server, field, value: value.to_string() })
     };
     for row in &report.rows {
-        if row.name.is_empty() || row.name.len() > LONGEST_NAME {
+        if row.name.is_empty() || row.name.len() > MAX_NAME_BYTES {
             return Err(ReportError::Name(row.name.len()));
         }
-        figure(&row.name, "accomplished", row.accomplished, 1e12)?;
-        figure(&row.name, "lag", row.lag, 1e9)?;
-        figure(&row.name, "faults", row.faults, 1.0)?;
+        figure(&row.name, "accomplished", row.score, 1e12)?;
+        figure(&row.name, "lag", row.relative_latency, 1e9)?;
+        figure(&row.name, "faults", row.failure_rate, 1.0)?;
     }
     for portion in report.classes.iter().chain(&report.tenants) {
         figure(&portion.name, "rate", portion.rate, 1e9)?;
--- a/crates/plan/src/explain.rs
+++ b/crates/plan/src/explain.rs
@@ -1,8 +1,8 @@
 //! What a plan says and why, in lines for people.
 
-use crate::follower::MOST_ROWS;
-use crate::planner::{Planner, Server, MOST_BOXES, MOST_COUNTED};
-use crate::wire::{Ask, Suspicion};
+use crate::follower::MAX_ROWS;
+use crate::planner::{Planner, Server, MAX_COUNTED_OVER_LIMIT, MAX_SERVERS};
+use crate::wire::{ExplainRequest, Suspicion};
 use laurelroute_policy::interface::Phase;
 use std::fmt::Write;
 
@@ -13,13 +13,13 @@
 
 impl Planner {
     /// Answers what the plan says now of a box, of a class, or as a whole where neither is named.
-    pub fn explain(&self, ask: &Ask) -> String {
+    pub fn explain(&self, ask: &ExplainRequest) -> String {
         if !ask.server.is_empty() {
             let id = self.by_name.get(&ask.server);
             return match id.and_then(|id| self.servers.get(id)) {
                 Some(server) => self.explain_server(server),
                 None if self.is_over_limit(&ask.server) => format!(
-                    "box {} is over the limit of {MOST_BOXES} and not planned for\n",
+                    "box {} is over the limit of {MAX_SERVERS} and not planned for\n",
                     ask.server.chars().take(256).collect::<String>()
                 ),
                 None => format!("no box is named `{}`\n", ask.server.chars().take(256).collect::<String>()),
@@ -69,13 +69,13 @@
         let mut lines = Vec::new();
         if self.over_limit() > 0 {
             let over = self.over_limit();
-            let more = if over >= MOST_COUNTED { " or more" } else { "" };
-            lines.push(format!("{over}{more} boxes over the limit of {MOST_BOXES} are not planned for"));
+            let more = if over >= MAX_COUNTED_OVER_LIMIT { " or more" } else { "" };
+            lines.push(format!("{over}{more} boxes over the limit of {MAX_SERVERS} are not planned for"));
         }
         if self.left_out() > 0 {
             let out = self.left_out();
             lines.push(format!(
-                "{out} boxes over the {MOST_ROWS} that a forwarder takes are left out of subsets"
+                "{out} boxes over the {MAX_ROWS} that a forwarder takes are left out of subsets"
             ));
         }
         lines
--- a/crates/plan/src/follower.rs
+++ b/crates/plan/src/follower.rs
@@ -1,7 +1,7 @@
 //! A forwarder's side: what several planners say, and the membership where nobody says anything, become one view.
 //!
 //! - One planner is followed at a time and kept as long as it speaks. Another is taken only when it has been silent,
-//!   or has gone by an older membership than others, for [`HOLD`], and then for at least that long: a forwarder never
+//!   or has gone by an older membership than others, for [`FOLLOW_HOLD_TIME`], and then for at least that long: a forwarder never
 //!   alternates.
 //! - What makes sending safer counts whoever says it: drains and leavings of all planners and of the own membership
 //!   together, and the least of the cold budgets.
@@ -9,20 +9,20 @@
 //!   plan added to them fades by itself; the steps take the rest. When no planner speaks, the membership is read.
 
 use crate::grade;
-use crate::member::{Member, LONGEST_NAME};
-use crate::subset::LEAST_BOXES;
-use crate::wire::{Because, Closed, Part, Reply, Suspicion};
-use crate::{mix, scramble};
+use crate::member::{Member, MAX_NAME_BYTES};
+use crate::subset::MIN_SERVERS;
+use crate::wire::{ClosedServer, PlanAck, PlanUpdate, RejectReason, Suspicion};
+use crate::{scramble, stable_hash};
 use laurelroute_policy::interface::{Nanos, Phase};
 use std::collections::BTreeMap;
 
 const MS: Nanos = 1_000_000;
 /// A planner that was heard within this is there.
-pub const FRESH: Nanos = 1_000 * MS;
+pub const PLANNER_FRESH_TIME: Nanos = 1_000 * MS;
 /// A planner is followed for at least this long, and through a silence of this long.
-pub const HOLD: Nanos = 2_000 * MS;
+pub const FOLLOW_HOLD_TIME: Nanos = 2_000 * MS;
 /// With nobody heard for this long the forwarder reads the membership itself.
-pub const ALONE: Nanos = 1_000 * MS;
+pub const PLANNER_SILENCE_LIMIT: Nanos = 1_000 * MS;
 /// At the start it reads the membership when nobody was heard for this long.
 const FIRST: Nanos = 300 * MS;
 /// Age of a plan, and how far it is trusted up to there.
@@ -30,10 +30,10 @@
     [(2_000 * MS, 1.0), (8_000 * MS, 0.75), (30_000 * MS, 0.5), (120_000 * MS, 0.25)];
 /// What a planner said counts for cold budgets for this long after its last word.
 const HEEDED: Nanos = 10_000 * MS;
-/// Word that a box is closed is kept for this long after the last who knew better has fallen silent.
+/// PlannedServer that a box is closed is kept for this long after the last who knew better has fallen silent.
 const REMEMBER: Nanos = 60_000 * MS;
 /// Boxes that one plan may have.
-pub const MOST_ROWS: usize = 40_000;
+pub const MAX_ROWS: usize = 40_000;
 /// Classes and tenants that one part may speak of.
 const MOST_PORTIONS: usize = 20_000;
 
@@ -68,7 +68,7 @@
     copy: Option<Copy>,
 }
 
-/// Word that a box takes nothing new.
+/// PlannedServer that a box takes nothing new.
 #[derive(Clone, Copy, Debug)]
 struct Mark {
     membership: u64,
@@ -85,15 +85,15 @@
 
 /// What the plan says of one box, in the decision module's measures.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Word {
+pub struct PlannedServer {
     /// The box.
     pub name: String,
     /// Accomplishment over all forwarders, in requests.
-    pub accomplished: f64,
+    pub score: f64,
     /// Why it is suspected.
     pub suspicion: Suspicion,
     /// Requests a second that this forwarder may send it; infinite where nothing is said.
-    pub cold_rate: f64,
+    pub slow_start_rate: f64,
 }
 
 /// What a forwarder goes by now.
@@ -102,7 +102,7 @@
     /// The boxes to use, and those that just closed; sorted by name.
     pub members: Vec<Member>,
     /// What the plan says of them.
-    pub words: Vec<Word>,
+    pub planned: Vec<PlannedServer>,
     /// How far the plan is trusted; 0 without one.
     pub trust: f64,
     /// Connections to one box; 0 where no plan says.
@@ -144,38 +144,42 @@
             behind_since: None,
             switches: 0,
             // A first word is waited for less long: clients wait with it.
-            heard_at: now.saturating_sub(if planners.is_empty() { ALONE } else { ALONE - FIRST }),
+            heard_at: now.saturating_sub(if planners.is_empty() {
+                PLANNER_SILENCE_LIMIT
+            } else {
+                PLANNER_SILENCE_LIMIT - FIRST
+            }),
             marks: BTreeMap::new(),
             own: None,
         }
     }
 
     /// Takes in what a planner says, or refuses it; the answer goes back to it. A refused part changes nothing.
-    pub fn receive(&mut self, now: Nanos, planner: usize, part: &Part) -> Reply {
+    pub fn receive(&mut self, now: Nanos, planner: usize, part: &PlanUpdate) -> PlanAck {
         let refused = match self.take(now, planner, part) {
-            Ok(()) => Because::Taken,
+            Ok(()) => RejectReason::Accepted,
             Err(because) => because,
         };
-        Reply { life: part.life, version: part.version, refused: refused as i32 }
+        PlanAck { incarnation: part.incarnation, version: part.version, refused: refused as i32 }
     }
 
-    fn take(&mut self, now: Nanos, planner: usize, part: &Part) -> Result<(), Because> {
+    fn take(&mut self, now: Nanos, planner: usize, part: &PlanUpdate) -> Result<(), RejectReason> {
         if part.site != self.site {
-            return Err(Because::OtherSite);
+            return Err(RejectReason::OtherSite);
         }
         let rows = checked(part)?;
         let newest = self.newest_beside(now, planner);
-        let slot = self.slots.get_mut(planner).ok_or(Because::Nonsense)?;
-        if part.life < slot.life {
-            return Err(Because::OldLife);
+        let slot = self.slots.get_mut(planner).ok_or(RejectReason::Invalid)?;
+        if part.incarnation < slot.life {
+            return Err(RejectReason::StaleIncarnation);
         }
         if part.base == 0 {
             // Its own earlier word may have been later: a planner's source can lose its numbers with everybody else's.
             if newest.is_some_and(|newest| part.membership < newest) {
-                return Err(Because::OldMembership);
+                return Err(RejectReason::StaleMembership);
             }
             slot.copy = Some(Copy {
-                life: part.life,
+                life: part.incarnation,
                 version: 0,
                 membership: 0,
                 rows: BTreeMap::new(),
@@ -184,15 +188,15 @@
                 heard_at: now,
             });
         }
-        slot.life = part.life;
-        let base = |c: &&mut Copy| c.life == part.life && (part.base == 0 || c.version == part.base);
-        let copy = slot.copy.as_mut().filter(base).ok_or(Because::Base)?;
+        slot.life = part.incarnation;
+        let base = |c: &&mut Copy| c.life == part.incarnation && (part.base == 0 || c.version == part.base);
+        let copy = slot.copy.as_mut().filter(base).ok_or(RejectReason::UnknownBase)?;
         // A change of a box that is not held cannot be built on. Looked at first: a refused part changes nothing.
         if rows.iter().any(|(name, row)| row.is_none() && !copy.rows.contains_key(name)) {
-            return Err(Because::Base);
+            return Err(RejectReason::UnknownBase);
         }
-        if copy.rows.len() + rows.len() > MOST_ROWS {
-            return Err(Because::Nonsense);
+        if copy.rows.len() + rows.len() > MAX_ROWS {
+            return Err(RejectReason::Invalid);
         }
         copy.heard_at = now;
         copy.version = part.version;
@@ -201,7 +205,7 @@
         for (row, (name, member)) in part.rows.iter().zip(rows) {
             let member = member.or_else(|| copy.rows.get(&name).map(|h| h.member.clone()));
             let Some(member) = member else { continue };
-            let cold_rate = row.cold_rate.map(f64::from);
+            let cold_rate = row.slow_start_rate.map(f64::from);
             copy.rows.insert(name, Held { member, grade: row.grade, suspicion: row.suspicion(), cold_rate });
         }
         part.removed.iter().for_each(|name| drop(copy.rows.remove(name)));
@@ -214,7 +218,7 @@
         let told: Vec<Member> = part
             .rows
             .iter()
-            .filter(|r| r.facts.is_some())
+            .filter(|r| r.attributes.is_some())
             .filter_map(|r| copy.rows.get(&r.name))
             .map(|h| h.member.clone())
             .collect();
@@ -228,7 +232,7 @@
     fn newest_beside(&self, now: Nanos, planner: usize) -> Option<u64> {
         let others = self.slots.iter().enumerate().filter(|(k, _)| *k != planner);
         let copies = others.filter_map(|(_, s)| s.copy.as_ref());
-        copies.filter(|c| now.saturating_sub(c.heard_at) < FRESH).map(|c| c.membership).max()
+        copies.filter(|c| now.saturating_sub(c.heard_at) < PLANNER_FRESH_TIME).map(|c| c.membership).max()
     }
 
     /// Marks a box that is closed, and takes the mark off one that later word says is ready.
@@ -245,14 +249,14 @@
         let newer = |m: &Mark| {
             membership > m.membership || server.started_at > m.started_at || server.phase == Phase::Removed
         };
-        if mark.is_none_or(newer) && self.marks.len() < MOST_ROWS {
+        if mark.is_none_or(newer) && self.marks.len() < MAX_ROWS {
             let mark = Mark { membership, phase: server.phase, started_at: server.started_at, at: now };
             self.marks.insert(member.name.clone(), mark);
         }
     }
 
     /// The membership itself has spoken: a whole list, or changes to it.
-    pub fn membership(&mut self, now: Nanos, version: u64, whole: bool, members: Vec<Member>) {
+    pub fn update_membership(&mut self, now: Nanos, version: u64, whole: bool, members: Vec<Member>) {
         let before = self.own.take().unwrap_or(Own { version: 0, members: BTreeMap::new() });
         let mut own = Own { version, members: if whole { BTreeMap::new() } else { before.members.clone() } };
         for member in members {
@@ -282,15 +286,16 @@
     }
 
     /// Whether the membership should be read: no planner has spoken for a while.
-    pub fn alone(&self, now: Nanos) -> bool {
-        now.saturating_sub(self.heard_at) >= ALONE
+    pub fn needs_membership(&self, now: Nanos) -> bool {
+        now.saturating_sub(self.heard_at) >= PLANNER_SILENCE_LIMIT
     }
 
     /// Does what the time brings: whom to follow, and what need not be remembered any longer.
     pub fn poll(&mut self, now: Nanos) {
         self.choose(now);
         let sources = self.slots.iter().filter_map(|s| s.copy.as_ref());
-        let fresh = sources.filter(|c| now.saturating_sub(c.heard_at) < FRESH).map(|c| c.membership);
+        let fresh =
+            sources.filter(|c| now.saturating_sub(c.heard_at) < PLANNER_FRESH_TIME).map(|c| c.membership);
         let known = fresh.chain(self.own.as_ref().map(|o| o.version)).max().unwrap_or(0);
         self.marks.retain(|_, m| {
             if m.membership <= known {
@@ -303,7 +308,7 @@
             self.slots.iter().filter_map(|s| s.copy.as_ref()).any(|c| c.rows.contains_key(name))
                 || self.own.as_ref().is_some_and(|o| o.members.contains_key(name))
         };
-        if self.marks.len() > MOST_ROWS / 2 {
+        if self.marks.len() > MAX_ROWS / 2 {
             self.marks.retain(|name, _| named(name));
         }
     }
@@ -321,16 +326,17 @@
     fn choose(&mut self, now: Nanos) {
         if let Some(k) = self.following {
             self.behind_since = self.behind(now, k).then(|| self.behind_since.unwrap_or(now));
-            let left_behind = self.behind_since.is_some_and(|since| now.saturating_sub(since) >= HOLD);
-            let given_up = self.silent(now, k) >= HOLD || left_behind;
-            if !given_up || now.saturating_sub(self.switched_at) < HOLD {
+            let left_behind =
+                self.behind_since.is_some_and(|since| now.saturating_sub(since) >= FOLLOW_HOLD_TIME);
+            let given_up = self.silent(now, k) >= FOLLOW_HOLD_TIME || left_behind;
+            if !given_up || now.saturating_sub(self.switched_at) < FOLLOW_HOLD_TIME {
                 return;
             }
         }
         // Spread by names, so that the loss of one planner does not send all forwarders to the same other.
-        let me = mix(2, self.name.as_bytes());
-        let weight = |k: &usize| scramble(me ^ mix(3, self.slots[*k].name.as_bytes()));
-        let fit = |k: &usize| self.silent(now, *k) < FRESH && !self.behind(now, *k);
+        let me = stable_hash(2, self.name.as_bytes());
+        let weight = |k: &usize| scramble(me ^ stable_hash(3, self.slots[*k].name.as_bytes()));
+        let fit = |k: &usize| self.silent(now, *k) < PLANNER_FRESH_TIME && !self.behind(now, *k);
         let best = (0..self.slots.len()).filter(fit).max_by_key(weight);
         if best.is_some() && best != self.following {
             self.following = best;
@@ -351,20 +357,20 @@
     }
 
     /// The planner followed, its life, and the version and membership of its plan as held here.
-    pub fn standing(&self) -> Option<(usize, u64, u64, u64)> {
+    pub fn followed_plan(&self) -> Option<(usize, u64, u64, u64)> {
         let k = self.following?;
         let copy = self.slots[k].copy.as_ref()?;
         Some((k, copy.life, copy.version, copy.membership))
     }
 
     /// Drains and leavings that this forwarder knows of, for its reports.
-    pub fn closed(&self) -> Vec<Closed> {
-        let closed = |(name, mark): (&String, &Mark)| Closed {
+    pub fn closed(&self) -> Vec<ClosedServer> {
+        let closed = |(name, mark): (&String, &Mark)| ClosedServer {
             epoch: 0,
             name: name.clone(),
             membership: mark.membership,
             started_ms: mark.started_at / MS,
-            gone: mark.phase == Phase::Removed,
+            removed: mark.phase == Phase::Removed,
         };
         self.marks.iter().map(closed).collect()
     }
@@ -388,8 +394,9 @@
             });
         }
         let later = self.slots.iter().filter_map(|s| s.copy.as_ref());
-        let later =
-            later.filter(|c| c.membership > copy.membership && now.saturating_sub(c.heard_at) < FRESH);
+        let later = later.filter(|c| {
+            c.membership > copy.membership && now.saturating_sub(c.heard_at) < PLANNER_FRESH_TIME
+        });
         for other in later {
             members.iter_mut().for_each(|m| {
                 if let Some(held) = other.rows.get(&m.name) {
@@ -403,15 +410,15 @@
         }
         let word = |m: &Member| {
             let held = copy.rows.get(&m.name)?;
-            Some(Word {
+            Some(PlannedServer {
                 name: m.name.clone(),
-                accomplished: grade::value(held.grade),
+                score: grade::value(held.grade),
                 suspicion: held.suspicion,
-                cold_rate: self.cold_rate(now, &m.name),
+                slow_start_rate: self.cold_rate(now, &m.name),
             })
         };
         View {
-            words: members.iter().filter_map(word).collect(),
+            planned: members.iter().filter_map(word).collect(),
             members,
             trust,
             connections: copy.connections,
@@ -438,7 +445,7 @@
     fn fill(&self, members: &mut Vec<Member>, own: &Own) {
         let ready = |m: &&Member| m.server.phase == Phase::Ready;
         let have = members.iter().filter(ready).count();
-        let wanted = members.len().max(LEAST_BOXES);
+        let wanted = members.len().max(MIN_SERVERS);
         if have >= wanted {
             return;
         }
@@ -446,8 +453,8 @@
         let others = own.members.values().filter(|m| !named.contains(&m.name)).cloned().collect();
         let mut others: Vec<Member> = self.closing(others);
         others.retain(|m| m.server.phase == Phase::Ready);
-        let me = mix(4, self.name.as_bytes());
-        others.sort_by_cached_key(|m| scramble(me ^ mix(5, m.name.as_bytes())));
+        let me = stable_hash(4, self.name.as_bytes());
+        others.sort_by_cached_key(|m| scramble(me ^ stable_hash(5, m.name.as_bytes())));
         members.extend(others.into_iter().take(wanted - have));
         members.sort_by(|a, b| a.name.cmp(&b.name));
     }
@@ -464,21 +471,22 @@
 type Checked = Vec<(String, Option<Member>)>;
 
 /// The rows with who they are, or why the part cannot be used.
-fn checked(part: &Part) -> Result<Checked, Because> {
+fn checked(part: &PlanUpdate) -> Result<Checked, RejectReason> {
     let portions = || part.classes.iter().chain(&part.tenants);
     let many =
-        part.rows.len() > MOST_ROWS || part.removed.len() > MOST_ROWS || portions().count() > MOST_PORTIONS;
+        part.rows.len() > MAX_ROWS || part.removed.len() > MAX_ROWS || portions().count() > MOST_PORTIONS;
     let rate = |r: f32| r.is_finite() && r >= 0.0;
-    let bad_name = |name: &String| name.is_empty() || name.len() > LONGEST_NAME;
+    let bad_name = |name: &String| name.is_empty() || name.len() > MAX_NAME_BYTES;
     if many || part.version == 0 || portions().any(|p| !rate(p.rate) || bad_name(&p.name)) {
-        return Err(Because::Nonsense);
+        return Err(RejectReason::Invalid);
     }
-    let row = |row: &crate::wire::Row| {
-        if bad_name(&row.name) || row.cold_rate.is_some_and(|r| !rate(r)) {
-            return Err(Because::Nonsense);
+    let row = |row: &crate::wire::ServerRow| {
+        if bad_name(&row.name) || row.slow_start_rate.is_some_and(|r| !rate(r)) {
+            return Err(RejectReason::Invalid);
         }
-        let member = row.facts.as_ref().map(|facts| Member::from_facts(&row.name, facts)).transpose();
-        Ok((row.name.clone(), member.map_err(|_| Because::Nonsense)?))
+        let member =
+            row.attributes.as_ref().map(|facts| Member::from_attributes(&row.name, facts)).transpose();
+        Ok((row.name.clone(), member.map_err(|_| RejectReason::Invalid)?))
     };
     part.rows.iter().map(row).collect()
 }
--- a/crates/plan/src/lead.rs
+++ b/crates/plan/src/lead.rs
@@ -8,9 +8,9 @@
 
 /// What the decision module was told of the boxes.
 #[derive(Clone, Debug, Default)]
-pub struct Told(BTreeMap<String, Member>);
+pub struct AppliedMembers(BTreeMap<String, Member>);
 
-impl Told {
+impl AppliedMembers {
     /// Whether nothing was told yet.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
@@ -37,24 +37,24 @@
 
 /// The view in the decision module's words. `find` gives a box's identity there; `tenants` are named with the rates
 /// that count where the plan says nothing.
-pub fn guide<'a>(
+pub fn node_plan<'a>(
     view: &View,
     find: impl Fn(&str) -> Option<Endpoint>,
     classes: &[String],
     tenants: impl Iterator<Item = (&'a str, f64)>,
 ) -> NodePlan {
-    let standing = |word: &crate::follower::Word| {
+    let standing = |word: &crate::follower::PlannedServer| {
         Some(ServerPlan {
             server: find(&word.name)?,
-            score: word.accomplished,
+            score: word.score,
             suspected: word.suspicion != Suspicion::None,
-            slow_start_rate: word.cold_rate,
+            slow_start_rate: word.slow_start_rate,
         })
     };
     let class = |name: &String| view.classes.get(name).copied().unwrap_or(f64::INFINITY);
     NodePlan {
         trust: view.trust,
-        servers: view.words.iter().filter_map(standing).collect(),
+        servers: view.planned.iter().filter_map(standing).collect(),
         tenants: tenants.map(|(name, even)| view.tenants.get(name).copied().unwrap_or(even)).collect(),
         classes: classes.iter().map(class).collect(),
     }
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -27,7 +27,7 @@
 mod explain;
 
 /// A hash that is the same at every node and in every build (splitmix64's mixer over the bytes).
-pub fn mix(seed: u64, bytes: &[u8]) -> u64 {
+pub fn stable_hash(seed: u64, bytes: &[u8]) -> u64 {
     let start = seed ^ 0x9E37_79B9_7F4A_7C15;
     let hash = bytes.chunks(8).fold(start, |hash, chunk| {
         let mut word = [0; 8];
--- a/crates/plan/src/member.rs
+++ b/crates/plan/src/member.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 /// Longest name of a box or of a peer, in bytes.
-pub const LONGEST_NAME: usize = 256;
+pub const MAX_NAME_BYTES: usize = 256;
 /// Wires that a box may listen on.
 const MOST_WIRES: usize = 16;
 
@@ -22,9 +22,9 @@
 
 /// Why facts about a box cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum FactsError {
+pub enum AttributesError {
     /// The name is empty or too long.
-    #[error("a box's name has {0} bytes; 1 to {LONGEST_NAME} are allowed")]
+    #[error("a box's name has {0} bytes; 1 to {MAX_NAME_BYTES} are allowed")]
     Name(usize),
     /// An address is none.
     #[error("`{name}` has the address `{address}`, which is none")]
@@ -57,9 +57,9 @@
     }
 
     /// In the messages' form.
-    pub fn facts(&self) -> wire::Facts {
+    pub fn attributes(&self) -> wire::ServerAttributes {
         let address = |a: &Option<SocketAddr>| a.map(|a| a.to_string()).unwrap_or_default();
-        wire::Facts {
+        wire::ServerAttributes {
             addresses: self.addresses.iter().map(address).collect(),
             zone: self.server.zone.into(),
             kind: self.server.kind.into(),
@@ -75,17 +75,17 @@
     }
 
     /// From the messages' form, checked.
-    pub fn from_facts(name: &str, facts: &wire::Facts) -> Result<Member, FactsError> {
-        if name.is_empty() || name.len() > LONGEST_NAME {
-            return Err(FactsError::Name(name.len()));
+    pub fn from_attributes(name: &str, facts: &wire::ServerAttributes) -> Result<Member, AttributesError> {
+        if name.is_empty() || name.len() > MAX_NAME_BYTES {
+            return Err(AttributesError::Name(name.len()));
         }
         if facts.addresses.len() > MOST_WIRES {
-            return Err(FactsError::Addresses(name.to_owned()));
+            return Err(AttributesError::Addresses(name.to_owned()));
         }
-        let range = |field, value: String| FactsError::Range { name: name.to_owned(), field, value };
+        let range = |field, value: String| AttributesError::Range { name: name.to_owned(), field, value };
         let address = |text: &String| match text.as_str() {
             "" => Ok(None),
-            text => text.parse().map(Some).map_err(|_| FactsError::Address {
+            text => text.parse().map(Some).map_err(|_| AttributesError::Address {
                 name: name.to_owned(),
                 address: text.chars().take(64).collect(),
             }),
@@ -122,17 +122,17 @@
     fn facts_come_back_as_they_were() {
         let mut member = Member::warm("box-1").started(5_000_000).in_phase(Phase::Draining);
         member.addresses = vec!["127.0.0.1:80".parse().ok(), None];
-        assert_eq!(Member::from_facts("box-1", &member.facts()), Ok(member.clone()));
-        let bad = |change: fn(&mut wire::Facts)| {
-            let mut facts = member.facts();
+        assert_eq!(Member::from_attributes("box-1", &member.attributes()), Ok(member.clone()));
+        let bad = |change: fn(&mut wire::ServerAttributes)| {
+            let mut facts = member.attributes();
             change(&mut facts);
-            Member::from_facts("box-1", &facts).unwrap_err().to_string()
+            Member::from_attributes("box-1", &facts).unwrap_err().to_string()
         };
         assert_eq!(bad(|f| f.addresses[0] = "x".into()), "`box-1` has the address `x`, which is none");
         assert_eq!(bad(|f| f.phase = 9), "`box-1`: `phase` is 9");
         assert_eq!(bad(|f| f.size = f32::NAN), "`box-1`: `size` is NaN");
         assert_eq!(bad(|f| f.zone = 300), "`box-1`: `zone` is 300");
         assert_eq!(bad(|f| f.addresses = vec![String::new(); 17]), "`box-1` has over 16 addresses");
-        assert!(Member::from_facts("", &member.facts()).is_err());
+        assert!(Member::from_attributes("", &member.attributes()).is_err());
     }
 }
--- a/crates/plan/src/planner.rs
+++ b/crates/plan/src/planner.rs
@@ -7,34 +7,37 @@
 //! Work follows changes: a report's row touches one box, a box's change touches the forwarders that use it.
 
 use crate::check::check;
-use crate::follower::MOST_ROWS;
+use crate::follower::MAX_ROWS;
 use crate::grade;
-use crate::member::{Member, LONGEST_NAME};
+use crate::member::{Member, MAX_NAME_BYTES};
 use crate::share;
-use crate::subset::{self, Cover};
-use crate::wire::{Because, Facts, Part, Portion, Reply, Report, Row, Seen, Suspicion};
+use crate::subset::{self, Coverage};
+use crate::wire::{
+    PlanAck, PlanUpdate, RateShare, RejectReason, Report, ServerAttributes, ServerReport, ServerRow,
+    Suspicion,
+};
 use laurelroute_policy::interface::{Nanos, Phase, ATTEMPT_OUTCOMES};
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 const MS: Nanos = 1_000_000;
 /// Boxes that a planner holds at most, departed ones among them; further ones are counted, and not planned for.
-pub const MOST_BOXES: usize = 200_000;
+pub const MAX_SERVERS: usize = 200_000;
 /// Boxes over the limit that are counted; of more it is only known that there are at least so many.
-pub(crate) const MOST_COUNTED: usize = 200_000;
+pub(crate) const MAX_COUNTED_OVER_LIMIT: usize = 200_000;
 /// Forwarders that a planner serves at most.
-pub const MOST_FORWARDERS: usize = 10_000;
+pub const MAX_FORWARDERS: usize = 10_000;
 /// A planner collects reports for this long before its first plan, where nothing else is set: fewer forwarders than
 /// there are would each get far too many boxes.
-pub const SETTLE: Nanos = 700 * MS;
+pub const DEFAULT_SETTLE_TIME: Nanos = 700 * MS;
 /// Subsets are made anew no more often than this.
 const PLAN_EVERY: Nanos = 100 * MS;
 /// A forwarder that is lost keeps its boxes for this long: most come back.
-pub const LINGER: Nanos = 5_000 * MS;
+pub const FORWARDER_GRACE: Nanos = 5_000 * MS;
 /// A box that left is remembered for this long, so that old word of it is known to be old.
 const REMEMBER: Nanos = 60_000 * MS;
 /// Something is said to a forwarder at least this often, so that it knows that its plan stands.
-pub const BEAT: Nanos = 250 * MS;
+pub const HEARTBEAT_INTERVAL: Nanos = 250 * MS;
 /// Parts under way to a forwarder that are not answered yet. One that reads slowly gets the sum of all changes later.
 const WINDOW: u64 = 4;
 /// A part that is not answered for this long is taken for lost.
@@ -45,7 +48,7 @@
 const COLD_SHARE: f64 = 0.9;
 /// Budgets and portions that differ by less than this part are not told anew.
 const HARDLY: f64 = 0.1;
-/// Part of a zone that may be suspected.
+/// PlanUpdate of a zone that may be suspected.
 const SUSPECT_CAP: f64 = 0.5;
 /// Forwarders that have to say so before a box is suspected: what only one of them meets may be its own network.
 const WITNESSES: u32 = 2;
@@ -61,19 +64,19 @@
     /// The installation.
     pub site: String,
     /// When this life began, Unix time in milliseconds: of two lives the later one counts.
-    pub life: u64,
+    pub incarnation: u64,
     /// Planners of this installation, running or not: cold budgets are split among them.
     pub planners: u32,
     /// Connections that one box takes of all forwarders together.
-    pub cap: Option<u32>,
+    pub max_connections: Option<u32>,
     /// Connections that a forwarder would like to hold to each of its boxes.
-    pub wanted: u32,
+    pub wanted_connections: u32,
     /// A box starts at this share of its capacity.
-    pub cold_from: f64,
+    pub initial_capacity: f64,
     /// It is warm after this; accomplishment fades by e in the same time.
     pub ramp: Nanos,
     /// How long it collects reports before its first plan.
-    pub settle: Nanos,
+    pub settle_time: Nanos,
     /// Classes, with their limits in requests a second over all forwarders.
     pub classes: Vec<(String, Option<f64>)>,
     /// Tenants, with their shares in requests a second over all forwarders.
@@ -150,7 +153,7 @@
     zone: u8,
     /// Since when it is not connected.
     left_at: Option<Nanos>,
-    seen: BTreeMap<u32, Seen>,
+    seen: BTreeMap<u32, ServerReport>,
     pub(crate) subset: Vec<u32>,
     told: BTreeMap<u32, Told>,
     pending: BTreeSet<u32>,
@@ -174,17 +177,17 @@
 pub enum ReportError {
     /// Nobody of this name has joined.
     #[error("`{0}` has not joined")]
-    Stranger(String),
+    NotJoined(String),
     /// There are as many forwarders as there may be.
-    #[error("{MOST_FORWARDERS} forwarders are here already")]
-    Crowded,
+    #[error("{MAX_FORWARDERS} forwarders are here already")]
+    TooManyForwarders,
     /// A name is empty or too long.
     #[error("a name of {0} bytes")]
     Name(usize),
     /// A figure makes no sense.
     #[error("`{server}`: `{field}` is {value}")]
     #[allow(missing_docs)]
-    Figure { server: String, field: &'static str, value: String },
+    InvalidValue { server: String, field: &'static str, value: String },
     /// A report has too many rows.
     #[error("{0} rows in one report")]
     Rows(usize),
@@ -203,7 +206,7 @@
     forwarder_ids: BTreeMap<String, u32>,
     next_forwarder: u32,
     cold: BTreeSet<u32>,
-    cover: Cover,
+    cover: Coverage,
     dirty: bool,
     planned_at: Option<Nanos>,
     /// Sums over all boxes: shares of failures, and rows reported.
@@ -250,7 +253,7 @@
             forwarder_ids: BTreeMap::new(),
             next_forwarder: 0,
             cold: BTreeSet::new(),
-            cover: Cover { forwarders: 1, connections: 0 },
+            cover: Coverage { forwarders: 1, connections: 0 },
             dirty: false,
             planned_at: None,
             faults: 0.0,
@@ -275,7 +278,7 @@
     }
 
     /// How many forwarders a box has now.
-    pub fn cover(&self) -> Cover {
+    pub fn cover(&self) -> Coverage {
         self.cover
     }
 
@@ -297,7 +300,7 @@
     // ---- Membership ----
 
     /// The membership has spoken: a whole list, or changes to it.
-    pub fn membership(&mut self, now: Nanos, version: u64, whole: bool, members: Vec<Member>) {
+    pub fn update_membership(&mut self, now: Nanos, version: u64, whole: bool, members: Vec<Member>) {
         self.membership = Some(version);
         if whole {
             self.over.clear();
@@ -313,10 +316,10 @@
         let known = self.by_name.get(&member.name).copied();
         if known.is_none() {
             let ready = member.server.phase == Phase::Ready;
-            let full = self.servers.len() >= MOST_BOXES;
+            let full = self.servers.len() >= MAX_SERVERS;
             if !ready || !full {
                 self.over.remove(&hash(&member.name));
-            } else if self.over.len() < MOST_COUNTED {
+            } else if self.over.len() < MAX_COUNTED_OVER_LIMIT {
                 self.over.insert(hash(&member.name));
             }
             if !ready || full {
@@ -391,13 +394,13 @@
     // ---- Forwarders ----
 
     /// A forwarder has connected; it gets a whole plan.
-    pub fn joined(&mut self, now: Nanos, name: &str, zone: u8) -> Result<(), ReportError> {
-        if name.is_empty() || name.len() > LONGEST_NAME {
+    pub fn forwarder_connected(&mut self, now: Nanos, name: &str, zone: u8) -> Result<(), ReportError> {
+        if name.is_empty() || name.len() > MAX_NAME_BYTES {
             return Err(ReportError::Name(name.len()));
         }
         let id = match self.forwarder_ids.get(name) {
             Some(&id) => id,
-            None if self.forwarders.len() >= MOST_FORWARDERS => return Err(ReportError::Crowded),
+            None if self.forwarders.len() >= MAX_FORWARDERS => return Err(ReportError::TooManyForwarders),
             None => {
                 let id = self.next_forwarder;
                 self.next_forwarder += 1;
@@ -423,7 +426,7 @@
     }
 
     /// A forwarder's connection is lost.
-    pub fn left(&mut self, now: Nanos, name: &str) {
+    pub fn forwarder_disconnected(&mut self, now: Nanos, name: &str) {
         if let Some(f) = self.forwarder_ids.get(name).and_then(|id| self.forwarders.get_mut(id)) {
             f.left_at.get_or_insert(now);
         }
@@ -440,39 +443,39 @@
         }
     }
 
-    fn unsee(&mut self, forwarder: u32, server: u32, seen: &Seen) {
+    fn unsee(&mut self, forwarder: u32, server: u32, seen: &ServerReport) {
         let Some(s) = self.servers.get_mut(&server) else { return };
         s.reporters.remove(&forwarder);
-        s.accomplished = (s.accomplished - f64::from(seen.accomplished)).max(0.0);
+        s.accomplished = (s.accomplished - f64::from(seen.score)).max(0.0);
         s.in_flight = s.in_flight.saturating_sub(seen.in_flight.into());
         s.ejected = s.ejected.saturating_sub(seen.ejected.into());
-        s.faults = (s.faults - f64::from(seen.faults)).max(0.0);
-        s.lag = (s.lag - f64::from(seen.lag)).max(0.0);
-        self.faults = (self.faults - f64::from(seen.faults)).max(0.0);
+        s.faults = (s.faults - f64::from(seen.failure_rate)).max(0.0);
+        s.lag = (s.lag - f64::from(seen.relative_latency)).max(0.0);
+        self.faults = (self.faults - f64::from(seen.failure_rate)).max(0.0);
         self.rows = (self.rows - 1.0).max(0.0);
     }
 
-    fn see(&mut self, forwarder: u32, server: u32, seen: &Seen) {
+    fn see(&mut self, forwarder: u32, server: u32, seen: &ServerReport) {
         let Some(s) = self.servers.get_mut(&server) else { return };
         s.reporters.insert(forwarder);
-        s.accomplished += f64::from(seen.accomplished);
+        s.accomplished += f64::from(seen.score);
         s.in_flight += u64::from(seen.in_flight);
         s.ejected += u32::from(seen.ejected);
-        s.faults += f64::from(seen.faults);
-        s.lag += f64::from(seen.lag);
-        self.faults += f64::from(seen.faults);
+        s.faults += f64::from(seen.failure_rate);
+        s.lag += f64::from(seen.relative_latency);
+        self.faults += f64::from(seen.failure_rate);
         self.rows += 1.0;
     }
 
     /// A forwarder's report. Nothing of it counts where any figure makes no sense.
     pub fn report(&mut self, now: Nanos, name: &str, report: &Report) -> Result<(), ReportError> {
-        let id = *self.forwarder_ids.get(name).ok_or_else(|| ReportError::Stranger(name.to_owned()))?;
+        let id = *self.forwarder_ids.get(name).ok_or_else(|| ReportError::NotJoined(name.to_owned()))?;
         check(report)?;
         for row in &report.rows {
             // One that the membership has not told of yet is told again when it has: the forwarder repeats itself.
             let Some(&server) = self.by_name.get(&row.name) else { continue };
             let Some(forwarder) = self.forwarders.get_mut(&id) else { continue };
-            let before = forwarder.seen.insert(server, Seen { name: String::new(), ..row.clone() });
+            let before = forwarder.seen.insert(server, ServerReport { name: String::new(), ..row.clone() });
             if let Some(before) = &before {
                 self.unsee(id, server, before);
             }
@@ -493,7 +496,7 @@
             let s = &self.servers[&server];
             let same_life = s.member.server.started_at / MS <= closed.started_ms;
             if closed.membership >= s.told_by && same_life {
-                let phase = if closed.gone { Phase::Removed } else { Phase::Draining };
+                let phase = if closed.removed { Phase::Removed } else { Phase::Draining };
                 self.close(now, server, phase, closed.membership);
             }
         }
@@ -514,10 +517,10 @@
         Ok(())
     }
 
-    fn count_endings(&mut self, server: u32, before: Option<&Seen>, row: &Seen) {
+    fn count_endings(&mut self, server: u32, before: Option<&ServerReport>, row: &ServerReport) {
         let Some(s) = self.servers.get_mut(&server) else { return };
-        for (k, &count) in row.endings.iter().take(ATTEMPT_OUTCOMES).enumerate() {
-            let told = before.and_then(|b| b.endings.get(k)).copied().unwrap_or(0);
+        for (k, &count) in row.outcomes.iter().take(ATTEMPT_OUTCOMES).enumerate() {
+            let told = before.and_then(|b| b.outcomes.get(k)).copied().unwrap_or(0);
             // A count that falls is a new life's.
             s.endings[k] += u64::from(count.checked_sub(told).unwrap_or(count));
         }
@@ -545,17 +548,18 @@
     }
 
     /// A forwarder has taken a part in, or has not.
-    pub fn reply(&mut self, name: &str, reply: &Reply) {
-        let life = self.settings.life;
+    pub fn handle_ack(&mut self, name: &str, reply: &PlanAck) {
+        let life = self.settings.incarnation;
         let Some(f) = self.forwarder_ids.get(name).and_then(|id| self.forwarders.get_mut(id)) else { return };
         // Another life's, or one that a whole plan has overtaken.
-        if reply.life != life || reply.version <= f.answered || reply.version > f.version {
+        if reply.incarnation != life || reply.version <= f.answered || reply.version > f.version {
             return;
         }
         f.answered = reply.version;
-        f.whole |= reply.refused == Because::Base as i32;
+        f.whole |= reply.refused == RejectReason::UnknownBase as i32;
         f.refused = false;
-        if reply.refused != Because::Taken as i32 && reply.refused != Because::Base as i32 {
+        if reply.refused != RejectReason::Accepted as i32 && reply.refused != RejectReason::UnknownBase as i32
+        {
             // Saying the same again would not help: it gets the whole when something has changed, or after a pause.
             f.whole = true;
             f.refused = true;
@@ -659,7 +663,7 @@
             return None;
         }
         let age = now.saturating_sub(started) as f64 / self.settings.ramp as f64;
-        let share = self.settings.cold_from + (1.0 - self.settings.cold_from) * age;
+        let share = self.settings.initial_capacity + (1.0 - self.settings.initial_capacity) * age;
         (share < 1.0).then_some(share)
     }
 
@@ -667,12 +671,14 @@
 
     /// Does what is due: subsets after changes, budgets of cold boxes, leaving out who has been away for long.
     pub fn poll(&mut self, now: Nanos) {
-        if now.saturating_sub(self.swept_at) >= BEAT {
+        if now.saturating_sub(self.swept_at) >= HEARTBEAT_INTERVAL {
             self.swept_at = now;
             self.sweep(now);
         }
         let due = match self.planned_at {
-            None => self.membership.is_some() && now.saturating_sub(self.started_at) >= self.settings.settle,
+            None => {
+                self.membership.is_some() && now.saturating_sub(self.started_at) >= self.settings.settle_time
+            }
             Some(at) => self.dirty && now.saturating_sub(at) >= PLAN_EVERY,
         };
         if due {
@@ -682,7 +688,7 @@
 
     fn sweep(&mut self, now: Nanos) {
         self.sum_zones(now);
-        let lost = |f: &Forwarder| f.left_at.is_some_and(|at| now.saturating_sub(at) > LINGER);
+        let lost = |f: &Forwarder| f.left_at.is_some_and(|at| now.saturating_sub(at) > FORWARDER_GRACE);
         let lost: Vec<u32> = self.forwarders.iter().filter(|(_, f)| lost(f)).map(|(id, _)| *id).collect();
         for id in lost {
             self.forget_seen(id);
@@ -732,7 +738,12 @@
             .collect();
         let movers: Vec<Named> =
             self.forwarders.iter().map(|(id, f)| (*id, f.zone, f.name.as_str())).collect();
-        self.cover = subset::cover(movers.len(), ready.len(), self.settings.cap, self.settings.wanted);
+        self.cover = subset::cover(
+            movers.len(),
+            ready.len(),
+            self.settings.max_connections,
+            self.settings.wanted_connections,
+        );
         let zones: BTreeSet<u8> = ready.iter().map(|r| r.1).collect();
         let mut dealt: BTreeMap<u32, Vec<u32>> = movers.iter().map(|m| (m.0, Vec::new())).collect();
         for zone in zones {
@@ -757,9 +768,9 @@
         self.left_out.clear();
         for (id, mut subset) in dealt {
             subset.sort_unstable();
-            if subset.len() > MOST_ROWS {
-                self.left_out.insert(id, subset.len() - MOST_ROWS);
-                subset.truncate(MOST_ROWS);
+            if subset.len() > MAX_ROWS {
+                self.left_out.insert(id, subset.len() - MAX_ROWS);
+                subset.truncate(MAX_ROWS);
             }
             self.assign(id, subset);
         }
@@ -784,7 +795,7 @@
     // ---- Parts ----
 
     /// What a forwarder is to be told now, if anything: a whole plan, changes, or that all stands as it was.
-    pub fn next_part(&mut self, now: Nanos, name: &str) -> Option<Part> {
+    pub fn next_update(&mut self, now: Nanos, name: &str) -> Option<PlanUpdate> {
         let id = *self.forwarder_ids.get(name)?;
         self.planned_at?;
         let f = self.forwarders.get_mut(&id)?;
@@ -800,14 +811,14 @@
         }
         let pause = now.saturating_sub(f.sent_at);
         if f.whole {
-            let wait = if f.refused { REFUSED_WAIT } else { BEAT };
+            let wait = if f.refused { REFUSED_WAIT } else { HEARTBEAT_INTERVAL };
             return (f.sent_at == 0 || pause >= wait).then(|| self.whole(now, id)).flatten();
         }
         let elapsed = now.saturating_sub(f.tokens_at) as f64 / 1e9;
         f.tokens = (f.tokens + elapsed * self.settings.bytes_per_second).min(self.settings.bytes_per_second);
         f.tokens_at = now;
         let part = self.changes(now, id);
-        if part.is_some() || pause < BEAT {
+        if part.is_some() || pause < HEARTBEAT_INTERVAL {
             return part;
         }
         let f = self.forwarders.get_mut(&id)?;
@@ -816,19 +827,19 @@
         Some(self.part(version, base))
     }
 
-    fn part(&self, version: u64, base: u64) -> Part {
-        Part {
+    fn part(&self, version: u64, base: u64) -> PlanUpdate {
+        PlanUpdate {
             site: self.settings.site.clone(),
-            life: self.settings.life,
+            incarnation: self.settings.incarnation,
             version,
             base,
             membership: self.membership.unwrap_or(0),
             connections: self.cover.connections,
-            ..Part::default()
+            ..PlanUpdate::default()
         }
     }
 
-    fn whole(&mut self, now: Nanos, id: u32) -> Option<Part> {
+    fn whole(&mut self, now: Nanos, id: u32) -> Option<PlanUpdate> {
         let f = self.forwarders.get_mut(&id)?;
         for s in std::mem::take(&mut f.told).keys() {
             self.servers.get_mut(s).map(|s| s.knowers.remove(&id));
@@ -850,7 +861,7 @@
             f.version += 1;
         }
         let version = f.version;
-        Some(Part { base: 0, ..part.unwrap_or_else(|| self.part(version, 0)) })
+        Some(PlanUpdate { base: 0, ..part.unwrap_or_else(|| self.part(version, 0)) })
     }
 
     /// The row of a box as a forwarder should know it; `None` where it should not.
@@ -866,7 +877,7 @@
         Some((Told { row: server.published, cold_rate, facts: server.facts }, server))
     }
 
-    fn changes(&mut self, now: Nanos, id: u32) -> Option<Part> {
+    fn changes(&mut self, now: Nanos, id: u32) -> Option<PlanUpdate> {
         let f = self.forwarders.get(&id)?;
         let mut tokens = f.tokens;
         let (mut rows, mut told, mut later, mut removed) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
@@ -889,14 +900,14 @@
                 continue;
             }
             tokens -= ROW_BYTES;
-            let facts: Option<Facts> =
-                before.is_none_or(|b| b.facts != row.facts).then(|| server.member.facts());
-            rows.push(Row {
+            let facts: Option<ServerAttributes> =
+                before.is_none_or(|b| b.facts != row.facts).then(|| server.member.attributes());
+            rows.push(ServerRow {
                 name: server.member.name.clone(),
-                facts,
+                attributes: facts,
                 grade: row.row.grade,
                 suspicion: row.row.suspicion as i32,
-                cold_rate: row.cold_rate.map(|r| r as f32),
+                slow_start_rate: row.cold_rate.map(|r| r as f32),
             });
             told.push((s, row));
         }
@@ -906,8 +917,8 @@
             .map(Option::unwrap_or_default)
             .collect();
         let connections = self.cover.connections;
-        let portions = |k: usize, names: &dyn Fn(usize) -> String| -> Vec<Portion> {
-            let of = |&place: &usize| Portion {
+        let portions = |k: usize, names: &dyn Fn(usize) -> String| -> Vec<RateShare> {
+            let of = |&place: &usize| RateShare {
                 name: names(place),
                 rate: f.portions[k].get(&place).copied().unwrap_or(0.0) as f32,
             };
@@ -939,7 +950,7 @@
         let base = f.version;
         f.version += 1;
         let version = f.version;
-        Some(Part { rows, removed: gone, classes, tenants, ..self.part(version, base) })
+        Some(PlanUpdate { rows, removed: gone, classes, tenants, ..self.part(version, base) })
     }
 
     /// Forwarders that are connected.
--- a/crates/plan/src/reporter.rs
+++ b/crates/plan/src/reporter.rs
@@ -3,7 +3,7 @@
 //! One reporter serves one connection to one planner. Each row says how a box stands now and replaces the one before:
 //! nothing is lost with a message, and what had no room is said later as it then stands.
 
-use crate::wire::{Closed, Portion, Report, Seen};
+use crate::wire::{ClosedServer, RateShare, Report, ServerReport};
 use laurelroute_policy::interface::{Nanos, ServerObservation, ATTEMPT_OUTCOMES};
 use prost::Message;
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,11 +13,11 @@
 /// ... and counts in flight, which change all the time, by less than this.
 const FEW: u32 = 4;
 /// Something is said at least this often, so that a planner knows that the forwarder is there.
-pub const BEAT: Nanos = 1_000_000_000;
+pub const HEARTBEAT_INTERVAL: Nanos = 1_000_000_000;
 
 /// What a forwarder knows now, to be reported.
 #[derive(Clone, Debug, Default)]
-pub struct Now<'a> {
+pub struct NodeState<'a> {
     /// Every box that it uses, by name.
     pub servers: Vec<(&'a str, ServerObservation)>,
     /// Requests a second let in, by class.
@@ -25,7 +25,7 @@
     /// The same by tenant.
     pub tenants: Vec<(&'a str, f64)>,
     /// Drains and leavings that it knows of by itself.
-    pub closed: Vec<Closed>,
+    pub closed: Vec<ClosedServer>,
     /// The planner that it follows.
     pub following: &'a str,
 }
@@ -33,7 +33,7 @@
 /// Reports to one planner.
 #[derive(Clone, Debug)]
 pub struct Reporter {
-    told: BTreeMap<String, Seen>,
+    told: BTreeMap<String, ServerReport>,
     rates: [BTreeMap<String, f64>; 2],
     closed: BTreeSet<(String, u64)>,
     following: String,
@@ -60,7 +60,7 @@
     }
 
     /// The next report, if there is anything to say. What has changed most comes first.
-    pub fn report(&mut self, now: Nanos, state: &Now<'_>) -> Option<Report> {
+    pub fn report(&mut self, now: Nanos, state: &NodeState<'_>) -> Option<Report> {
         let elapsed = now.saturating_sub(self.at) as f64 / 1e9;
         self.at = now;
         self.tokens = (self.tokens + elapsed * self.bytes_per_second).min(2.0 * self.bytes_per_second);
@@ -73,7 +73,7 @@
         if state.closed.len() * 2 < self.closed.len() {
             self.closed = state.closed.iter().map(|c| (c.name.clone(), c.membership)).collect();
         }
-        let mut rows: Vec<(f64, Seen)> = Vec::new();
+        let mut rows: Vec<(f64, ServerReport)> = Vec::new();
         for (name, observed) in &state.servers {
             let weight = self.told.get(*name).map_or(f64::INFINITY, |told| change(told, observed));
             if weight > 0.0 {
@@ -99,7 +99,7 @@
             && report.classes.is_empty()
             && report.tenants.is_empty()
             && self.following == state.following;
-        if quiet && self.said_at.is_some_and(|at| now.saturating_sub(at) < BEAT) {
+        if quiet && self.said_at.is_some_and(|at| now.saturating_sub(at) < HEARTBEAT_INTERVAL) {
             return None;
         }
         self.following = state.following.to_owned();
@@ -107,7 +107,7 @@
         Some(report)
     }
 
-    fn drop_unused(&mut self, state: &Now<'_>, report: &mut Report) {
+    fn drop_unused(&mut self, state: &NodeState<'_>, report: &mut Report) {
         let used: BTreeSet<&str> = state.servers.iter().map(|(name, _)| *name).collect();
         let unused: Vec<String> = self.told.keys().filter(|n| !used.contains(n.as_str())).cloned().collect();
         for name in unused {
@@ -116,7 +116,7 @@
         }
     }
 
-    fn portions(&mut self, k: usize, rates: &[(&str, f64)]) -> Vec<Portion> {
+    fn portions(&mut self, k: usize, rates: &[(&str, f64)]) -> Vec<RateShare> {
         let mut portions = Vec::new();
         for (name, rate) in rates {
             let told = self.rates[k].get(*name).copied().unwrap_or(0.0);
@@ -125,7 +125,7 @@
             if differs && size <= self.tokens {
                 self.tokens -= size;
                 self.rates[k].insert((*name).to_owned(), *rate);
-                portions.push(Portion { name: (*name).to_owned(), rate: *rate as f32 });
+                portions.push(RateShare { name: (*name).to_owned(), rate: *rate as f32 });
             }
         }
         portions
@@ -133,30 +133,30 @@
 }
 
 /// What was met of a box, in the messages' form.
-pub(crate) fn seen(name: &str, observed: &ServerObservation) -> Seen {
+pub(crate) fn seen(name: &str, observed: &ServerObservation) -> ServerReport {
     let mut endings = observed.outcomes.to_vec();
     let used = endings.iter().rposition(|&n| n > 0).map_or(0, |last| last + 1);
     endings.truncate(used.min(ATTEMPT_OUTCOMES));
-    Seen {
+    ServerReport {
         name: name.to_owned(),
-        accomplished: observed.score as f32,
+        score: observed.score as f32,
         in_flight: observed.in_flight,
-        lag: observed.relative_latency as f32,
-        faults: observed.failure_rate.clamp(0.0, 1.0) as f32,
+        relative_latency: observed.relative_latency as f32,
+        failure_rate: observed.failure_rate.clamp(0.0, 1.0) as f32,
         ejected: observed.ejected,
-        endings,
+        outcomes: endings,
     }
 }
 
 /// How far a box has moved from what was told of it; 0 where that is not worth a row.
-fn change(told: &Seen, now: &ServerObservation) -> f64 {
+fn change(told: &ServerReport, now: &ServerObservation) -> f64 {
     if told.ejected != now.ejected {
         return 1e6;
     }
     let part = |a: f64, b: f64, least: f64| (a - b).abs() / a.max(b).max(least);
-    let counts = part(told.accomplished.into(), now.score, 1.0);
-    let lag = part(told.lag.into(), now.relative_latency, 1.0);
-    let faults = (f64::from(told.faults) - now.failure_rate).abs();
+    let counts = part(told.score.into(), now.score, 1.0);
+    let lag = part(told.relative_latency.into(), now.relative_latency, 1.0);
+    let faults = (f64::from(told.failure_rate) - now.failure_rate).abs();
     let flights = told.in_flight.abs_diff(now.in_flight);
     let flight = if flights < FEW { 0.0 } else { part(told.in_flight.into(), now.in_flight.into(), 8.0) };
     let most = counts.max(lag / 2.0).max(faults).max(flight / 3.0);
@@ -192,22 +192,26 @@
     #[test]
     fn only_what_changed_is_told_and_something_is_said_every_second() {
         let mut reporter = Reporter::new(0, 4_000.0);
-        let now =
-            |a: f64, b: f64| Now { servers: vec![("a", observed(a)), ("b", observed(b))], ..Now::default() };
+        let now = |a: f64, b: f64| NodeState {
+            servers: vec![("a", observed(a)), ("b", observed(b))],
+            ..NodeState::default()
+        };
         assert_eq!(names(reporter.report(0, &now(10.0, 20.0))), ["a", "b"]);
         assert_eq!(reporter.report(1, &now(10.5, 20.0)), None, "a hardly differs");
         assert_eq!(names(reporter.report(2, &now(10.5, 40.0))), ["b"]);
-        let beat = reporter.report(2 + BEAT, &now(10.5, 40.0));
+        let beat = reporter.report(2 + HEARTBEAT_INTERVAL, &now(10.5, 40.0));
         assert_eq!(beat, Some(Report::default()));
-        let only_a = Now { servers: vec![("a", observed(10.5))], ..Now::default() };
-        assert_eq!(reporter.report(3 + BEAT, &only_a).unwrap().dropped, ["b"]);
+        let only_a = NodeState { servers: vec![("a", observed(10.5))], ..NodeState::default() };
+        assert_eq!(reporter.report(3 + HEARTBEAT_INTERVAL, &only_a).unwrap().dropped, ["b"]);
     }
 
     #[test]
     fn the_budget_holds_and_nothing_is_lost() {
         let boxes: Vec<String> = (0..2000).map(|k| format!("box-{k:05}")).collect();
-        let state =
-            Now { servers: boxes.iter().map(|b| (b.as_str(), observed(5.0))).collect(), ..Now::default() };
+        let state = NodeState {
+            servers: boxes.iter().map(|b| (b.as_str(), observed(5.0))).collect(),
+            ..NodeState::default()
+        };
         let mut reporter = Reporter::new(0, 4_000.0);
         let (mut bytes, mut told) = (0, BTreeSet::new());
         for step in 0..=200u64 {
--- a/crates/plan/src/services/digest.rs
+++ b/crates/plan/src/services/digest.rs
@@ -4,7 +4,7 @@
 //! guards against copies that have come to differ, not against those who would make them so: peers are authenticated.
 
 use crate::member::Member;
-use crate::mix;
+use crate::stable_hash;
 use crate::wire;
 use laurelroute_policy::interface::Phase;
 use prost::Message;
@@ -13,16 +13,16 @@
 pub fn member_digest(member: &Member) -> u64 {
     match member.server.phase {
         Phase::Removed => 0,
-        Phase::Ready | Phase::Draining => of_facts(&member.name, &member.facts()),
+        Phase::Ready | Phase::Draining => of_facts(&member.name, &member.attributes()),
     }
 }
 
 /// One server's part of the digest of a whole list: its own part, with the services that it serves in any order.
 pub fn entry_digest<'a>(member: u64, services: impl Iterator<Item = &'a str>) -> u64 {
-    let services = services.map(|service| mix(13, service.as_bytes())).fold(0, u64::wrapping_add);
-    mix(member, &services.to_le_bytes())
+    let services = services.map(|service| stable_hash(13, service.as_bytes())).fold(0, u64::wrapping_add);
+    stable_hash(member, &services.to_le_bytes())
 }
 
-fn of_facts(name: &str, facts: &wire::Facts) -> u64 {
-    mix(mix(7, name.as_bytes()), &facts.encode_to_vec())
+fn of_facts(name: &str, facts: &wire::ServerAttributes) -> u64 {
+    stable_hash(stable_hash(7, name.as_bytes()), &facts.encode_to_vec())
 }
--- a/crates/plan/src/services/mod.rs
+++ b/crates/plan/src/services/mod.rs
@@ -21,5 +21,5 @@
 
 /// Which slice of so many, a power of two, a server falls to by its name.
 pub fn slice_index(server: &str, slices: usize) -> usize {
-    crate::mix(11, server.as_bytes()) as usize & slices.max(1).saturating_sub(1)
+    crate::stable_hash(11, server.as_bytes()) as usize & slices.max(1).saturating_sub(1)
 }
--- a/crates/plan/src/services/publisher/force.rs
+++ b/crates/plan/src/services/publisher/force.rs
@@ -1,7 +1,7 @@
 //! Where a change of the list is in force, and what a planner answers to people.
 
 use super::*;
-use crate::wire::Ask;
+use crate::wire::ExplainRequest;
 use std::fmt::Write;
 
 /// Forwarders that are named; the rest are counted.
@@ -56,7 +56,7 @@
     }
 
     /// Lines for people: of a change of the list, of a service, of a server, or of all.
-    pub fn explain(&self, now: Nanos, ask: &Ask) -> String {
+    pub fn explain(&self, now: Nanos, ask: &ExplainRequest) -> String {
         if ask.change > 0 {
             return self.explain_change(now, ask.change);
         }
@@ -166,5 +166,5 @@
 }
 
 fn shown(name: &str) -> String {
-    name.chars().take(LONGEST_NAME).collect()
+    name.chars().take(MAX_NAME_BYTES).collect()
 }
--- a/crates/plan/src/services/publisher/forwarders.rs
+++ b/crates/plan/src/services/publisher/forwarders.rs
@@ -3,12 +3,12 @@
 use super::*;
 use crate::services::list_version::INITIAL_EPOCH;
 use crate::services::subscriber::MAX_VERSION_HISTORY;
-use crate::wire::Followed;
+use crate::wire::FollowedVersion;
 
 impl Publisher {
     /// A forwarder has connected. It says what it wants by `subscribe`, and all of it anew.
     pub fn forwarder_connected(&mut self, now: Nanos, name: &str, zone: u8) -> Result<(), PublishError> {
-        if name.is_empty() || name.len() > LONGEST_NAME {
+        if name.is_empty() || name.len() > MAX_NAME_BYTES {
             return Err(PublishError::InvalidName(name.len()));
         }
         let known = self.forwarder_ids.get(name).copied();
@@ -81,7 +81,7 @@
             self.part_with(now, id);
             return Ok(());
         }
-        if let Some(bad) = subscribe.interests.iter().find(|i| i.service.len() > LONGEST_NAME) {
+        if let Some(bad) = subscribe.interests.iter().find(|i| i.service.len() > MAX_NAME_BYTES) {
             return Err(PublishError::InvalidName(bad.service.len()));
         }
         let allowance = subscribe.allowance;
@@ -107,12 +107,12 @@
     }
 
     /// A forwarder says what it has followed of the list, with the first that it says on a connection.
-    fn hear_of_history(&mut self, id: u32, followed: &[Followed]) {
+    fn hear_of_history(&mut self, id: u32, followed: &[FollowedVersion]) {
         let Some(f) = self.forwarders.get_mut(&id) else { return };
         if f.epochs_ahead.is_some() {
             return;
         }
-        let seen = followed.iter().take(MAX_VERSION_HISTORY).map(Followed::seen);
+        let seen = followed.iter().take(MAX_VERSION_HISTORY).map(FollowedVersion::seen);
         f.followed.extend(seen);
         f.followed.truncate(MAX_VERSION_HISTORY);
         self.compare_histories(id);
@@ -161,7 +161,7 @@
         let service_id = self.by_name.get(interest.service.as_str()).copied();
         let empty = |s: &u32| self.services.get(s).is_none_or(|s| s.size() == 0);
         let known = service_id;
-        let Some(service_id) = service_id.filter(|s| interest.life != 0 || !empty(s)) else {
+        let Some(service_id) = service_id.filter(|s| interest.incarnation != 0 || !empty(s)) else {
             // What it held before it dropped the service is of no use: it is told nothing on top of that.
             known.into_iter().for_each(|service| self.withdraw(now, id, service));
             let Some(f) = self.forwarders.get_mut(&id) else { return Ok(()) };
@@ -181,7 +181,7 @@
         if f.subscriptions.len() >= MAX_SUBSCRIPTIONS {
             return Err(PublishError::TooManySubscriptions(MAX_SUBSCRIPTIONS));
         }
-        let holds = interest.life != 0;
+        let holds = interest.incarnation != 0;
         let alike = holds && interest.slices as usize == service.slices.len();
         let k = if alike && (interest.slice as usize) < service.slices.len() {
             interest.slice as usize
@@ -191,7 +191,7 @@
         let slice = &mut service.slices[k];
         let told = ListVersion { epoch: f.own_epoch(interest.epoch), number: interest.source };
         let mut s = Subscription::whole(k);
-        let resumes = alike && interest.life == own_life && interest.version > 0;
+        let resumes = alike && interest.incarnation == own_life && interest.version > 0;
         let held = interest.version;
         // What is held of the present version is what is here, or something has been lost.
         let sound = held != slice.version || interest.digest == slice.digest;
@@ -254,7 +254,7 @@
     }
 
     /// A later list than this planner's says that these take nothing new.
-    fn hear_of_closed(&mut self, now: Nanos, id: u32, closed: &[Closed]) {
+    fn hear_of_closed(&mut self, now: Nanos, id: u32, closed: &[ClosedServer]) {
         let Some(source) = self.source else { return };
         let Some(own_epoch) = self.forwarders.get(&id).map(|f| f.epochs_ahead) else { return };
         let mut entries = Vec::new();
@@ -263,7 +263,7 @@
             let same_life = server.member.server.started_at / MS <= word.started_ms;
             let told = ListVersion { epoch: translated(word.epoch, own_epoch), number: word.membership };
             if told > source && same_life {
-                let phase = if word.gone { Phase::Removed } else { Phase::Draining };
+                let phase = if word.removed { Phase::Removed } else { Phase::Draining };
                 let names = server.services.iter().filter_map(|id| self.services.get(id));
                 let services: Vec<String> = names.map(|s| s.name.to_string()).collect();
                 let (name, own) = (Name::from(word.name.as_str()), server.member.clone());
@@ -338,14 +338,14 @@
     }
 
     /// An update has been taken in, service by service, or not.
-    pub fn acknowledge(&mut self, now: Nanos, name: &str, acknowledge: &Acknowledge) {
+    pub fn acknowledge(&mut self, now: Nanos, name: &str, acknowledge: &UpdateAck) {
         let Some(&id) = self.forwarder_ids.get(name) else { return };
-        if acknowledge.life != self.settings.incarnation {
+        if acknowledge.incarnation != self.settings.incarnation {
             return;
         }
         let refused = acknowledge.refused.iter();
-        let refused: BTreeMap<u32, Because> =
-            refused.filter_map(|r| Some((*self.by_name.get(r.service.as_str())?, r.because()))).collect();
+        let refused: BTreeMap<u32, RejectReason> =
+            refused.filter_map(|r| Some((*self.by_name.get(r.service.as_str())?, r.reason()))).collect();
         while let Some(f) = self.forwarders.get_mut(&id) {
             if f.under_way.front().is_none_or(|(number, ..)| *number > acknowledge.number) {
                 break;
@@ -355,7 +355,7 @@
                 let because = refused.get(&service).filter(|_| number == acknowledge.number);
                 match (because, version) {
                     // Its word that it no longer wants it is on its way.
-                    (Some(Because::Unwanted), _) => self.withdraw(now, id, service),
+                    (Some(RejectReason::NotSubscribed), _) => self.withdraw(now, id, service),
                     (Some(_), _) => self.start_anew(id, service),
                     (None, Some(version)) => self.acknowledged(now, id, service, version),
                     (None, None) => {}
@@ -415,7 +415,7 @@
     theirs.saturating_add_signed(-ahead.unwrap_or(0))
 }
 
-impl Followed {
+impl FollowedVersion {
     fn seen(&self) -> VersionDigest {
         VersionDigest { version: ListVersion { epoch: self.epoch, number: self.number }, digest: self.digest }
     }
--- a/crates/plan/src/services/publisher/hints.rs
+++ b/crates/plan/src/services/publisher/hints.rs
@@ -7,7 +7,7 @@
 use super::{Forwarder, PublishError, Publisher};
 use crate::check::check;
 use crate::grade;
-use crate::wire::{Report, Seen, Suspicion};
+use crate::wire::{Report, ServerReport, Suspicion};
 use laurelroute_policy::interface::{AttemptOutcome, Nanos};
 use std::collections::BTreeMap;
 
@@ -97,7 +97,7 @@
         Ok(())
     }
 
-    fn met(&mut self, id: u32, server: &str, seen: Option<&Seen>) {
+    fn met(&mut self, id: u32, server: &str, seen: Option<&ServerReport>) {
         self.stats.steps += 1;
         let Some((name, _)) = self.servers.get_key_value(server) else { return };
         let name = name.clone();
@@ -142,11 +142,11 @@
     }
 }
 
-fn met(seen: &Seen) -> Met {
-    let count = |ending: AttemptOutcome| seen.endings.get(ending as usize).copied().unwrap_or(0);
+fn met(seen: &ServerReport) -> Met {
+    let count = |ending: AttemptOutcome| seen.outcomes.get(ending as usize).copied().unwrap_or(0);
     Met {
-        accomplished: seen.accomplished,
-        against: seen.ejected || seen.faults >= FAULTY,
+        accomplished: seen.score,
+        against: seen.ejected || seen.failure_rate >= FAULTY,
         refuses: count(AttemptOutcome::ConnectFailed) > count(AttemptOutcome::Ok),
     }
 }
--- a/crates/plan/src/services/publisher/list.rs
+++ b/crates/plan/src/services/publisher/list.rs
@@ -103,7 +103,7 @@
         let mut touched = BTreeSet::new();
         for (entry, keep) in entries.into_iter().zip(keep) {
             let name = entry.member.name.as_str();
-            if name.is_empty() || name.len() > LONGEST_NAME {
+            if name.is_empty() || name.len() > MAX_NAME_BYTES {
                 dropped.names += 1;
             } else if keep {
                 self.take_one(entry, &mut touched, &mut dropped);
@@ -170,7 +170,7 @@
         let mut ids = Vec::with_capacity(services.len().max(1));
         let unnamed = services.is_empty().then(String::new);
         for name in services.into_iter().chain(unnamed) {
-            if name.len() > LONGEST_NAME {
+            if name.len() > MAX_NAME_BYTES {
                 dropped.names += 1;
                 continue;
             }
--- a/crates/plan/src/services/publisher/mod.rs
+++ b/crates/plan/src/services/publisher/mod.rs
@@ -14,11 +14,11 @@
 pub use slice::MAX_REMOVED;
 pub use stream::{ACK_TIMEOUT, FRAMING_BYTES, MAX_UPDATE_BYTES};
 
-use crate::member::{Member, LONGEST_NAME};
+use crate::member::{Member, MAX_NAME_BYTES};
 use crate::planner::ReportError;
 use crate::services::digest;
 use crate::services::list_version::{History, ListVersion, VersionDigest};
-use crate::wire::{Acknowledge, Because, Closed, Interest, Subscribe};
+use crate::wire::{ClosedServer, Interest, RejectReason, Subscribe, UpdateAck};
 use hints::ReportSummary;
 use laurelroute_policy::interface::{Nanos, Phase};
 use slice::{Name, Service};
--- a/crates/plan/src/services/publisher/slice.rs
+++ b/crates/plan/src/services/publisher/slice.rs
@@ -2,7 +2,7 @@
 
 use crate::services::list_version::ListVersion;
 use crate::services::slice_index;
-use crate::{mix, scramble};
+use crate::{scramble, stable_hash};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
@@ -182,7 +182,7 @@
     pub(super) fn choose(&self, forwarder: &str, (slice, slices): (usize, usize)) -> usize {
         let slices = if slices.is_power_of_two() { slices.min(self.slices.len()) } else { 1 };
         let (first, more) = (slice & (slices - 1), self.slices.len() / slices);
-        let hash = mix(mix(12, forwarder.as_bytes()), self.name.as_bytes());
+        let hash = stable_hash(stable_hash(12, forwarder.as_bytes()), self.name.as_bytes());
         let [a, b] = [hash, scramble(hash)].map(|h| first + slices * (h as usize & (more - 1)));
         if self.slices[b].subscribers.len() < self.slices[a].subscribers.len() {
             b
--- a/crates/plan/src/services/publisher/stream.rs
+++ b/crates/plan/src/services/publisher/stream.rs
@@ -7,7 +7,7 @@
 use super::hints::ReportSummary;
 use super::slice::{Name, Slice};
 use super::*;
-use crate::wire::{deflate, Changes, Piece, Row, Rows, Update};
+use crate::wire::{deflate, Chunk, PackedRows, ServerRow, ServiceChanges, Update};
 use prost::Message;
 use std::ops::Bound;
 
@@ -35,7 +35,7 @@
 const HINTS_FROM: f64 = 8_000.0;
 
 /// Changes of one service, and the version that they bring with them.
-type Brought = (Changes, Option<u64>);
+type Brought = (ServiceChanges, Option<u64>);
 
 impl Publisher {
     /// The next update for a forwarder, if there is one now; to be called until there is none.
@@ -48,7 +48,7 @@
         f.refill(now, &self.settings);
         let mut update = Update {
             site: self.settings.site.clone(),
-            life: self.settings.incarnation,
+            incarnation: self.settings.incarnation,
             source: self.source.unwrap_or_default().number,
             epoch: f.their_epoch(self.source.unwrap_or_default().epoch),
             list_digest: self.list_digest,
@@ -110,7 +110,11 @@
         while room(size) > 0 && spends(self, size) {
             let Some(f) = self.forwarders.get_mut(&id) else { break };
             if let Some(absent) = f.absent.pop_first() {
-                let unknown = Changes { service: absent, piece: Piece::Unknown as i32, ..Changes::default() };
+                let unknown = ServiceChanges {
+                    service: absent,
+                    chunk: Chunk::Unknown as i32,
+                    ..ServiceChanges::default()
+                };
                 size += unknown.encoded_len() + HEAD;
                 update.services.push(unknown);
             } else if let Some(service) = f.fresh.pop_front() {
@@ -173,7 +177,7 @@
         }
         // What is only to be told from its whole on needs no word ahead.
         let mut changes =
-            Changes { piece: Piece::Aside as i32, ..slice.head(&self.services[&service_id].name) };
+            ServiceChanges { chunk: Chunk::OutOfBand as i32, ..slice.head(&self.services[&service_id].name) };
         (changes.slice, changes.slices) = (s.slice as u32, self.services[&service_id].slices.len() as u32);
         let (mut size, mut ahead, mut all) = (0, s.ahead.clone(), true);
         for (changed, name) in after(&slice.urgent, &s.ahead) {
@@ -199,18 +203,22 @@
         let f = self.forwarders.get_mut(&id)?;
         let (s, slice) = f.usable(service_id, &self.services)?;
         let slices = self.services[&service_id].slices.len() as u32;
-        let head = Changes { slice: s.slice as u32, slices, ..slice.head(&self.services[&service_id].name) };
+        let head =
+            ServiceChanges { slice: s.slice as u32, slices, ..slice.head(&self.services[&service_id].name) };
         let s = f.subscriptions.get_mut(&service_id)?;
         if let Some(digest) = s.same.take() {
             let version = s.held?;
             s.told = slice.told;
-            return Some((Changes { version, digest, piece: Piece::Same as i32, ..head }, Some(version)));
+            return Some((
+                ServiceChanges { version, digest, chunk: Chunk::Unchanged as i32, ..head },
+                Some(version),
+            ));
         }
         let begins = s.held.is_none() && s.whole.is_none();
         if begins {
             self.stats.snapshots += 1;
             if let Some(packed) = self.packed(service_id, head.slice as usize) {
-                return self.whole(id, service_id, Changes { packed, ..head });
+                return self.whole(id, service_id, ServiceChanges { packed, ..head });
             }
         }
         let f = self.forwarders.get_mut(&id)?;
@@ -219,7 +227,7 @@
         if begins {
             s.whole = Some(slice.version);
         }
-        let mut changes = Changes { base: s.held.filter(|_| s.whole.is_none()).unwrap_or(0), ..head };
+        let mut changes = ServiceChanges { base: s.held.filter(|_| s.whole.is_none()).unwrap_or(0), ..head };
         let (mut size, mut sent, mut rows, mut all) = (0, s.sent.clone(), 0, true);
         for (changed, name) in after(&slice.changes, &s.sent) {
             if size >= room || rows >= most {
@@ -243,19 +251,19 @@
         s.told = told;
         if !all {
             s.sent = sent;
-            changes.piece = if begins { Piece::First } else { Piece::More } as i32;
+            changes.chunk = if begins { Chunk::First } else { Chunk::Continued } as i32;
             return Some((changes, None));
         }
         let whole = s.whole.take().is_some();
-        changes.piece = if whole && begins { Piece::Whole } else { Piece::Last } as i32;
+        changes.chunk = if whole && begins { Chunk::Full } else { Chunk::Last } as i32;
         Some(f.up_to_date(service_id, slice, changes))
     }
 
     /// A whole in one piece, as it is packed for all.
-    fn whole(&mut self, id: u32, service_id: u32, mut changes: Changes) -> Option<Brought> {
+    fn whole(&mut self, id: u32, service_id: u32, mut changes: ServiceChanges) -> Option<Brought> {
         let f = self.forwarders.get_mut(&id)?;
         let slice = self.services.get(&service_id)?.slices.get(changes.slice as usize)?;
-        changes.piece = Piece::Whole as i32;
+        changes.chunk = Chunk::Full as i32;
         Some(f.up_to_date(service_id, slice, changes))
     }
 
@@ -266,12 +274,12 @@
         if let Some((_, packed)) = slice.packed.as_ref().filter(|(of, _)| *of == state) {
             return Some(packed.clone());
         }
-        let mut changes = Changes::default();
+        let mut changes = ServiceChanges::default();
         for (name, _) in slice.rows.iter().filter(|(_, row)| row.there) {
             self.stats.steps += 1;
             self.servers.add_row(slice, name, &mut changes);
         }
-        let rows = Rows { rows: changes.rows }.encode_to_vec();
+        let rows = PackedRows { rows: changes.rows }.encode_to_vec();
         let packed = (rows.len() <= LONGEST_WHOLE).then(|| deflate(&rows));
         let packed = packed.filter(|p| p.len() <= UPDATE && !p.is_empty())?;
         let slice = self.services.get_mut(&service_id)?.slices.get_mut(k)?;
@@ -280,13 +288,13 @@
     }
 
     /// What is said of a service's servers, and of how many use it, that this forwarder has not been told.
-    fn hints_for(&mut self, id: u32, service_id: u32) -> Option<Changes> {
+    fn hints_for(&mut self, id: u32, service_id: u32) -> Option<ServiceChanges> {
         let f = self.forwarders.get_mut(&id)?;
         let (s, slice) = f.usable(service_id, &self.services)?;
         let service = &self.services[&service_id];
         let head = slice.head(&service.name);
-        let mut changes = Changes {
-            piece: Piece::Aside as i32,
+        let mut changes = ServiceChanges {
+            chunk: Chunk::OutOfBand as i32,
             slice: s.slice as u32,
             slices: service.slices.len() as u32,
             ..head
@@ -343,7 +351,7 @@
     }
 
     /// All of a service has been sent with these changes.
-    fn up_to_date(&mut self, service: u32, slice: &Slice, mut changes: Changes) -> Brought {
+    fn up_to_date(&mut self, service: u32, slice: &Slice, mut changes: ServiceChanges) -> Brought {
         if let Some(s) = self.subscriptions.get_mut(&service) {
             s.sent = (slice.version + 1, None);
             s.ahead = s.sent.clone();
@@ -389,12 +397,12 @@
 
 impl Slice {
     /// Changes of nothing yet.
-    fn head(&self, service: &Name) -> Changes {
-        Changes {
+    fn head(&self, service: &Name) -> ServiceChanges {
+        ServiceChanges {
             service: service.to_string(),
             source: self.source.number,
             subscribers: self.told,
-            ..Changes::default()
+            ..ServiceChanges::default()
         }
     }
 }
@@ -402,15 +410,18 @@
 /// Servers in the form of a message.
 trait AddRow {
     /// Adds how a server stands now; the bytes that it takes, about.
-    fn add_row(&self, slice: &Slice, name: &Name, changes: &mut Changes) -> usize;
+    fn add_row(&self, slice: &Slice, name: &Name, changes: &mut ServiceChanges) -> usize;
 }
 
 impl AddRow for BTreeMap<Name, Server> {
-    fn add_row(&self, slice: &Slice, name: &Name, changes: &mut Changes) -> usize {
+    fn add_row(&self, slice: &Slice, name: &Name, changes: &mut ServiceChanges) -> usize {
         let there = slice.rows.get(name).is_some_and(|r| r.there);
         match self.get(name).filter(|_| there) {
             Some(server) => {
-                let row = Row { facts: Some(server.member.facts()), ..hint(name, &server.standing) };
+                let row = ServerRow {
+                    attributes: Some(server.member.attributes()),
+                    ..hint(name, &server.standing)
+                };
                 let size = row.encoded_len() + 3;
                 changes.rows.push(row);
                 size
@@ -423,11 +434,11 @@
     }
 }
 
-fn hint(name: &Name, standing: &ReportSummary) -> Row {
-    Row {
+fn hint(name: &Name, standing: &ReportSummary) -> ServerRow {
+    ServerRow {
         name: name.to_string(),
         grade: standing.grade,
         suspicion: standing.suspicion as i32,
-        ..Row::default()
+        ..ServerRow::default()
     }
 }
--- a/crates/plan/src/services/subscriber/choice.rs
+++ b/crates/plan/src/services/subscriber/choice.rs
@@ -5,7 +5,7 @@
 //! out in time, and later return to the one that is first for them.
 
 use super::{ListVersion, MS, S};
-use crate::{mix, scramble};
+use crate::{scramble, stable_hash};
 use laurelroute_policy::interface::Nanos;
 
 /// After a loss forwarders connect anew within this.
@@ -49,16 +49,16 @@
 
 impl Choice {
     pub(super) fn new(now: Nanos, name: &str, planners: &[String], seed: u64) -> Choice {
-        let me = mix(8, name.as_bytes());
+        let me = stable_hash(8, name.as_bytes());
         let mut order: Vec<usize> = (0..planners.len()).collect();
-        order.sort_by_key(|&k| std::cmp::Reverse(scramble(me ^ mix(9, planners[k].as_bytes()))));
+        order.sort_by_key(|&k| std::cmp::Reverse(scramble(me ^ stable_hash(9, planners[k].as_bytes()))));
         Choice {
             slots: vec![Slot { try_at: now, alone_at: now, pause: PAUSE_FIRST }; planners.len()],
             order,
             current: None,
             trying: None,
             not_before: now,
-            draws: mix(seed, name.as_bytes()),
+            draws: stable_hash(seed, name.as_bytes()),
             newest: ListVersion::default(),
         }
     }
--- a/crates/plan/src/services/subscriber/held.rs
+++ b/crates/plan/src/services/subscriber/held.rs
@@ -1,11 +1,11 @@
 //! One service as it is held here, and how its planner's word changes it.
 
-use super::{Change, Word};
+use super::{Change, PlannedServer};
 use crate::grade;
-use crate::member::{Member, LONGEST_NAME};
+use crate::member::{Member, MAX_NAME_BYTES};
 use crate::services::list_version::ListVersion;
 use crate::services::{digest, slice_index};
-use crate::wire::{Because, Changes, Piece, Row, Suspicion};
+use crate::wire::{Chunk, RejectReason, ServerRow, ServiceChanges, Suspicion};
 use laurelroute_policy::interface::{Nanos, Phase};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -63,7 +63,7 @@
     pub(super) used_at: Nanos,
 }
 
-type Rows = Vec<(Row, Option<Member>)>;
+type Rows = Vec<(ServerRow, Option<Member>)>;
 
 impl Held {
     pub(super) fn new(now: Nanos) -> Held {
@@ -89,36 +89,38 @@
         &mut self,
         now: Nanos,
         (life, source): (u64, ListVersion),
-        changes: &Changes,
+        changes: &ServiceChanges,
         changed: &mut Changed,
         left: &mut VecDeque<Left>,
-    ) -> Result<(), Because> {
+    ) -> Result<(), RejectReason> {
         let rows = checked(changes)?;
-        let piece = changes.piece();
+        let piece = changes.chunk();
         let mine = self.life == life && self.slices == changes.slices && self.slice == changes.slice;
         match piece {
-            Piece::Same => {
+            Chunk::Unchanged => {
                 // It says what is held: nothing of it may have changed since it was asked.
                 if self.digest != changes.digest || self.slices != changes.slices {
-                    return Err(Because::Base);
+                    return Err(RejectReason::UnknownBase);
                 }
                 (self.life, self.version, self.source) = (life, changes.version, source);
                 (self.slice, self.whole) = (changes.slice, None);
                 return Ok(());
             }
-            Piece::Aside => {
+            Chunk::OutOfBand => {
                 self.aside(now, source, rows, changes, changed, left);
                 // An earlier list is not to undo it, also not one of the planner whose version this was.
                 self.raise(life, source);
                 return Ok(());
             }
-            Piece::First | Piece::Whole => self.begin(now, source, changes, changed),
-            _ if changes.base == 0 && self.whole.is_none() => return Err(Because::Base),
-            _ if changes.base != 0 && !(mine && changes.base <= self.version) => return Err(Because::Base),
+            Chunk::First | Chunk::Full => self.begin(now, source, changes, changed),
+            _ if changes.base == 0 && self.whole.is_none() => return Err(RejectReason::UnknownBase),
+            _ if changes.base != 0 && !(mine && changes.base <= self.version) => {
+                return Err(RejectReason::UnknownBase)
+            }
             _ => {}
         }
         if self.servers.len() + rows.len() > MAX_SERVERS {
-            return Err(Because::Nonsense);
+            return Err(RejectReason::Invalid);
         }
         for (row, member) in rows {
             if let Some(mentioned) = &mut self.whole {
@@ -134,7 +136,7 @@
         }
         self.known = true;
         self.raise(life, source);
-        if matches!(piece, Piece::Last | Piece::Whole) {
+        if matches!(piece, Chunk::Last | Chunk::Full) {
             if changes.base == 0 {
                 let mentioned = self.whole.take().unwrap_or_default();
                 let absent: Vec<String> =
@@ -143,7 +145,7 @@
             }
             if self.digest != changes.digest {
                 (self.life, self.version) = (0, 0);
-                return Err(Because::Base);
+                return Err(RejectReason::UnknownBase);
             }
             (self.life, self.version, self.source) = (life, changes.version, source);
             (self.slice, self.slices) = (changes.slice, changes.slices);
@@ -160,7 +162,7 @@
     }
 
     /// A whole begins. What is another slice's now goes at once: nobody would tell of its drains.
-    fn begin(&mut self, now: Nanos, source: ListVersion, changes: &Changes, changed: &mut Changed) {
+    fn begin(&mut self, now: Nanos, source: ListVersion, changes: &ServiceChanges, changed: &mut Changed) {
         self.whole = Some(BTreeSet::new());
         if self.slices == changes.slices && self.slice == changes.slice {
             return;
@@ -181,7 +183,7 @@
         now: Nanos,
         source: ListVersion,
         rows: Rows,
-        changes: &Changes,
+        changes: &ServiceChanges,
         changed: &mut Changed,
         left: &mut VecDeque<Left>,
     ) {
@@ -194,7 +196,7 @@
         changes.removed.iter().for_each(|name| self.remove(now, source, name, changed, left));
     }
 
-    fn put(&mut self, row: &Row, member: Option<Member>, changed: &mut Changed) {
+    fn put(&mut self, row: &ServerRow, member: Option<Member>, changed: &mut Changed) {
         let suspicion = row.suspicion();
         let Some(member) = member else {
             if let Some(server) = self.servers.get_mut(&row.name) {
@@ -255,11 +257,11 @@
     /// What has changed, for who sends requests.
     pub(super) fn told(&self, service: String, changed: Changed) -> impl Iterator<Item = Change> {
         let words = || {
-            let word = |s: &Server| Word {
+            let word = |s: &Server| PlannedServer {
                 name: s.member.name.clone(),
-                accomplished: grade::value(s.grade),
+                score: grade::value(s.grade),
                 suspicion: s.suspicion,
-                cold_rate: f64::INFINITY,
+                slow_start_rate: f64::INFINITY,
             };
             let said = |s: &&Server| s.grade > 0 || s.suspicion != Suspicion::None;
             self.servers.values().filter(said).map(word).collect()
@@ -276,22 +278,23 @@
 }
 
 /// The rows with who they are, or why the changes cannot be used.
-fn checked(changes: &Changes) -> Result<Rows, Because> {
-    let bad_name = |name: &String| name.is_empty() || name.len() > LONGEST_NAME;
+fn checked(changes: &ServiceChanges) -> Result<Rows, RejectReason> {
+    let bad_name = |name: &String| name.is_empty() || name.len() > MAX_NAME_BYTES;
     let slices = changes.slices as usize;
     let sliced = slices.is_power_of_two() && (changes.slice as usize) < slices;
     if changes.rows.len() + changes.removed.len() > MOST_ROWS
         || !sliced
         || changes.removed.iter().any(bad_name)
     {
-        return Err(Because::Nonsense);
+        return Err(RejectReason::Invalid);
     }
-    let row = |row: &Row| {
+    let row = |row: &ServerRow| {
         if bad_name(&row.name) {
-            return Err(Because::Nonsense);
+            return Err(RejectReason::Invalid);
         }
-        let member = row.facts.as_ref().map(|facts| Member::from_facts(&row.name, facts)).transpose();
-        Ok((row.clone(), member.map_err(|_| Because::Nonsense)?))
+        let member =
+            row.attributes.as_ref().map(|facts| Member::from_attributes(&row.name, facts)).transpose();
+        Ok((row.clone(), member.map_err(|_| RejectReason::Invalid)?))
     };
     changes.rows.iter().map(row).collect()
 }
--- a/crates/plan/src/services/subscriber/mod.rs
+++ b/crates/plan/src/services/subscriber/mod.rs
@@ -8,10 +8,12 @@
 mod words;
 
 use super::publisher::{FRAMING_BYTES, HEARTBEAT_INTERVAL};
-use crate::follower::Word;
-use crate::member::{Member, LONGEST_NAME};
+use crate::follower::PlannedServer;
+use crate::member::{Member, MAX_NAME_BYTES};
 use crate::services::list_version::{History, ListVersion, VersionDigest};
-use crate::wire::{Acknowledge, Because, Changes, Closed, Piece, Refused, Subscribe, Update};
+use crate::wire::{
+    Chunk, ClosedServer, RejectReason, RejectedService, ServiceChanges, Subscribe, Update, UpdateAck,
+};
 use choice::Choice;
 use held::{Held, Left};
 use laurelroute_policy::interface::{Nanos, Phase};
@@ -105,7 +107,7 @@
         /// The service.
         service: String,
         /// By server.
-        words: Vec<Word>,
+        words: Vec<PlannedServer>,
     },
     /// There is no such service: requests that wait for it are answered so.
     Unknown(String),
@@ -220,7 +222,7 @@
         if self.unknown.get(service).is_some_and(|until| now < *until) {
             return ServiceStatus::Unknown;
         }
-        if service.len() > LONGEST_NAME {
+        if service.len() > MAX_NAME_BYTES {
             return ServiceStatus::Unknown;
         }
         if self.waiting >= MAX_PENDING_SERVICES {
@@ -299,7 +301,7 @@
     // ---- What the planner says ----
 
     /// Takes in an update, service by service; what is refused changes nothing. `None` where it needs no answer.
-    pub fn receive(&mut self, now: Nanos, planner: usize, update: &Update) -> Option<Acknowledge> {
+    pub fn receive(&mut self, now: Nanos, planner: usize, update: &Update) -> Option<UpdateAck> {
         self.refill(now);
         let size = update.encoded_len() + FRAMING_BYTES;
         self.stats.received += size as u64;
@@ -309,19 +311,19 @@
         let epoch = if update.epoch == 0 { self.newest().epoch } else { update.epoch };
         let source = ListVersion { epoch, number: update.source };
         let because = match () {
-            () if update.site != self.settings.site => Because::OtherSite,
-            () if update.life != life => Because::OldLife,
-            () => Because::Taken,
+            () if update.site != self.settings.site => RejectReason::OtherSite,
+            () if update.incarnation != life => RejectReason::StaleIncarnation,
+            () => RejectReason::Accepted,
         };
         // What cannot be read is not acknowledged: the planner ends a connection on which that goes on.
         let services = update.unpacked().ok()?;
-        let mut refused: BTreeMap<&str, Because> = BTreeMap::new();
+        let mut refused: BTreeMap<&str, RejectReason> = BTreeMap::new();
         for changes in &services {
             let taken = match because {
-                Because::Taken => self.take(now, (update.life, source), changes),
+                RejectReason::Accepted => self.take(now, (update.incarnation, source), changes),
                 _ => Err(because),
             };
-            if taken.is_err() && changes.piece() == Piece::Unknown {
+            if taken.is_err() && changes.chunk() == Chunk::Unknown {
                 // It is said once: it is asked for again, until it is known or believed.
                 self.again.insert((now + AGAIN, changes.service.clone()));
             }
@@ -329,13 +331,14 @@
                 refused.insert(&changes.service, because);
             }
         }
-        if because == Because::Taken && update.epoch > 0 {
+        if because == RejectReason::Accepted && update.epoch > 0 {
             self.follow(now, VersionDigest { version: source, digest: update.list_digest });
             self.say_closed |= source < self.newest() && !self.choice.insists(now, STALE_LIST_TIMEOUT);
         }
         let refused = refused.into_iter();
-        let refused = refused.map(|(s, b)| Refused { service: s.to_owned(), because: b as i32 }).collect();
-        let answer = Acknowledge { life: update.life, number: update.number, refused };
+        let refused =
+            refused.map(|(s, b)| RejectedService { service: s.to_owned(), reason: b as i32 }).collect();
+        let answer = UpdateAck { incarnation: update.incarnation, number: update.number, refused };
         if update.number == 0 {
             return None;
         }
@@ -363,17 +366,19 @@
         &mut self,
         now: Nanos,
         (life, source): (u64, ListVersion),
-        changes: &Changes,
-    ) -> Result<(), Because> {
+        changes: &ServiceChanges,
+    ) -> Result<(), RejectReason> {
         let insists = self.choice.insists(now, STALE_LIST_TIMEOUT);
         let planners = self.settings.planners.len().max(1) as u32;
         // Dropped since it was asked for: it does not count as in force here.
-        let Some(held) = self.services.get_mut(&changes.service) else { return Err(Because::Unwanted) };
+        let Some(held) = self.services.get_mut(&changes.service) else {
+            return Err(RejectReason::NotSubscribed);
+        };
         if held.life != life && source < held.source && !insists {
-            return Err(Because::OldMembership);
+            return Err(RejectReason::StaleMembership);
         }
         let was = (held.known, held.servers.len());
-        if changes.piece() == Piece::Unknown {
+        if changes.chunk() == Chunk::Unknown {
             self.no_such(now, &changes.service);
             return Ok(());
         }
--- a/crates/plan/src/services/subscriber/words.rs
+++ b/crates/plan/src/services/subscriber/words.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::reporter::seen;
 use crate::services::list_version::VersionDigest;
-use crate::wire::{Followed, Interest, Report};
+use crate::wire::{FollowedVersion, Interest, Report};
 use laurelroute_policy::interface::ServerObservation;
 
 /// Bytes of one message, about.
@@ -57,7 +57,7 @@
             let interest = Interest {
                 service,
                 unwanted: false,
-                life: if held.known { held.life.max(1) } else { 0 },
+                incarnation: if held.known { held.life.max(1) } else { 0 },
                 version: held.version,
                 source: held.source.number,
                 epoch: held.source.epoch,
@@ -83,26 +83,27 @@
     }
 
     /// Drains and leavings known here, the latest ones, for a planner with an earlier list.
-    fn closed(&mut self, now: Nanos) -> Vec<Closed> {
+    fn closed(&mut self, now: Nanos) -> Vec<ClosedServer> {
         while self.left.front().is_some_and(|l| now.saturating_sub(l.at) >= TELL_LEFT) {
             self.left.pop_front();
         }
-        let left = self.left.iter().rev().map(|l| Closed {
+        let left = self.left.iter().rev().map(|l| ClosedServer {
             name: l.name.clone(),
             membership: l.source.number,
             epoch: l.source.epoch,
             started_ms: l.started_at / MS,
-            gone: true,
+            removed: true,
         });
         let drains =
             self.services.values().flat_map(|h| h.servers.values().map(move |s| (h.source, &s.member)));
-        let drains = drains.filter(|(_, m)| m.server.phase == Phase::Draining).map(|(source, m)| Closed {
-            name: m.name.clone(),
-            membership: source.number,
-            epoch: source.epoch,
-            started_ms: m.server.started_at / MS,
-            gone: false,
-        });
+        let drains =
+            drains.filter(|(_, m)| m.server.phase == Phase::Draining).map(|(source, m)| ClosedServer {
+                name: m.name.clone(),
+                membership: source.number,
+                epoch: source.epoch,
+                started_ms: m.server.started_at / MS,
+                removed: false,
+            });
         drains.chain(left).take(MOST_CLOSED).collect()
     }
 
@@ -141,6 +142,6 @@
     }
 }
 
-fn followed(seen: &VersionDigest) -> Followed {
-    Followed { epoch: seen.version.epoch, number: seen.version.number, digest: seen.digest }
+fn followed(seen: &VersionDigest) -> FollowedVersion {
+    FollowedVersion { epoch: seen.version.epoch, number: seen.version.number, digest: seen.digest }
 }
--- a/crates/plan/src/share.rs
+++ b/crates/plan/src/share.rs
@@ -1,6 +1,6 @@
 //! How a rate is split among forwarders by what each asks for.
 
-/// Part of a rate that is split evenly: a forwarder that has met nobody yet must let the first ones in.
+/// PlanUpdate of a rate that is split evenly: a forwarder that has met nobody yet must let the first ones in.
 const EVEN: f64 = 0.2;
 
 /// One forwarder's part of a rate, whose demand is `own` of `all`, in requests a second, among `forwarders`.
--- a/crates/plan/src/subset.rs
+++ b/crates/plan/src/subset.rs
@@ -7,7 +7,7 @@
 //! Google's Rocksteadier subsetting (Ward et al., ACM Queue 2022). Nothing is remembered: equal names give equal
 //! subsets at every planner and after every restart.
 
-use crate::{mix, scramble};
+use crate::{scramble, stable_hash};
 
 /// Points on the ring of each bin, and of all together at least: many spread the bins evenly before the bound has to
 /// help.
@@ -50,7 +50,7 @@
 /// For each forwarder, in the order given, the places of its boxes in `boxes`, ascending. Every box has exactly
 /// `cover` forwarders, or all of them where there are fewer. Names may come in any order.
 pub fn subsets(forwarders: &[&str], boxes: &[&str], cover: usize) -> Vec<Vec<u32>> {
-    let hash = |names: &[&str]| names.iter().map(|n| mix(1, n.as_bytes())).collect::<Vec<_>>();
+    let hash = |names: &[&str]| names.iter().map(|n| stable_hash(1, n.as_bytes())).collect::<Vec<_>>();
     let (movers, servers) = (hash(forwarders), hash(boxes));
     let lots = cover.clamp(1, forwarders.len().max(1));
     let lot_names: Vec<u64> = (0..lots as u64).map(scramble).collect();
@@ -96,7 +96,7 @@
 
 /// How many forwarders a box has, and how many connections each may hold to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Cover {
+pub struct Coverage {
     /// Forwarders of a box.
     pub forwarders: usize,
     /// Connections of one forwarder to one box; 0 for no limit.
@@ -104,19 +104,19 @@
 }
 
 /// Fewest boxes that a forwarder should choose from: twice what the ordinary path draws.
-pub const LEAST_BOXES: usize = 12;
+pub const MIN_SERVERS: usize = 12;
 /// Fewest forwarders of a box, where there are so many: one that is lost must not leave it idle.
 const LEAST_COVER: usize = 3;
 
 /// Chooses the cover for a fleet in which a box takes `cap` connections of all forwarders together (`None`: no
 /// limit), of which a forwarder wants `wanted` to each of its boxes.
-pub fn cover(forwarders: usize, boxes: usize, cap: Option<u32>, wanted: u32) -> Cover {
+pub fn cover(forwarders: usize, boxes: usize, cap: Option<u32>, wanted: u32) -> Coverage {
     let forwarders = forwarders.max(1);
-    let choice = (LEAST_BOXES * forwarders).div_ceil(boxes.max(1));
+    let choice = (MIN_SERVERS * forwarders).div_ceil(boxes.max(1));
     let most = cap.map_or(usize::MAX, |cap| cap.max(1) as usize);
     let by_cap = cap.map_or(LEAST_COVER, |cap| (cap / wanted.max(1)) as usize);
     let cover = by_cap.max(LEAST_COVER).max(choice).min(most).min(forwarders);
-    Cover { forwarders: cover, connections: cap.map_or(0, |cap| (cap / cover as u32).max(1)) }
+    Coverage { forwarders: cover, connections: cap.map_or(0, |cap| (cap / cover as u32).max(1)) }
 }
 
 #[cfg(test)]
@@ -209,7 +209,7 @@
             assert!(cover.forwarders as u32 * cover.connections <= cap, "{cover:?}");
             assert!(cover.connections >= 1 && cover.forwarders >= 1);
         }
-        assert_eq!(cover(28, 210, Some(41), 8), Cover { forwarders: 5, connections: 8 });
-        assert_eq!(cover(28, 210, None, 8), Cover { forwarders: 3, connections: 0 });
+        assert_eq!(cover(28, 210, Some(41), 8), Coverage { forwarders: 5, connections: 8 });
+        assert_eq!(cover(28, 210, None, 8), Coverage { forwarders: 3, connections: 0 });
     }
 }
--- a/crates/plan/src/wire.rs
+++ b/crates/plan/src/wire.rs
@@ -6,11 +6,11 @@
 use prost::Message;
 
 /// The oldest version of these messages that is understood.
-pub const OLDEST: u32 = 1;
+pub const OLDEST_VERSION: u32 = 1;
 /// The newest version that is spoken.
-pub const NEWEST: u32 = 1;
+pub const NEWEST_VERSION: u32 = 1;
 /// Longest message in bytes: a whole plan of 10,000 boxes has about half of that.
-pub const LONGEST: usize = 4 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
 /// One message, either way.
 #[derive(Clone, PartialEq, Message)]
@@ -28,19 +28,19 @@
     Hello(Hello),
     /// Planner to forwarder: a plan, or changes to it.
     #[prost(message, tag = "2")]
-    Part(Part),
+    PlanUpdate(PlanUpdate),
     /// Forwarder to planner: a part was taken in, or not.
     #[prost(message, tag = "3")]
-    Reply(Reply),
+    PlanAck(PlanAck),
     /// Forwarder to planner: what it has met.
     #[prost(message, tag = "4")]
     Report(Report),
     /// Anybody to a planner: what does the plan say?
     #[prost(message, tag = "5")]
-    Ask(Ask),
+    ExplainRequest(ExplainRequest),
     /// A planner's answer to that.
     #[prost(message, tag = "6")]
-    Told(Told),
+    ExplainResponse(ExplainResponse),
     /// Last word before the connection is closed, for the other side's log.
     #[prost(message, tag = "7")]
     Refusal(Refusal),
@@ -52,7 +52,7 @@
     Update(Update),
     /// Forwarder to planner: an update was taken in, service by service, or not.
     #[prost(message, tag = "10")]
-    Acknowledge(Acknowledge),
+    UpdateAck(UpdateAck),
 }
 
 impl From<Body> for Frame {
@@ -72,7 +72,7 @@
     /// Decides where it goes.
     Planner = 2,
     /// Asks what a plan says.
-    Asker = 3,
+    Operator = 3,
 }
 
 /// First word of either side.
@@ -95,7 +95,7 @@
     pub site: String,
     /// When this life of it began, Unix time in milliseconds.
     #[prost(fixed64, tag = "6")]
-    pub life: u64,
+    pub incarnation: u64,
     /// A forwarder's zone, by its place in the settings.
     #[prost(uint32, tag = "7")]
     pub zone: u32,
@@ -107,20 +107,20 @@
 impl Hello {
     /// The version that both sides speak, if there is one.
     pub fn version(&self) -> Option<u32> {
-        let newest = self.newest.min(NEWEST);
-        (newest >= self.oldest && newest >= OLDEST).then_some(newest)
+        let newest = self.newest.min(NEWEST_VERSION);
+        (newest >= self.oldest && newest >= OLDEST_VERSION).then_some(newest)
     }
 }
 
 /// A plan, or changes to one.
 #[derive(Clone, PartialEq, Message)]
-pub struct Part {
+pub struct PlanUpdate {
     /// The installation it is for.
     #[prost(string, tag = "1")]
     pub site: String,
     /// The life of the planner that made it.
     #[prost(fixed64, tag = "2")]
-    pub life: u64,
+    pub incarnation: u64,
     /// The version of this forwarder's plan that results.
     #[prost(uint64, tag = "3")]
     pub version: u64,
@@ -132,7 +132,7 @@
     pub membership: u64,
     /// Boxes that are new or have changed.
     #[prost(message, repeated, tag = "6")]
-    pub rows: Vec<Row>,
+    pub rows: Vec<ServerRow>,
     /// Boxes that are no longer this forwarder's.
     #[prost(string, repeated, tag = "7")]
     pub removed: Vec<String>,
@@ -141,21 +141,21 @@
     pub connections: u32,
     /// This forwarder's part of tenants' shares, where it has changed.
     #[prost(message, repeated, tag = "9")]
-    pub tenants: Vec<Portion>,
+    pub tenants: Vec<RateShare>,
     /// This forwarder's part of classes' limits, where it has changed.
     #[prost(message, repeated, tag = "10")]
-    pub classes: Vec<Portion>,
+    pub classes: Vec<RateShare>,
 }
 
 /// One box of a plan.
 #[derive(Clone, PartialEq, Message)]
-pub struct Row {
+pub struct ServerRow {
     /// Its name.
     #[prost(string, tag = "1")]
     pub name: String,
     /// Who it is, where that is new.
     #[prost(message, optional, tag = "2")]
-    pub facts: Option<Facts>,
+    pub attributes: Option<ServerAttributes>,
     /// Its accomplishment over all forwarders, see [`crate::grade`].
     #[prost(uint32, tag = "3")]
     pub grade: u32,
@@ -164,7 +164,7 @@
     pub suspicion: i32,
     /// Requests a second that this forwarder may send it while it is cold; absent where nothing is said.
     #[prost(float, optional, tag = "5")]
-    pub cold_rate: Option<f32>,
+    pub slow_start_rate: Option<f32>,
 }
 
 /// Why a box is suspected.
@@ -183,7 +183,7 @@
 
 /// Who a box is.
 #[derive(Clone, PartialEq, Message)]
-pub struct Facts {
+pub struct ServerAttributes {
     /// Where it listens, by wire; empty where it does not.
     #[prost(string, repeated, tag = "1")]
     pub addresses: Vec<String>,
@@ -209,7 +209,7 @@
 
 /// A part of a rate.
 #[derive(Clone, PartialEq, Message)]
-pub struct Portion {
+pub struct RateShare {
     /// Whose: a tenant or a class.
     #[prost(string, tag = "1")]
     pub name: String,
@@ -220,36 +220,36 @@
 
 /// A part was taken in, or not.
 #[derive(Clone, PartialEq, Message)]
-pub struct Reply {
+pub struct PlanAck {
     /// The planner's life that it answers.
     #[prost(fixed64, tag = "1")]
-    pub life: u64,
+    pub incarnation: u64,
     /// The version that it answers.
     #[prost(uint64, tag = "2")]
     pub version: u64,
     /// Why it was not taken in.
-    #[prost(enumeration = "Because", tag = "3")]
+    #[prost(enumeration = "RejectReason", tag = "3")]
     pub refused: i32,
 }
 
 /// Why a part was not taken in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
-pub enum Because {
+pub enum RejectReason {
     /// It was.
-    Taken = 0,
+    Accepted = 0,
     /// It is for another installation.
     OtherSite = 1,
     /// Its planner has begun a newer life since.
-    OldLife = 2,
+    StaleIncarnation = 2,
     /// It changes a version that is not held: the whole is wanted.
-    Base = 3,
+    UnknownBase = 3,
     /// It is made from an older membership than what others have told.
-    OldMembership = 4,
+    StaleMembership = 4,
     /// It holds something that makes no sense.
-    Nonsense = 5,
+    Invalid = 5,
     /// It is of a service that is not wanted any longer.
-    Unwanted = 6,
+    NotSubscribed = 6,
 }
 
 /// What a forwarder has met since its last report. Each row replaces the one before.
@@ -257,19 +257,19 @@
 pub struct Report {
     /// Boxes whose figures have changed.
     #[prost(message, repeated, tag = "1")]
-    pub rows: Vec<Seen>,
+    pub rows: Vec<ServerReport>,
     /// Boxes that it no longer uses.
     #[prost(string, repeated, tag = "2")]
     pub dropped: Vec<String>,
     /// Requests a second that it lets in, by class.
     #[prost(message, repeated, tag = "3")]
-    pub classes: Vec<Portion>,
+    pub classes: Vec<RateShare>,
     /// Requests a second that it lets in, by tenant.
     #[prost(message, repeated, tag = "4")]
-    pub tenants: Vec<Portion>,
+    pub tenants: Vec<RateShare>,
     /// Drains and leavings that it knows of by itself.
     #[prost(message, repeated, tag = "5")]
-    pub closed: Vec<Closed>,
+    pub closed: Vec<ClosedServer>,
     /// The planner that it follows; empty for none.
     #[prost(string, tag = "6")]
     pub following: String,
@@ -277,33 +277,33 @@
 
 /// What a forwarder has met of one box.
 #[derive(Clone, PartialEq, Message)]
-pub struct Seen {
+pub struct ServerReport {
     /// Its name.
     #[prost(string, tag = "1")]
     pub name: String,
     /// Accomplishment at this forwarder.
     #[prost(float, tag = "2")]
-    pub accomplished: f32,
+    pub score: f32,
     /// Requests out to it.
     #[prost(uint32, tag = "3")]
     pub in_flight: u32,
     /// Its answer times against the fleet's; 1 is usual.
     #[prost(float, tag = "4")]
-    pub lag: f32,
+    pub relative_latency: f32,
     /// Share of failures, 0 to 1.
     #[prost(float, tag = "5")]
-    pub faults: f32,
+    pub failure_rate: f32,
     /// Out of use at this forwarder.
     #[prost(bool, tag = "6")]
     pub ejected: bool,
     /// Endings of attempts so far, in the decision module's order.
     #[prost(uint32, repeated, tag = "7")]
-    pub endings: Vec<u32>,
+    pub outcomes: Vec<u32>,
 }
 
 /// Word that a box takes nothing new.
 #[derive(Clone, PartialEq, Message)]
-pub struct Closed {
+pub struct ClosedServer {
     /// Its name.
     #[prost(string, tag = "1")]
     pub name: String,
@@ -315,7 +315,7 @@
     pub started_ms: u64,
     /// It has left altogether.
     #[prost(bool, tag = "4")]
-    pub gone: bool,
+    pub removed: bool,
     /// The epoch of that version as the forwarder counts them, where services are spoken of.
     #[prost(uint64, tag = "5")]
     pub epoch: u64,
@@ -323,7 +323,7 @@
 
 /// What does the plan say?
 #[derive(Clone, PartialEq, Message)]
-pub struct Ask {
+pub struct ExplainRequest {
     /// Of this box.
     #[prost(string, tag = "1")]
     pub server: String,
@@ -340,7 +340,7 @@
 
 /// A planner's answer.
 #[derive(Clone, PartialEq, Message)]
-pub struct Told {
+pub struct ExplainResponse {
     /// Lines for people.
     #[prost(string, tag = "1")]
     pub text: String,
@@ -365,7 +365,7 @@
     pub interests: Vec<Interest>,
     /// Drains and leavings that it knows of by a later list than its planner's.
     #[prost(message, repeated, tag = "2")]
-    pub closed: Vec<Closed>,
+    pub closed: Vec<ClosedServer>,
     /// It goes to another planner: nothing of it lags here any longer.
     #[prost(bool, tag = "3")]
     pub leaving: bool,
@@ -377,12 +377,12 @@
     pub all: bool,
     /// Versions of the list that it has followed, oldest first, for a planner that it comes to.
     #[prost(message, repeated, tag = "6")]
-    pub followed: Vec<Followed>,
+    pub followed: Vec<FollowedVersion>,
 }
 
 /// A version of the list that a forwarder has followed; see `services::list_version`.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct Followed {
+pub struct FollowedVersion {
     /// Its epoch, as the forwarder counts them.
     #[prost(uint64, tag = "1")]
     pub epoch: u64,
@@ -405,7 +405,7 @@
     pub unwanted: bool,
     /// The planner's life whose version is held; 0 where nothing is.
     #[prost(fixed64, tag = "3")]
-    pub life: u64,
+    pub incarnation: u64,
     /// The version held.
     #[prost(uint64, tag = "4")]
     pub version: u64,
@@ -434,7 +434,7 @@
     pub site: String,
     /// The life of the planner that says it.
     #[prost(fixed64, tag = "2")]
-    pub life: u64,
+    pub incarnation: u64,
     /// The version of the list that the planner goes by.
     #[prost(uint64, tag = "3")]
     pub source: u64,
@@ -443,8 +443,8 @@
     pub number: u64,
     /// The services.
     #[prost(message, repeated, tag = "5")]
-    pub services: Vec<Changes>,
-    /// Further services as one [`Pack`], deflated (RFC 1951): servers of a service are much alike.
+    pub services: Vec<ServiceChanges>,
+    /// Further services as one [`PackedServices`], deflated (RFC 1951): servers of a service are much alike.
     #[prost(bytes = "vec", tag = "6")]
     pub packed: Vec<u8>,
     /// The epoch of the version in `source`, as the forwarder counts them; 0 as long as the planner has not heard how.
@@ -457,16 +457,16 @@
 
 /// What an update carries, to be packed.
 #[derive(Clone, PartialEq, Message)]
-pub struct Pack {
+pub struct PackedServices {
     /// The services.
     #[prost(message, repeated, tag = "1")]
-    pub services: Vec<Changes>,
+    pub services: Vec<ServiceChanges>,
 }
 
 /// Why packed services cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PackError {
-    /// No deflated bytes, or more than [`LONGEST_PACK`] of one pack or [`LONGEST`] of all once they are whole again.
+    /// No deflated bytes, or more than [`MAX_PACKED_BYTES`] of one pack or [`MAX_MESSAGE_BYTES`] of all once they are whole again.
     #[error("its packed bytes cannot be read")]
     Packed,
     /// What was packed is no message.
@@ -475,7 +475,7 @@
 }
 
 /// Most bytes that packed services may have.
-pub const LONGEST_PACK: usize = 64 << 10;
+pub const MAX_PACKED_BYTES: usize = 64 << 10;
 /// Less is not worth packing.
 const LEAST_PACK: usize = 300;
 /// Of the levels 0 to 10: half of the gain is in the first ones.
@@ -487,7 +487,7 @@
 }
 
 fn inflate(bytes: &[u8]) -> Result<Vec<u8>, PackError> {
-    miniz_oxide::inflate::decompress_to_vec_with_limit(bytes, LONGEST_PACK).map_err(|_| PackError::Packed)
+    miniz_oxide::inflate::decompress_to_vec_with_limit(bytes, MAX_PACKED_BYTES).map_err(|_| PackError::Packed)
 }
 
 impl Update {
@@ -495,10 +495,10 @@
     pub fn pack(&mut self) {
         let (packed, plain) =
             std::mem::take(&mut self.services).into_iter().partition(|c| !c.packed.is_empty());
-        let pack = Pack { services: plain };
+        let pack = PackedServices { services: plain };
         self.services = packed;
         let bytes = pack.encode_to_vec();
-        if (LEAST_PACK..=LONGEST_PACK).contains(&bytes.len()) {
+        if (LEAST_PACK..=MAX_PACKED_BYTES).contains(&bytes.len()) {
             let packed = deflate(&bytes);
             if packed.len() < bytes.len() {
                 self.packed = packed;
@@ -509,17 +509,17 @@
     }
 
     /// All of its services as they were before they were packed.
-    pub fn unpacked(&self) -> Result<Vec<Changes>, PackError> {
+    pub fn unpacked(&self) -> Result<Vec<ServiceChanges>, PackError> {
         let mut services = Vec::new();
         if !self.packed.is_empty() {
-            services = Pack::decode(&inflate(&self.packed)?[..])?.services;
+            services = PackedServices::decode(&inflate(&self.packed)?[..])?.services;
         }
         services.extend(self.services.iter().cloned());
-        let mut left = LONGEST;
+        let mut left = MAX_MESSAGE_BYTES;
         for changes in services.iter_mut().filter(|c| !c.packed.is_empty()) {
             let bytes = inflate(&std::mem::take(&mut changes.packed))?;
             left = left.checked_sub(bytes.len()).ok_or(PackError::Packed)?;
-            changes.rows.extend(Rows::decode(&bytes[..])?.rows);
+            changes.rows.extend(PackedRows::decode(&bytes[..])?.rows);
         }
         Ok(services)
     }
@@ -527,7 +527,7 @@
 
 /// What has changed in one service.
 #[derive(Clone, PartialEq, Message)]
-pub struct Changes {
+pub struct ServiceChanges {
     /// The service.
     #[prost(string, tag = "1")]
     pub service: String,
@@ -539,13 +539,13 @@
     pub version: u64,
     /// Servers that are new or have changed.
     #[prost(message, repeated, tag = "4")]
-    pub rows: Vec<Row>,
+    pub rows: Vec<ServerRow>,
     /// Servers that have left the service.
     #[prost(string, repeated, tag = "5")]
     pub removed: Vec<String>,
     /// How these stand to the version.
-    #[prost(enumeration = "Piece", tag = "6")]
-    pub piece: i32,
+    #[prost(enumeration = "Chunk", tag = "6")]
+    pub chunk: i32,
     /// The version of the list that last changed the service's servers.
     #[prost(uint64, tag = "7")]
     pub source: u64,
@@ -561,60 +561,60 @@
     /// See `slice`.
     #[prost(uint32, tag = "11")]
     pub slices: u32,
-    /// Further rows as [`Rows`], deflated (RFC 1951): a whole is packed once for all who get it.
+    /// Further rows as [`PackedRows`], deflated (RFC 1951): a whole is packed once for all who get it.
     #[prost(bytes = "vec", tag = "12")]
     pub packed: Vec<u8>,
 }
 
-/// Rows of a service, to be packed.
+/// PackedRows of a service, to be packed.
 #[derive(Clone, PartialEq, Message)]
-pub struct Rows {
+pub struct PackedRows {
     /// The rows.
     #[prost(message, repeated, tag = "1")]
-    pub rows: Vec<Row>,
+    pub rows: Vec<ServerRow>,
 }
 
 /// How changes of a service stand to its version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
-pub enum Piece {
+pub enum Chunk {
     /// The last or only piece: the version is held once it is taken in.
     Last = 0,
     /// The first piece of a whole; what is held stands until the last one.
     First = 1,
     /// A further piece.
-    More = 2,
+    Continued = 2,
     /// Drains and leavings ahead of their turn, or hints: they move no version.
-    Aside = 3,
+    OutOfBand = 3,
     /// What is held is what the planner has, by its digest: only the version is new.
-    Same = 4,
+    Unchanged = 4,
     /// There is no such service.
     Unknown = 5,
     /// A whole in one piece.
-    Whole = 6,
+    Full = 6,
 }
 
 /// An update was taken in, service by service, or not.
 #[derive(Clone, PartialEq, Message)]
-pub struct Acknowledge {
+pub struct UpdateAck {
     /// The planner's life that it answers.
     #[prost(fixed64, tag = "1")]
-    pub life: u64,
+    pub incarnation: u64,
     /// The number of the update.
     #[prost(uint64, tag = "2")]
     pub number: u64,
     /// Services whose changes were not taken in, and why.
     #[prost(message, repeated, tag = "3")]
-    pub refused: Vec<Refused>,
+    pub refused: Vec<RejectedService>,
 }
 
-/// Changes of a service that were not taken in.
+/// ServiceChanges of a service that were not taken in.
 #[derive(Clone, PartialEq, Message)]
-pub struct Refused {
+pub struct RejectedService {
     /// The service.
     #[prost(string, tag = "1")]
     pub service: String,
     /// Why not.
-    #[prost(enumeration = "Because", tag = "2")]
-    pub because: i32,
+    #[prost(enumeration = "RejectReason", tag = "2")]
+    pub reason: i32,
 }
--- a/crates/plan/tests/services.rs
+++ b/crates/plan/tests/services.rs
@@ -8,7 +8,9 @@
 use laurelroute_plan::services::subscriber::{
     Change, ServiceStatus, Settings, Subscriber, MAX_PENDING_SERVICES,
 };
-use laurelroute_plan::wire::{Acknowledge, Ask, Changes, Piece, Report, Seen, Suspicion, Update};
+use laurelroute_plan::wire::{
+    Chunk, ExplainRequest, Report, ServerReport, ServiceChanges, Suspicion, Update, UpdateAck,
+};
 use laurelroute_policy::interface::{Nanos, Phase};
 use prost::Message;
 
@@ -119,12 +121,12 @@
     assert_eq!(planned, held, "{service}");
 }
 
-fn changes(updates: &[Update]) -> Vec<Changes> {
+fn changes(updates: &[Update]) -> Vec<ServiceChanges> {
     updates.iter().flat_map(|u| u.unpacked().expect("it can be read")).collect()
 }
 
-fn pieces(updates: &[Update]) -> Vec<Piece> {
-    changes(updates).iter().map(|c| c.piece()).collect()
+fn pieces(updates: &[Update]) -> Vec<Chunk> {
+    changes(updates).iter().map(|c| c.chunk()).collect()
 }
 
 #[test]
@@ -192,9 +194,9 @@
     exchange(0, &mut a, &mut f0, "f0", 0);
     f0.connection_lost(S, 0);
     join(S, &mut b, &mut f0, "f0", (1, 9));
-    assert_eq!(pieces(&exchange(S, &mut b, &mut f0, "f0", 1)), [Piece::Same]);
+    assert_eq!(pieces(&exchange(S, &mut b, &mut f0, "f0", 1)), [Chunk::Unchanged]);
     b.apply_list(S, 2, false, vec![gone("tide", "tide-0001")]);
-    assert_eq!(pieces(&exchange(S, &mut b, &mut f0, "f0", 1)), [Piece::Last]);
+    assert_eq!(pieces(&exchange(S, &mut b, &mut f0, "f0", 1)), [Chunk::Last]);
     equal(&b, &f0, "f0", "tide");
     // Where it differs, the whole comes, and what it does not name goes.
     a.apply_list(2 * S, 3, false, vec![gone("tide", "tide-0001"), gone("tide", "tide-0009")]);
@@ -371,7 +373,9 @@
         rollout.lagging,
         [("f1".into(), LagReason::Unacknowledged), ("f2".into(), LagReason::Disconnected(2 * S))]
     );
-    assert!(publisher.explain(3 * S, &Ask { change: 2, ..Ask::default() }).contains("in force at 1 of 3"));
+    assert!(publisher
+        .explain(3 * S, &ExplainRequest { change: 2, ..ExplainRequest::default() })
+        .contains("in force at 1 of 3"));
     let answer = f[1].receive(3 * S, 0, &update).unwrap();
     publisher.acknowledge(3 * S, "f1", &answer);
     assert_eq!(
@@ -533,7 +537,7 @@
     assert!(publisher.next_update(ACK_TIMEOUT - 1, "f0").unwrap().is_some_and(|u| u.number == 0));
     assert!(publisher.next_update(ACK_TIMEOUT, "f0").is_err());
     // Word of another life, and of numbers that never were, is nothing.
-    publisher.acknowledge(S, "f0", &Acknowledge { life: 6, number: 1, refused: Vec::new() });
+    publisher.acknowledge(S, "f0", &UpdateAck { incarnation: 6, number: 1, refused: Vec::new() });
     assert!(publisher.next_update(ACK_TIMEOUT, "f0").is_err());
     let crowd: Vec<String> = (0..120).map(|k| format!("g{k}")).collect();
     let taken = crowd.iter().filter(|name| publisher.forwarder_connected(0, name, 0).is_ok()).count();
@@ -550,8 +554,13 @@
         exchange(0, &mut publisher, f, &format!("f{k}"), 0);
         f.changes();
     }
-    let row =
-        |ejected| Seen { name: "tide-0002".into(), accomplished: 50.0, lag: 1.0, ejected, ..Seen::default() };
+    let row = |ejected| ServerReport {
+        name: "tide-0002".into(),
+        score: 50.0,
+        relative_latency: 1.0,
+        ejected,
+        ..ServerReport::default()
+    };
     let report = |ejected| Report { rows: vec![row(ejected)], ..Report::default() };
     publisher.report(S, "f0", &report(true)).unwrap();
     publisher.report(S, "f1", &report(true)).unwrap();
@@ -559,7 +568,7 @@
     let changes = f[2].changes();
     let [Change::Hints { words, .. }] = &changes[..] else { panic!("{changes:?}") };
     assert_eq!((words.len(), words[0].suspicion), (1, Suspicion::Fails));
-    assert!((words[0].accomplished / 100.0 - 1.0).abs() < 0.1);
+    assert!((words[0].score / 100.0 - 1.0).abs() < 0.1);
     assert!(publisher.report(S, "f9", &report(true)).is_err());
 }
 
@@ -626,7 +635,7 @@
 #[test]
 fn what_is_packed_is_bounded_once_it_is_whole_again() {
     let zeros = laurelroute_plan::wire::deflate(&vec![0; 60_000]);
-    let bomb = Changes { packed: zeros, ..Changes::default() };
+    let bomb = ServiceChanges { packed: zeros, ..ServiceChanges::default() };
     let update = Update { services: vec![bomb; 200], ..Update::default() };
     assert!(update.encoded_len() < 40_000 && update.unpacked().is_err());
     let long = laurelroute_plan::wire::deflate(&vec![0; 1 << 20]);
@@ -638,7 +647,13 @@
     let mut f0 = connect(0, &mut publisher, "f0", 7);
     f0.lookup(0, "tide");
     exchange(0, &mut publisher, &mut f0, "f0", 0);
-    let bad = Update { site: "perth".into(), life: 7, number: 9, packed: vec![1, 2, 3], ..Update::default() };
+    let bad = Update {
+        site: "perth".into(),
+        incarnation: 7,
+        number: 9,
+        packed: vec![1, 2, 3],
+        ..Update::default()
+    };
     assert_eq!(f0.receive(0, 0, &bad), None);
     equal(&publisher, &f0, "f0", "tide");
 }
