--- a/crates/plan/tests/two.rs
+++ b/crates/plan/tests/two.rs
@@ -1,9 +1,15 @@
 //! Planner and forwarder together, message by message: what each hears and what it then goes by.
 
-use laurelroute_plan::follower::{trust, Follower, ALONE, FRESH, HOLD};
+use laurelroute_plan::follower::{
+    trust, Follower, FOLLOW_HOLD_TIME, PLANNER_FRESH_TIME, PLANNER_SILENCE_LIMIT,
+};
 use laurelroute_plan::member::Member;
-use laurelroute_plan::planner::{Planner, Settings, BEAT, LINGER, SETTLE};
-use laurelroute_plan::wire::{Because, Closed, Part, Portion, Reply, Report, Seen, Suspicion};
+use laurelroute_plan::planner::{
+    Planner, Settings, DEFAULT_SETTLE_TIME, FORWARDER_GRACE, HEARTBEAT_INTERVAL,
+};
+use laurelroute_plan::wire::{
+    ClosedServer, PlanAck, PlanUpdate, RateShare, RejectReason, Report, ServerReport, Suspicion,
+};
 use laurelroute_policy::interface::{Nanos, Phase};
 
 const MS: Nanos = 1_000_000;
@@ -12,13 +18,13 @@
 fn settings() -> Settings {
     Settings {
         site: "perth".into(),
-        life: 100,
+        incarnation: 100,
         planners: 2,
-        cap: Some(40),
-        wanted: 8,
-        cold_from: 0.2,
+        max_connections: Some(40),
+        wanted_connections: 8,
+        initial_capacity: 0.2,
         ramp: 10 * S,
-        settle: SETTLE,
+        settle_time: DEFAULT_SETTLE_TIME,
         classes: vec![("status".into(), None), ("gauges".into(), Some(100.0))],
         tenants: vec![("swan".into(), 50.0)],
         bytes_per_second: 8_000.0,
@@ -31,10 +37,10 @@
 
 fn planner(count: usize, forwarders: &[&str]) -> (Planner, Nanos) {
     let mut planner = Planner::new(0, settings());
-    planner.membership(0, 1, true, boxes(count));
-    forwarders.iter().for_each(|f| planner.joined(0, f, 0).unwrap());
-    planner.poll(SETTLE);
-    (planner, SETTLE)
+    planner.update_membership(0, 1, true, boxes(count));
+    forwarders.iter().for_each(|f| planner.forwarder_connected(0, f, 0).unwrap());
+    planner.poll(DEFAULT_SETTLE_TIME);
+    (planner, DEFAULT_SETTLE_TIME)
 }
 
 fn follower() -> Follower {
@@ -42,18 +48,18 @@
 }
 
 /// Everything that one planner has for the forwarder, with the answers.
-fn exchange(now: Nanos, planner: &mut Planner, place: usize, follower: &mut Follower) -> Vec<Because> {
+fn exchange(now: Nanos, planner: &mut Planner, place: usize, follower: &mut Follower) -> Vec<RejectReason> {
     let mut answers = Vec::new();
-    while let Some(part) = planner.next_part(now, "f0") {
+    while let Some(part) = planner.next_update(now, "f0") {
         let reply = follower.receive(now, place, &part);
-        planner.reply("f0", &reply);
+        planner.handle_ack("f0", &reply);
         answers.push(reply.refused());
     }
     answers
 }
 
-fn seen(name: &str, accomplished: f32) -> Seen {
-    Seen { name: name.into(), accomplished, lag: 1.0, ..Seen::default() }
+fn seen(name: &str, accomplished: f32) -> ServerReport {
+    ServerReport { name: name.into(), score: accomplished, relative_latency: 1.0, ..ServerReport::default() }
 }
 
 fn phase(follower: &Follower, now: Nanos, name: &str) -> Option<Phase> {
@@ -64,21 +70,21 @@
 fn a_whole_plan_then_only_changes() {
     let (mut planner, now) = planner(10, &["f0"]);
     let mut follower = follower();
-    assert_eq!(exchange(now, &mut planner, 0, &mut follower), [Because::Taken]);
+    assert_eq!(exchange(now, &mut planner, 0, &mut follower), [RejectReason::Accepted]);
     assert_eq!(follower.view(now).members.len(), 10);
     assert_eq!(follower.view(now).trust, 1.0);
     assert!(exchange(now + MS, &mut planner, 0, &mut follower).is_empty(), "nothing new");
     planner.report(now + MS, "f0", &Report { rows: vec![seen("box-3", 50.0)], ..Report::default() }).unwrap();
-    let part = planner.next_part(now + MS, "f0").unwrap();
-    assert_eq!((part.rows.len(), part.base > 0, part.rows[0].facts.is_some()), (1, true, false));
-    planner.reply("f0", &follower.receive(now + MS, 0, &part));
+    let part = planner.next_update(now + MS, "f0").unwrap();
+    assert_eq!((part.rows.len(), part.base > 0, part.rows[0].attributes.is_some()), (1, true, false));
+    planner.handle_ack("f0", &follower.receive(now + MS, 0, &part));
     let view = follower.view(now + MS);
-    let word = view.words.iter().find(|w| w.name == "box-3").unwrap();
-    assert!((word.accomplished / 50.0 - 1.0).abs() < 0.1, "{word:?}");
+    let word = view.planned.iter().find(|w| w.name == "box-3").unwrap();
+    assert!((word.score / 50.0 - 1.0).abs() < 0.1, "{word:?}");
     // The beat says that all stands.
-    let beat = planner.next_part(now + MS + BEAT, "f0").unwrap();
+    let beat = planner.next_update(now + MS + HEARTBEAT_INTERVAL, "f0").unwrap();
     assert!(beat.rows.is_empty() && beat.base == beat.version);
-    assert_eq!(follower.receive(now + MS + BEAT, 0, &beat).refused(), Because::Taken);
+    assert_eq!(follower.receive(now + MS + HEARTBEAT_INTERVAL, 0, &beat).refused(), RejectReason::Accepted);
 }
 
 #[test]
@@ -90,15 +96,15 @@
     let mut follower = follower();
     exchange(now, &mut planner, 0, &mut follower);
     let view = follower.view(now);
-    let of = |name: &str| view.words.iter().find(|w| w.name == name).unwrap().accomplished;
+    let of = |name: &str| view.planned.iter().find(|w| w.name == name).unwrap().score;
     assert!((of("box-1") / 50.0 - 1.0).abs() < 0.1);
     assert_eq!(of("box-0"), 0.0);
     // One that comes back starts its account anew.
-    planner.joined(now, "f1", 0).unwrap();
+    planner.forwarder_connected(now, "f1", 0).unwrap();
     planner.report(now, "f1", &Report { rows: vec![seen("box-1", 5.0)], ..Report::default() }).unwrap();
     exchange(now, &mut planner, 0, &mut follower);
     let view = follower.view(now);
-    let sum = view.words.iter().find(|w| w.name == "box-1").unwrap().accomplished;
+    let sum = view.planned.iter().find(|w| w.name == "box-1").unwrap().score;
     assert!((sum / 25.0 - 1.0).abs() < 0.1, "{sum}");
 }
 
@@ -109,23 +115,23 @@
     let mut follower = follower();
     exchange(now, &mut a, 0, &mut follower);
     exchange(now, &mut b, 1, &mut follower);
-    let followed = follower.standing().unwrap().0;
+    let followed = follower.followed_plan().unwrap().0;
     let other = if followed == 0 { &mut b } else { &mut a };
-    other.membership(now, 2, false, vec![Member::warm("box-2").in_phase(Phase::Draining)]);
+    other.update_membership(now, 2, false, vec![Member::warm("box-2").in_phase(Phase::Draining)]);
     exchange(now + MS, other, 1 - followed, &mut follower);
-    assert_eq!(follower.standing().unwrap().0, followed, "it does not change sides");
+    assert_eq!(follower.followed_plan().unwrap().0, followed, "it does not change sides");
     assert_eq!(phase(&follower, now + MS, "box-2"), Some(Phase::Draining));
     // Told by one forwarder only, it reaches the planner and from there all others.
     let followed = if followed == 0 { &mut a } else { &mut b };
-    followed.joined(now, "f9", 0).unwrap();
+    followed.forwarder_connected(now, "f9", 0).unwrap();
     let report = Report { closed: follower.closed(), ..Report::default() };
     followed.report(now + MS, "f0", &report).unwrap();
-    let part = followed.next_part(now + MS, "f9").unwrap();
+    let part = followed.next_update(now + MS, "f9").unwrap();
     let row = part.rows.iter().find(|r| r.name == "box-2");
-    assert!(row.is_none_or(|r| r.facts.as_ref().unwrap().phase == 1), "{row:?}");
+    assert!(row.is_none_or(|r| r.attributes.as_ref().unwrap().phase == 1), "{row:?}");
     // Later word takes the box back.
-    followed.membership(now, 3, false, boxes(6));
-    let place = follower.standing().unwrap().0;
+    followed.update_membership(now, 3, false, boxes(6));
+    let place = follower.followed_plan().unwrap().0;
     exchange(now + 2 * MS, followed, place, &mut follower);
     followed.poll(now + S);
     exchange(now + S, followed, place, &mut follower);
@@ -137,17 +143,17 @@
     let (mut a, now) = planner(6, &["f0"]);
     let mut follower = follower();
     exchange(now, &mut a, 0, &mut follower);
-    a.membership(now, 5, false, vec![Member::warm("box-2").in_phase(Phase::Removed)]);
+    a.update_membership(now, 5, false, vec![Member::warm("box-2").in_phase(Phase::Removed)]);
     exchange(now + MS, &mut a, 0, &mut follower);
     assert_eq!(phase(&follower, now + MS, "box-2"), Some(Phase::Removed));
     // Another planner begins with a list from before.
     let (mut b, _) = planner(6, &["f0"]);
-    assert_eq!(exchange(now + 2 * MS, &mut b, 1, &mut follower)[0], Because::OldMembership);
+    assert_eq!(exchange(now + 2 * MS, &mut b, 1, &mut follower)[0], RejectReason::StaleMembership);
     // The first one falls silent: the old plan is better than none, but the box stays gone.
-    let later = now + HOLD + 2 * S;
-    let part = b.next_part(later, "f0").unwrap();
-    assert_eq!(follower.receive(later, 1, &part).refused(), Because::Taken);
-    assert_eq!(follower.standing().unwrap().0, 1);
+    let later = now + FOLLOW_HOLD_TIME + 2 * S;
+    let part = b.next_update(later, "f0").unwrap();
+    assert_eq!(follower.receive(later, 1, &part).refused(), RejectReason::Accepted);
+    assert_eq!(follower.followed_plan().unwrap().0, 1);
     assert_eq!(phase(&follower, later, "box-2"), Some(Phase::Removed));
 }
 
@@ -155,34 +161,38 @@
 fn what_is_not_for_it_is_refused_and_changes_nothing() {
     let (mut planner, now) = planner(6, &["f0"]);
     let mut follower = follower();
-    let whole = planner.next_part(now, "f0").unwrap();
-    assert_eq!(follower.receive(now, 0, &whole).refused(), Because::Taken);
+    let whole = planner.next_update(now, "f0").unwrap();
+    assert_eq!(follower.receive(now, 0, &whole).refused(), RejectReason::Accepted);
     let before = follower.view(now);
-    let refused = |follower: &mut Follower, change: &dyn Fn(&mut Part)| {
+    let refused = |follower: &mut Follower, change: &dyn Fn(&mut PlanUpdate)| {
         let mut part = whole.clone();
         change(&mut part);
         let reply = follower.receive(now, 0, &part).refused();
         (reply, follower.view(now) == before)
     };
-    assert_eq!(refused(&mut follower, &|p| p.site = "other".into()), (Because::OtherSite, true));
-    assert_eq!(refused(&mut follower, &|p| p.life = 99), (Because::OldLife, true));
-    assert_eq!(refused(&mut follower, &|p| (p.base, p.version) = (7, 8)), (Because::Base, true));
-    assert_eq!(refused(&mut follower, &|p| p.version = 0), (Because::Nonsense, true));
-    assert_eq!(refused(&mut follower, &|p| p.rows[0].name = String::new()), (Because::Nonsense, true));
-    assert_eq!(refused(&mut follower, &|p| p.rows[0].cold_rate = Some(f32::NAN)), (Because::Nonsense, true));
-    let address = |p: &mut Part| p.rows[0].facts.as_mut().unwrap().addresses = vec!["nowhere".into()];
-    assert_eq!(refused(&mut follower, &address), (Because::Nonsense, true));
-    let stranger = |p: &mut Part| {
+    assert_eq!(refused(&mut follower, &|p| p.site = "other".into()), (RejectReason::OtherSite, true));
+    assert_eq!(refused(&mut follower, &|p| p.incarnation = 99), (RejectReason::StaleIncarnation, true));
+    assert_eq!(refused(&mut follower, &|p| (p.base, p.version) = (7, 8)), (RejectReason::UnknownBase, true));
+    assert_eq!(refused(&mut follower, &|p| p.version = 0), (RejectReason::Invalid, true));
+    assert_eq!(refused(&mut follower, &|p| p.rows[0].name = String::new()), (RejectReason::Invalid, true));
+    assert_eq!(
+        refused(&mut follower, &|p| p.rows[0].slow_start_rate = Some(f32::NAN)),
+        (RejectReason::Invalid, true)
+    );
+    let address =
+        |p: &mut PlanUpdate| p.rows[0].attributes.as_mut().unwrap().addresses = vec!["nowhere".into()];
+    assert_eq!(refused(&mut follower, &address), (RejectReason::Invalid, true));
+    let stranger = |p: &mut PlanUpdate| {
         (p.base, p.version) = (whole.version, whole.version + 1);
-        p.rows[2].facts = None;
+        p.rows[2].attributes = None;
         p.rows[2].name = "who".into();
     };
-    assert_eq!(refused(&mut follower, &stranger), (Because::Base, true));
-    let portion = |p: &mut Part| p.tenants = vec![Portion { name: "swan".into(), rate: -1.0 }];
-    assert_eq!(refused(&mut follower, &portion), (Because::Nonsense, true));
+    assert_eq!(refused(&mut follower, &stranger), (RejectReason::UnknownBase, true));
+    let portion = |p: &mut PlanUpdate| p.tenants = vec![RateShare { name: "swan".into(), rate: -1.0 }];
+    assert_eq!(refused(&mut follower, &portion), (RejectReason::Invalid, true));
     assert_eq!(
         follower.receive(now, 7, &whole).refused(),
-        Because::Nonsense,
+        RejectReason::Invalid,
         "a planner that is not configured"
     );
 }
@@ -192,17 +202,17 @@
     let (mut planner, now) = planner(6, &["f0"]);
     let mut follower = follower();
     exchange(now, &mut planner, 0, &mut follower);
-    planner.membership(now, 2, false, vec![Member::warm("box-1").in_phase(Phase::Draining)]);
-    let lost = planner.next_part(now, "f0").unwrap();
-    planner.membership(now, 3, false, vec![Member::warm("box-4").in_phase(Phase::Draining)]);
-    let next = planner.next_part(now, "f0").unwrap();
+    planner.update_membership(now, 2, false, vec![Member::warm("box-1").in_phase(Phase::Draining)]);
+    let lost = planner.next_update(now, "f0").unwrap();
+    planner.update_membership(now, 3, false, vec![Member::warm("box-4").in_phase(Phase::Draining)]);
+    let next = planner.next_update(now, "f0").unwrap();
     assert_eq!(next.base, lost.version);
     let reply = follower.receive(now, 0, &next);
-    assert_eq!(reply.refused(), Because::Base);
-    planner.reply("f0", &reply);
-    assert_eq!(exchange(now + BEAT, &mut planner, 0, &mut follower)[0], Because::Taken);
+    assert_eq!(reply.refused(), RejectReason::UnknownBase);
+    planner.handle_ack("f0", &reply);
+    assert_eq!(exchange(now + HEARTBEAT_INTERVAL, &mut planner, 0, &mut follower)[0], RejectReason::Accepted);
     for drained in ["box-1", "box-4"] {
-        assert_eq!(phase(&follower, now + BEAT, drained), Some(Phase::Draining));
+        assert_eq!(phase(&follower, now + HEARTBEAT_INTERVAL, drained), Some(Phase::Draining));
     }
 }
 
@@ -213,14 +223,14 @@
     for round in 0..2_000u32 {
         let row = seen(&format!("box-{}", round % 50), round as f32 * 7.0 + 1.0);
         planner.report(now, "f0", &Report { rows: vec![row], ..Report::default() }).unwrap();
-        parts += u32::from(planner.next_part(now, "f0").is_some());
+        parts += u32::from(planner.next_update(now, "f0").is_some());
     }
     assert!(parts <= 4, "{parts} parts under way");
     let mut follower = follower();
     let later = now + 4 * S;
-    let part = planner.next_part(later, "f0").unwrap();
+    let part = planner.next_update(later, "f0").unwrap();
     assert_eq!((part.base, part.rows.len()), (0, 50));
-    assert_eq!(follower.receive(later, 0, &part).refused(), Because::Taken);
+    assert_eq!(follower.receive(later, 0, &part).refused(), RejectReason::Accepted);
 }
 
 #[test]
@@ -230,11 +240,11 @@
     let mut follower = follower();
     exchange(now, &mut a, 0, &mut follower);
     exchange(now, &mut b, 1, &mut follower);
-    assert_eq!((follower.standing().unwrap().0, follower.switches()), (0, 1));
+    assert_eq!((follower.followed_plan().unwrap().0, follower.switches()), (0, 1));
     // Only the other one speaks, with gaps on the followed one's side that are shorter than the hold.
     let mut at = now;
     for step in 0..200u64 {
-        at = now + step * BEAT;
+        at = now + step * HEARTBEAT_INTERVAL;
         exchange(at, &mut b, 1, &mut follower);
         if step % 7 == 0 {
             exchange(at, &mut a, 0, &mut follower);
@@ -243,10 +253,10 @@
     }
     assert_eq!(follower.switches(), 1, "gaps of 1.75 s are no reason to leave");
     for step in 1..20u64 {
-        exchange(at + step * BEAT, &mut b, 1, &mut follower);
-        follower.poll(at + step * BEAT);
+        exchange(at + step * HEARTBEAT_INTERVAL, &mut b, 1, &mut follower);
+        follower.poll(at + step * HEARTBEAT_INTERVAL);
     }
-    assert_eq!((follower.standing().unwrap().0, follower.switches()), (1, 2));
+    assert_eq!((follower.followed_plan().unwrap().0, follower.switches()), (1, 2));
     exchange(at + 6 * S, &mut a, 0, &mut follower);
     follower.poll(at + 6 * S);
     assert_eq!(follower.switches(), 2, "the first one's return is no reason either");
@@ -261,18 +271,22 @@
     exchange(now, &mut a, 0, &mut follower);
     let mut moved = Member::warm("box-3");
     moved.server.cell = 9;
-    a.membership(now, 2, false, vec![moved]);
+    a.update_membership(now, 2, false, vec![moved]);
     exchange(now + MS, &mut a, 0, &mut follower);
     let cell =
         |f: &Follower, at| f.view(at).members.iter().find(|m| m.name == "box-3").map(|m| m.server.cell);
-    assert_eq!((follower.standing().unwrap().0, cell(&follower, now + MS)), (1, Some(9)));
+    assert_eq!((follower.followed_plan().unwrap().0, cell(&follower, now + MS)), (1, Some(9)));
     for step in 1..=20u64 {
-        let at = now + step * BEAT;
+        let at = now + step * HEARTBEAT_INTERVAL;
         exchange(at, &mut b, 1, &mut follower);
         exchange(at, &mut a, 0, &mut follower);
         follower.poll(at);
-        let followed = follower.standing().unwrap().0;
-        assert_eq!(followed, usize::from(at < now + HOLD + BEAT), "after {step} beats");
+        let followed = follower.followed_plan().unwrap().0;
+        assert_eq!(
+            followed,
+            usize::from(at < now + FOLLOW_HOLD_TIME + HEARTBEAT_INTERVAL),
+            "after {step} beats"
+        );
     }
     assert_eq!(follower.switches(), 2);
 }
@@ -284,7 +298,10 @@
     let (mut planner, now) = planner(6, &["f0"]);
     let mut follower = follower();
     exchange(now, &mut planner, 0, &mut follower);
-    assert!(!follower.alone(now + ALONE - 1) && follower.alone(now + ALONE));
+    assert!(
+        !follower.needs_membership(now + PLANNER_SILENCE_LIMIT - 1)
+            && follower.needs_membership(now + PLANNER_SILENCE_LIMIT)
+    );
     assert_eq!(follower.view(now + 10 * S).trust, 0.5);
     assert_eq!(follower.view(now + 10 * S).members.len(), 6);
     let old = follower.view(now + 200 * S);
@@ -304,7 +321,7 @@
     let mut list: Vec<Member> = boxes(210).split_off(200);
     list.extend((0..200).map(|k| Member::warm(&format!("new-{k}"))));
     let later = now + 3 * S;
-    follower.membership(later, 9, true, list.clone());
+    follower.update_membership(later, 9, true, list.clone());
     let view = follower.view(later);
     let ready: Vec<&str> =
         view.members.iter().filter(|m| m.server.phase == Phase::Ready).map(|m| m.name.as_str()).collect();
@@ -317,7 +334,7 @@
     assert_eq!(follower.view(now + 200 * S).members.len(), 210);
     // One that was never told anything starts with the membership.
     let mut fresh = Follower::new(0, "f9", "perth", &[]);
-    fresh.membership(0, 1, true, boxes(5));
+    fresh.update_membership(0, 1, true, boxes(5));
     assert_eq!(fresh.view(0).members.len(), 5);
 }
 
@@ -328,8 +345,8 @@
             let row = seen(&format!("box-{k}"), share);
             planner.report(now, "f0", &Report { rows: vec![row], ..Report::default() }).unwrap();
         }
-        planner.membership(now, 2, false, vec![Member::warm("new").started(now)]);
-        planner.poll(now + BEAT);
+        planner.update_membership(now, 2, false, vec![Member::warm("new").started(now)]);
+        planner.poll(now + HEARTBEAT_INTERVAL);
     };
     let (mut a, now) = planner(5, &["f0", "f1"]);
     let (mut b, _) = planner(5, &["f0", "f1"]);
@@ -337,12 +354,14 @@
     // A warm box serves 10 a second by the one, 4 by the other: counts fade in a ramp of 10 s.
     cold(&mut a, now, 100.0);
     cold(&mut b, now, 40.0);
-    exchange(now + BEAT, &mut a, 0, &mut follower);
-    let rate = |f: &Follower| f.view(now + BEAT).words.iter().find(|w| w.name == "new").unwrap().cold_rate;
+    exchange(now + HEARTBEAT_INTERVAL, &mut a, 0, &mut follower);
+    let rate = |f: &Follower| {
+        f.view(now + HEARTBEAT_INTERVAL).planned.iter().find(|w| w.name == "new").unwrap().slow_start_rate
+    };
     // 0.9 of a fifth of 10 a second, over two planners and two forwarders; a little of the ramp has passed.
     let first = rate(&follower);
     assert!((first / (0.9 * 0.2 * 10.0 / 4.0) - 1.0).abs() < 0.15, "{first}");
-    exchange(now + BEAT, &mut b, 1, &mut follower);
+    exchange(now + HEARTBEAT_INTERVAL, &mut b, 1, &mut follower);
     assert!(rate(&follower) < 0.5 * first, "the least of both");
     let sum = 2.0 * 2.0 * first;
     assert!(sum <= 0.9 * 0.25 * 10.0, "two planners' forwarders together: {sum}");
@@ -351,8 +370,12 @@
 #[test]
 fn suspects_need_witnesses_and_are_never_more_than_half() {
     let (mut planner, now) = planner(10, &["f0", "f1", "f2"]);
-    let out =
-        |name: &str| Seen { ejected: true, faults: 1.0, endings: vec![0, 0, 0, 0, 9], ..seen(name, 1.0) };
+    let out = |name: &str| ServerReport {
+        ejected: true,
+        failure_rate: 1.0,
+        outcomes: vec![0, 0, 0, 0, 9],
+        ..seen(name, 1.0)
+    };
     let report = |rows| Report { rows, ..Report::default() };
     planner.report(now, "f0", &report(vec![out("box-1")])).unwrap();
     planner.report(now, "f1", &report(vec![seen("box-1", 9.0)])).unwrap();
@@ -360,12 +383,13 @@
     let mut follower = follower();
     exchange(now, &mut planner, 0, &mut follower);
     let suspects =
-        |f: &Follower| f.view(now + S).words.iter().filter(|w| w.suspicion != Suspicion::None).count();
+        |f: &Follower| f.view(now + S).planned.iter().filter(|w| w.suspicion != Suspicion::None).count();
     assert_eq!(suspects(&follower), 0, "one forwarder's network is not the box");
     planner.report(now, "f1", &report(vec![out("box-1")])).unwrap();
     exchange(now, &mut planner, 0, &mut follower);
     assert_eq!(suspects(&follower), 1);
-    let text = planner.explain(&laurelroute_plan::wire::Ask { server: "box-1".into(), ..Default::default() });
+    let text = planner
+        .explain(&laurelroute_plan::wire::ExplainRequest { server: "box-1".into(), ..Default::default() });
     assert!(text.contains("suspected: it takes no connections"), "{text}");
     for name in ["f0", "f1", "f2"] {
         let all = (0..10).map(|k| out(&format!("box-{k}"))).collect();
@@ -380,11 +404,11 @@
     let (mut planner, now) = planner(4, &["f0", "f1"]);
     let mut follower = follower();
     let demand = |rate| Report {
-        classes: vec![Portion { name: "gauges".into(), rate }],
-        tenants: vec![Portion { name: "swan".into(), rate }],
+        classes: vec![RateShare { name: "gauges".into(), rate }],
+        tenants: vec![RateShare { name: "swan".into(), rate }],
         ..Report::default()
     };
-    planner.poll(now + BEAT);
+    planner.poll(now + HEARTBEAT_INTERVAL);
     planner.report(now, "f1", &demand(30.0)).unwrap();
     planner.report(now, "f0", &demand(90.0)).unwrap();
     exchange(now, &mut planner, 0, &mut follower);
@@ -402,9 +426,9 @@
         Report { rows: vec![seen("", 1.0)], ..Report::default() },
         Report { rows: vec![seen("box-1", f32::NAN)], ..Report::default() },
         Report { rows: vec![seen("box-1", -1.0)], ..Report::default() },
-        Report { rows: vec![Seen { faults: 2.0, ..seen("box-1", 1.0) }], ..Report::default() },
+        Report { rows: vec![ServerReport { failure_rate: 2.0, ..seen("box-1", 1.0) }], ..Report::default() },
         Report { rows: vec![seen("box-1", 1.0); 5_000], ..Report::default() },
-        Report { tenants: vec![Portion { name: "swan".into(), rate: f32::INFINITY }], ..Report::default() },
+        Report { tenants: vec![RateShare { name: "swan".into(), rate: f32::INFINITY }], ..Report::default() },
     ];
     for report in bad {
         assert!(planner.report(now, "f0", &report).is_err(), "{report:?}");
@@ -414,28 +438,29 @@
         .unwrap_err()
         .to_string()
         .contains("`who` has not joined"));
-    let part = planner.next_part(now, "f0").unwrap();
+    let part = planner.next_update(now, "f0").unwrap();
     assert!(part.rows.iter().all(|r| r.grade == 0 && r.suspicion == 0));
     // A box that nobody has told of, and an answer from another life, are passed over.
     planner.report(now, "f0", &Report { rows: vec![seen("unknown", 1.0)], ..Report::default() }).unwrap();
-    let closed = Closed { name: "unknown".into(), membership: 9, gone: true, ..Closed::default() };
+    let closed =
+        ClosedServer { name: "unknown".into(), membership: 9, removed: true, ..ClosedServer::default() };
     planner.report(now, "f0", &Report { closed: vec![closed], ..Report::default() }).unwrap();
-    planner.reply("f0", &Reply { life: 1, version: 1, refused: 0 });
-    planner.reply("f0", &Reply { life: 100, version: 99, refused: 0 });
+    planner.handle_ack("f0", &PlanAck { incarnation: 1, version: 1, refused: 0 });
+    planner.handle_ack("f0", &PlanAck { incarnation: 100, version: 99, refused: 0 });
 }
 
 #[test]
 fn a_forwarder_that_is_away_for_a_moment_keeps_its_boxes() {
     let (mut planner, now) = planner(30, &["f0", "f1", "f2", "f3", "f4", "f5"]);
     let before: Vec<String> = planner.subset_of("f1").into_iter().map(str::to_owned).collect();
-    planner.left(now, "f0");
-    planner.poll(now + LINGER / 2);
+    planner.forwarder_disconnected(now, "f0");
+    planner.poll(now + FORWARDER_GRACE / 2);
     assert_eq!(planner.subset_of("f1"), before);
-    planner.poll(now + LINGER + S);
-    planner.poll(now + LINGER + 2 * S);
+    planner.poll(now + FORWARDER_GRACE + S);
+    planner.poll(now + FORWARDER_GRACE + 2 * S);
     let after = planner.subset_of("f1");
     assert!(before.iter().all(|b| after.contains(&b.as_str())) || after.len() >= before.len(), "{after:?}");
     let held: usize = ["f1", "f2", "f3", "f4", "f5"].iter().map(|f| planner.subset_of(f).len()).sum();
     assert_eq!(held, 30 * planner.cover().forwarders);
-    assert_eq!(FRESH, S);
+    assert_eq!(PLANNER_FRESH_TIME, S);
 }
--- a/crates/rig/src/capacity/planner.rs
+++ b/crates/rig/src/capacity/planner.rs
@@ -5,8 +5,8 @@
 use crate::report::Failure;
 use crate::site::can_count;
 use laurelroute_plan::member::Member;
-use laurelroute_plan::planner::{Planner, Settings, SETTLE};
-use laurelroute_plan::wire::{Ask, Reply};
+use laurelroute_plan::planner::{Planner, Settings, DEFAULT_SETTLE_TIME};
+use laurelroute_plan::wire::{ExplainRequest, PlanAck};
 use laurelroute_policy::interface::{Nanos, Phase};
 use prost::Message;
 
@@ -23,13 +23,13 @@
 fn settings() -> Settings {
     Settings {
         site: "capacity".into(),
-        life: 1,
+        incarnation: 1,
         planners: 2,
-        cap: Some(41),
-        wanted: 8,
-        cold_from: 0.3,
+        max_connections: Some(41),
+        wanted_connections: 8,
+        initial_capacity: 0.3,
         ramp: 10 * S,
-        settle: SETTLE,
+        settle_time: DEFAULT_SETTLE_TIME,
         classes: vec![("read".into(), None)],
         tenants: Vec::new(),
         bytes_per_second: 16_000.0,
@@ -53,19 +53,19 @@
 impl Bench {
     fn new(forwarders: usize, boxes: usize) -> Result<Bench, Failure> {
         let mut planner = Planner::new(0, settings());
-        planner.membership(0, 1, true, (0..boxes).map(member).collect());
+        planner.update_membership(0, 1, true, (0..boxes).map(member).collect());
         let names: Vec<String> = (0..forwarders).map(|f| format!("forwarder-{f:04}")).collect();
-        names.iter().try_for_each(|name| planner.joined(0, name, 0))?;
-        Ok(Bench { planner, names, now: SETTLE, version: 1 })
+        names.iter().try_for_each(|name| planner.forwarder_connected(0, name, 0))?;
+        Ok(Bench { planner, names, now: DEFAULT_SETTLE_TIME, version: 1 })
     }
 
     /// Sends every forwarder what there is for it; the bytes.
     fn parts(&mut self) -> u64 {
         let mut bytes = 0;
         for name in &self.names {
-            while let Some(part) = self.planner.next_part(self.now, name) {
+            while let Some(part) = self.planner.next_update(self.now, name) {
                 bytes += part.encoded_len() as u64;
-                self.planner.reply(name, &Reply { life: 1, version: part.version, refused: 0 });
+                self.planner.handle_ack(name, &PlanAck { incarnation: 1, version: part.version, refused: 0 });
             }
         }
         bytes
@@ -76,7 +76,7 @@
         self.version += 1;
         self.now += S;
         let drained = member(self.version as usize).in_phase(Phase::Draining);
-        self.planner.membership(self.now, self.version, false, vec![drained]);
+        self.planner.update_membership(self.now, self.version, false, vec![drained]);
         let bytes = self.parts();
         self.now += S;
         self.planner.poll(self.now);
@@ -116,7 +116,7 @@
 
 /// Boxes that a planner says it has, of those that it was told of.
 fn kept(told: usize) -> Result<f64, Failure> {
-    let said = Bench::new(FORWARDERS, told)?.planner.explain(&Ask::default());
+    let said = Bench::new(FORWARDERS, told)?.planner.explain(&ExplainRequest::default());
     let ready = said.lines().find_map(|l| l.strip_prefix("boxes: ")?.split(' ').next()?.parse().ok());
     ready.ok_or_else(|| Failure(format!("the planner says `{said}`")))
 }
--- a/crates/rig/src/scale.rs
+++ b/crates/rig/src/scale.rs
@@ -3,8 +3,8 @@
 use crate::report::{table, Failure, Outcome};
 use crate::{Common, ALLOCATOR};
 use laurelroute_plan::member::Member;
-use laurelroute_plan::planner::{Planner, Settings, BEAT, SETTLE};
-use laurelroute_plan::wire::{Reply, Report, Seen};
+use laurelroute_plan::planner::{Planner, Settings, DEFAULT_SETTLE_TIME, HEARTBEAT_INTERVAL};
+use laurelroute_plan::wire::{PlanAck, Report, ServerReport};
 use laurelroute_policy::interface::{Nanos, Phase};
 use prost::Message;
 use std::time::Instant;
@@ -14,13 +14,13 @@
 fn settings() -> Settings {
     Settings {
         site: "scale".into(),
-        life: 1,
+        incarnation: 1,
         planners: 2,
-        cap: Some(41),
-        wanted: 8,
-        cold_from: 0.3,
+        max_connections: Some(41),
+        wanted_connections: 8,
+        initial_capacity: 0.3,
         ramp: 10 * S,
-        settle: SETTLE,
+        settle_time: DEFAULT_SETTLE_TIME,
         classes: vec![("status".into(), None)],
         tenants: Vec::new(),
         bytes_per_second: 16_000.0,
@@ -36,11 +36,16 @@
 impl Bench {
     fn new(forwarders: usize, boxes: usize) -> Bench {
         let mut planner = Planner::new(0, settings());
-        planner.membership(0, 1, true, (0..boxes).map(|b| Member::warm(&format!("box-{b:05}"))).collect());
+        planner.update_membership(
+            0,
+            1,
+            true,
+            (0..boxes).map(|b| Member::warm(&format!("box-{b:05}"))).collect(),
+        );
         let names: Vec<String> = (0..forwarders).map(|f| format!("forwarder-{f:04}")).collect();
         for name in &names {
             // There is room for as many as are asked for here.
-            let _ = planner.joined(0, name, 0);
+            let _ = planner.forwarder_connected(0, name, 0);
         }
         Bench { planner, names, now: 0 }
     }
@@ -49,10 +54,10 @@
     fn parts(&mut self) -> (u64, u64) {
         let (mut parts, mut bytes) = (0, 0);
         for name in &self.names {
-            while let Some(part) = self.planner.next_part(self.now, name) {
+            while let Some(part) = self.planner.next_update(self.now, name) {
                 parts += 1;
                 bytes += part.encoded_len() as u64;
-                self.planner.reply(name, &Reply { life: 1, version: part.version, refused: 0 });
+                self.planner.handle_ack(name, &PlanAck { incarnation: 1, version: part.version, refused: 0 });
             }
         }
         (parts, bytes)
@@ -62,15 +67,15 @@
     fn reports(&mut self, round: u32) -> (u64, u64) {
         let (mut rows, mut bytes) = (0, 0);
         for (k, name) in self.names.iter().enumerate() {
-            let row = |server: &str| Seen {
+            let row = |server: &str| ServerReport {
                 name: server.to_owned(),
                 // Steady counts with some noise, as a quiet fleet has them.
-                accomplished: 40.0 + ((k as u32 * 7 + round * 13) % 11) as f32,
+                score: 40.0 + ((k as u32 * 7 + round * 13) % 11) as f32,
                 in_flight: 2,
-                lag: 1.0,
-                faults: 0.0,
+                relative_latency: 1.0,
+                failure_rate: 0.0,
                 ejected: false,
-                endings: vec![round * 100],
+                outcomes: vec![round * 100],
             };
             let report = Report {
                 rows: self.planner.subset_of(name).into_iter().map(row).collect(),
@@ -86,7 +91,7 @@
     fn drain(&mut self, version: u64, from: usize, count: usize) {
         let drained =
             (from..from + count).map(|b| Member::warm(&format!("box-{b:05}")).in_phase(Phase::Draining));
-        self.planner.membership(self.now, version, false, drained.collect());
+        self.planner.update_membership(self.now, version, false, drained.collect());
     }
 }
 
@@ -108,7 +113,7 @@
         println!("{forwarders} forwarders, {boxes} boxes ...");
         let before = held();
         let mut bench = Bench::new(forwarders, boxes);
-        bench.now = SETTLE;
+        bench.now = DEFAULT_SETTLE_TIME;
         let (plan_ms, ()) = timed(|| bench.planner.poll(bench.now));
         let (_, (_, whole_bytes)) = timed(|| bench.parts());
         let (report_ms, (seen_rows, report_bytes)) = timed(|| bench.reports(1));
@@ -122,7 +127,7 @@
         let memory = held() - before;
         // One box drains, then a hundred; the subsets are made anew after each.
         let change = |bench: &mut Bench, version: u64, from: usize, count: usize| {
-            bench.now += BEAT / 2;
+            bench.now += HEARTBEAT_INTERVAL / 2;
             let (told_ms, (parts, bytes)) = timed(|| {
                 bench.drain(version, from, count);
                 bench.parts()
--- a/crates/rig/src/scale_out/hollow.rs
+++ b/crates/rig/src/scale_out/hollow.rs
@@ -8,7 +8,7 @@
 use super::reported::Rounds;
 use crate::report::Failure;
 use laurelroute_channel::hello::Identity;
-use laurelroute_channel::subscription::{SessionError, Subscribing};
+use laurelroute_channel::subscription::{SessionError, SubscriberClient};
 use laurelroute_channel::tls::Tls;
 use laurelroute_plan::scramble;
 use laurelroute_plan::services::subscriber::{Change, ServiceStatus, Settings, Subscriber};
@@ -242,7 +242,7 @@
             role: Role::Forwarder,
             name: format!("node-{node:04}"),
             site: SITE.to_owned(),
-            life: now() / 1_000_000,
+            incarnation: now() / 1_000_000,
             zone: 0,
             services: true,
         };
@@ -266,13 +266,13 @@
                 }
             }
         };
-        let subscribing = Subscribing {
+        let subscribing = SubscriberClient {
             subscriber: &life.subscriber,
             now: &now,
-            wanted: &life.wanted,
-            changed: &changed,
+            interest_added: &life.wanted,
+            on_change: &changed,
             report: &report,
-            noted: &noted,
+            on_session: &noted,
         };
         let connect = |place: usize| {
             let (address, tls, bytes) = (self.planners[place], self.tls.clone(), bytes.clone());
@@ -309,7 +309,7 @@
             }
         };
         tokio::select! {
-            _ = subscribing.keep(&own, connect) => {}
+            _ = subscribing.run(&own, connect) => {}
             () = naming => {}
         }
     }
--- a/crates/simulation/src/services/app.rs
+++ b/crates/simulation/src/services/app.rs
@@ -7,7 +7,7 @@
 use laurelroute_plan::member::Member;
 use laurelroute_plan::services::list_version::ListVersion;
 use laurelroute_plan::services::subscriber::{Change, ServiceStatus};
-use laurelroute_plan::wire::{Changes, Piece, Subscribe, Update};
+use laurelroute_plan::wire::{Chunk, ServiceChanges, Subscribe, Update};
 use laurelroute_policy::interface::{Phase, Server, ServerObservation, ATTEMPT_OUTCOMES};
 use prost::Message as _;
 use std::collections::{BTreeMap, BTreeSet};
@@ -49,16 +49,16 @@
 }
 
 /// What an update says of services.
-pub(super) fn services(update: &Update) -> Vec<Changes> {
+pub(super) fn services(update: &Update) -> Vec<ServiceChanges> {
     update.unpacked().unwrap_or_default()
 }
 
 /// Bytes with which an update tells of drains and leavings, wholes left out.
 pub(super) fn closings(update: &Update) -> usize {
     let services = services(update);
-    let changes = services.iter().filter(|c| c.base > 0 || c.piece() == Piece::Aside);
-    let of = |changes: &Changes| {
-        let closed = changes.rows.iter().filter(|r| r.facts.as_ref().is_some_and(|f| f.phase != 0));
+    let changes = services.iter().filter(|c| c.base > 0 || c.chunk() == Chunk::OutOfBand);
+    let of = |changes: &ServiceChanges| {
+        let closed = changes.rows.iter().filter(|r| r.attributes.as_ref().is_some_and(|f| f.phase != 0));
         let left = changes.removed.iter().map(|name| name.len() + 2);
         closed.map(|r| r.encoded_len() + 2).chain(left).sum::<usize>()
     };
@@ -146,7 +146,7 @@
             let of = |server: &str| (changes.service.clone(), server.to_owned());
             let word = |started| Word { at: now, epoch, version: update.source, started };
             for row in &changes.rows {
-                let Some(facts) = &row.facts else { continue };
+                let Some(facts) = &row.attributes else { continue };
                 let started = facts.started_ms * MS;
                 if facts.phase == 0 {
                     let key = of(&row.name);
@@ -167,8 +167,8 @@
             for server in changes.removed.iter().filter(|_| !late) {
                 close(app, of(server), word(None));
             }
-            let piece = changes.piece();
-            if piece != Piece::Unknown {
+            let piece = changes.chunk();
+            if piece != Chunk::Unknown {
                 let slice = (changes.slice, changes.slices);
                 app.slices.insert(changes.service.clone(), slice);
             }
--- a/crates/simulation/src/services/defect.rs
+++ b/crates/simulation/src/services/defect.rs
@@ -5,7 +5,7 @@
 use crate::{Nanos, S};
 use laurelroute_plan::member::Member;
 use laurelroute_plan::services::digest;
-use laurelroute_plan::wire::{Piece, Update};
+use laurelroute_plan::wire::{Chunk, Update};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// What is done wrong.
@@ -116,30 +116,30 @@
         for changes in &mut update.services {
             let key = (c, changes.service.clone());
             let whole = changes.base == 0;
-            match changes.piece() {
-                Piece::Aside | Piece::Unknown | Piece::First | Piece::More | Piece::Whole => continue,
-                Piece::Last if whole => {
+            match changes.chunk() {
+                Chunk::OutOfBand | Chunk::Unknown | Chunk::First | Chunk::Continued | Chunk::Full => continue,
+                Chunk::Last if whole => {
                     self.lost.remove(&key);
                     self.resumed.remove(&key);
                     continue;
                 }
-                Piece::Last => {
+                Chunk::Last => {
                     let lost = self.lost.get(&key).map(|(name, _)| name.clone());
                     let again = |name: &String| lost.as_ref() == Some(name);
                     if changes.rows.iter().any(|r| again(&r.name)) || changes.removed.iter().any(again) {
                         self.lost.remove(&key);
                     }
-                    let k = changes.rows.iter().position(|r| r.facts.is_some());
+                    let k = changes.rows.iter().position(|r| r.attributes.is_some());
                     if let Some(k) = k.filter(|_| self.resumed.remove(&key)) {
                         let row = changes.rows.remove(k);
                         let held = app.held.get(&changes.service).and_then(|s| s.get(&row.name));
-                        let new = row.facts.and_then(|f| Member::from_facts(&row.name, &f).ok());
+                        let new = row.attributes.and_then(|f| Member::from_attributes(&row.name, &f).ok());
                         let part = |m: Option<&Member>| m.map_or(0, digest::member_digest);
                         let less = part(held).wrapping_sub(part(new.as_ref()));
                         self.lost.insert(key.clone(), (row.name, less));
                     }
                 }
-                Piece::Same => {
+                Chunk::Unchanged => {
                     self.resumed.remove(&key);
                 }
             }
--- a/crates/simulation/src/services/link.rs
+++ b/crates/simulation/src/services/link.rs
@@ -3,7 +3,7 @@
 
 use super::check::Snapshot;
 use crate::Nanos;
-use laurelroute_plan::wire::{Acknowledge, Report, Subscribe, Update};
+use laurelroute_plan::wire::{Report, Subscribe, Update, UpdateAck};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// What is under way.
@@ -20,7 +20,7 @@
     },
     /// With when it was said.
     Subscribe(Subscribe, Nanos),
-    Acknowledge(Acknowledge),
+    Acknowledge(UpdateAck),
     Report(Report),
     Close,
 }
--- a/crates/simulation/src/world/levels.rs
+++ b/crates/simulation/src/world/levels.rs
@@ -12,13 +12,13 @@
         let life = now / MS;
         let settings = planner::Settings {
             site: "world".into(),
-            life,
+            incarnation: life,
             planners: self.setup.planners as u32,
-            cap: self.setup.cap,
-            wanted: self.setup.wanted,
-            cold_from: self.setup.cold.from,
+            max_connections: self.setup.cap,
+            wanted_connections: self.setup.wanted,
+            initial_capacity: self.setup.cold.from,
             ramp: self.setup.cold.ramp,
-            settle: planner::SETTLE,
+            settle_time: planner::DEFAULT_SETTLE_TIME,
             classes: CLASSES.iter().map(|c| (c.0.to_owned(), None)).collect(),
             tenants: Vec::new(),
             bytes_per_second: 16_000.0,
@@ -43,7 +43,7 @@
             link.retry_at = now + RETRY;
             let (name, skew) = (&self.movers[f].name, self.brains[p].skew);
             if let Some(planner) = &mut self.brains[p].planner {
-                planner.left(skewed(now, skew), name);
+                planner.forwarder_disconnected(skewed(now, skew), name);
             }
         }
     }
@@ -81,12 +81,12 @@
             while let Some(mut part) = self.brains[p]
                 .planner
                 .as_mut()
-                .and_then(|planner| planner.next_part(now, &self.movers[f].name))
+                .and_then(|planner| planner.next_update(now, &self.movers[f].name))
             {
                 if self.brains[p].lies {
                     part.rows.iter_mut().for_each(|r| {
                         r.suspicion = Suspicion::Fails as i32;
-                        r.cold_rate = None;
+                        r.slow_start_rate = None;
                     });
                 }
                 self.tally.bytes[0] += part.encoded_len() as u64;
@@ -96,7 +96,7 @@
         }
     }
 
-    pub(super) fn part(&mut self, p: usize, f: usize, epoch: u64, part: &Part) {
+    pub(super) fn part(&mut self, p: usize, f: usize, epoch: u64, part: &PlanUpdate) {
         if !self.current(p, f, epoch, 0) {
             return;
         }
@@ -104,7 +104,7 @@
         let reply = mover.follower.receive(skewed(self.now, mover.skew), p, part);
         if reply.refused == 0 {
             for row in &part.rows {
-                if let (Some(server), Some(facts)) = (id_of(&row.name), &row.facts) {
+                if let (Some(server), Some(facts)) = (id_of(&row.name), &row.attributes) {
                     let started = facts.started_ms * MS;
                     mover.closed.heard(self.now, server, facts.phase == 0, part.membership, started);
                 }
@@ -140,7 +140,7 @@
         let mover = &mut self.movers[f];
         let own = skewed(now, mover.skew);
         mover.follower.poll(own);
-        if mover.follower.alone(own) {
+        if mover.follower.needs_membership(own) {
             mover.alone_at = now;
             if !mover.watching {
                 self.watch(f);
@@ -175,7 +175,7 @@
         link.epoch += 1;
         link.heard_at = [now; 2];
         link.session = Some(Reporter::new(skewed(now, self.movers[f].skew), 8_000.0));
-        if let Err(error) = planner.joined(skewed(now, skew), &self.movers[f].name, 0) {
+        if let Err(error) = planner.forwarder_connected(skewed(now, skew), &self.movers[f].name, 0) {
             self.broken(format!("planner {p} refuses forwarder {f}: {error}"));
         }
     }
@@ -188,7 +188,7 @@
         let observed: Vec<(String, ServerObservation)> =
             mover.balancer.observations(now).map(|o| (box_name(box_of(o.server)), o)).collect();
         let [classes, _] = mover.balancer.admitted_rates(now);
-        let state = Now {
+        let state = NodeState {
             servers: observed.iter().map(|(name, o)| (name.as_str(), *o)).collect(),
             classes: CLASSES.iter().map(|c| c.0).zip(classes).collect(),
             tenants: Vec::new(),
@@ -214,7 +214,7 @@
         let server = |m: Member| Some(Server { endpoint: endpoint(id_of(&m.name)?), ..m.server });
         let servers: Vec<Server> = changes.into_iter().filter_map(server).collect();
         let classes: Vec<String> = CLASSES.iter().map(|c| c.0.to_owned()).collect();
-        let guide = lead::guide(view, |name| id_of(name).map(endpoint), &classes, std::iter::empty());
+        let guide = lead::node_plan(view, |name| id_of(name).map(endpoint), &classes, std::iter::empty());
         let news = guide != mover.guide;
         mover.guide = guide.clone();
         if !servers.is_empty() {
@@ -274,14 +274,14 @@
             let view = View { members: list.1.clone(), ..View::default() };
             return self.show(f, &view);
         }
-        mover.follower.membership(skewed(now, mover.skew), list.0, true, list.1.clone());
+        mover.follower.update_membership(skewed(now, mover.skew), list.0, true, list.1.clone());
         self.apply(f);
     }
 
     /// Whether a forwarder goes by the latest plan of a living planner, made from the list as it is.
     pub fn together(&self, f: usize) -> bool {
         let mover = &self.movers[f];
-        let Some((p, life, _, membership)) = mover.follower.standing() else { return false };
+        let Some((p, life, _, membership)) = mover.follower.followed_plan() else { return false };
         let brain = &self.brains[p];
         let Some(planner) = &brain.planner else { return false };
         if life != brain.life || membership != self.version {
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -9,11 +9,11 @@
 use crate::rules::{Closed, Life};
 use crate::{Nanos, MS, S};
 use laurelroute_plan::follower::{Follower, View};
-use laurelroute_plan::lead::{self, Told};
+use laurelroute_plan::lead::{self, AppliedMembers};
 use laurelroute_plan::member::Member;
 use laurelroute_plan::planner::{self, Planner};
-use laurelroute_plan::reporter::{Now, Reporter};
-use laurelroute_plan::wire::{Part, Reply, Report, Suspicion};
+use laurelroute_plan::reporter::{NodeState, Reporter};
+use laurelroute_plan::wire::{PlanAck, PlanUpdate, Report, Suspicion};
 use laurelroute_policy::interface::*;
 use laurelroute_policy::Balancer;
 use prost::Message;
@@ -120,7 +120,7 @@
     name: String,
     pub(crate) balancer: Balancer,
     pub(crate) follower: Follower,
-    told: Told,
+    told: AppliedMembers,
     guide: NodePlan,
     closed: Closed,
     requests: HashMap<u32, Req>,
@@ -164,8 +164,8 @@
     Done(usize, u32, u8, u64, AttemptOutcome),
     Deadline(usize, u32),
     Timer(usize, u32),
-    Part(usize, usize, u64, Box<Part>),
-    Reply(usize, usize, u64, Reply),
+    Part(usize, usize, u64, Box<PlanUpdate>),
+    Reply(usize, usize, u64, PlanAck),
     Report(usize, usize, u64, Box<Report>),
     MoverTick(usize, u64),
     BrainTick(usize),
@@ -237,7 +237,7 @@
                 balancer: balancer(&setup, f),
                 follower: Follower::new(skewed(BEGIN, skew), &name, "world", &names),
                 name,
-                told: Told::default(),
+                told: AppliedMembers::default(),
                 guide: NodePlan::default(),
                 closed: Closed::default(),
                 requests: HashMap::new(),
@@ -355,7 +355,7 @@
                 if self.current(p, f, epoch, 1) {
                     let name = self.movers[f].name.clone();
                     if let Some(planner) = &mut self.brains[p].planner {
-                        planner.reply(&name, &reply);
+                        planner.handle_ack(&name, &reply);
                     }
                 }
             }
@@ -375,7 +375,7 @@
                 let now = skewed(self.now, brain.skew);
                 if brain.life == life && !brain.frozen {
                     if let Some(planner) = &mut brain.planner {
-                        planner.membership(now, list.0, true, list.1.clone());
+                        planner.update_membership(now, list.0, true, list.1.clone());
                     }
                     self.pump(p);
                 }
