--- a/crates/membership/src/council.rs
+++ b/crates/membership/src/council.rs
@@ -1,9 +1,9 @@
 //! The council: what becomes the next view. One decision for each view, by single-decree Paxos (Lamport, "Paxos Made
 //! Simple", 2001) among the members of the present one that have a seat on it.
 
-use crate::view::{quorum, Cut, Observers, Seat, Seats, View, JOINS};
+use crate::view::{quorum, Cut, MemberId, MemberSet, Observers, View, MAX_JOINS};
 use crate::wire::{Accepted, Body};
-use crate::{Life, Nanos, MS};
+use crate::{Incarnation, Nanos, MS};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// An accusation or a wish to join counts for so long.
@@ -21,19 +21,19 @@
 
 #[derive(Debug)]
 enum Proposal {
-    Preparing { promises: BTreeMap<Seat, (Accepted, Seats)> },
-    Accepting { cut: Cut, agreed: BTreeSet<Seat> },
+    Preparing { promises: BTreeMap<MemberId, (Accepted, MemberSet)> },
+    Accepting { cut: Cut, agreed: BTreeSet<MemberId> },
 }
 
 /// What one of the council knows and has said about the next view.
 #[derive(Debug)]
 pub struct Council {
-    me: Seat,
-    seats: Vec<Seat>,
+    me: MemberId,
+    seats: Vec<MemberId>,
     observers: Observers,
-    members: BTreeMap<Seat, Life>,
-    accusers: BTreeMap<Seat, (Nanos, Vec<Seat>)>,
-    joiners: BTreeMap<Seat, (Nanos, Life)>,
+    members: BTreeMap<MemberId, Incarnation>,
+    accusers: BTreeMap<MemberId, (Nanos, Vec<MemberId>)>,
+    joiners: BTreeMap<MemberId, (Nanos, Incarnation)>,
     /// The cut that there would be, since when it has been that, and since when there is anything to change.
     wanted: (Cut, Nanos, Nanos),
     promised: u32,
@@ -46,7 +46,7 @@
 /// Where words go.
 pub enum To {
     /// To one.
-    One(Seat, Body),
+    One(MemberId, Body),
     /// To all others of the council.
     All(Body),
     /// Nowhere: this is the next view's cut.
@@ -55,7 +55,7 @@
 
 impl Council {
     /// For a view that this member has a seat on the council of.
-    pub fn new(me: Seat, view: &View, seats: Vec<Seat>, observers: Observers) -> Council {
+    pub fn new(me: MemberId, view: &View, seats: Vec<MemberId>, observers: Observers) -> Council {
         Council {
             me,
             seats,
@@ -72,7 +72,7 @@
     }
 
     /// Who has a seat on it.
-    pub fn seats(&self) -> &[Seat] {
+    pub fn seats(&self) -> &[MemberId] {
         &self.seats
     }
 
@@ -82,48 +82,48 @@
     }
 
     /// An observer's accusations, all that it has.
-    pub fn accuse(&mut self, now: Nanos, by: Seat, accused: Vec<Seat>) {
+    pub fn accuse(&mut self, now: Nanos, by: MemberId, accused: Vec<MemberId>) {
         self.accusers.insert(by, (now, accused));
     }
 
-    /// A life that wants a seat.
-    pub fn join(&mut self, now: Nanos, seat: Seat, life: Life) {
-        if self.members.get(&seat) != Some(&life) {
-            self.joiners.insert(seat, (now, life));
+    /// A incarnation that wants a seat.
+    pub fn join(&mut self, now: Nanos, member: MemberId, incarnation: Incarnation) {
+        if self.members.get(&member) != Some(&incarnation) {
+            self.joiners.insert(member, (now, incarnation));
         }
     }
 
     /// Those who accuse a member now.
-    pub fn accusers_of(&self, now: Nanos, seat: Seat) -> BTreeSet<Seat> {
-        self.accusations(now).filter(|(_, accused)| accused.contains(&seat)).map(|(by, _)| by).collect()
+    pub fn suspected_by(&self, now: Nanos, member: MemberId) -> BTreeSet<MemberId> {
+        self.accusations(now).filter(|(_, accused)| accused.contains(&member)).map(|(by, _)| by).collect()
     }
 
     /// Who accuses whom now.
-    fn accusations(&self, now: Nanos) -> impl Iterator<Item = (Seat, &[Seat])> {
+    fn accusations(&self, now: Nanos) -> impl Iterator<Item = (MemberId, &[MemberId])> {
         let fresh = self.accusers.iter().filter(move |(_, (at, _))| counts(now, *at));
         fresh.map(|(by, (_, accused))| (*by, accused.as_slice()))
     }
 
     /// Members whose observers accuse them, most of them or all but those that are to leave themselves; and whether others
     /// are accused by too few.
-    fn silent(&self, now: Nanos, fresh: &impl Fn(Seat) -> bool) -> (BTreeSet<Seat>, bool) {
-        let mut accusers: BTreeMap<Seat, BTreeSet<Seat>> = BTreeMap::new();
+    fn silent(&self, now: Nanos, fresh: &impl Fn(MemberId) -> bool) -> (BTreeSet<MemberId>, bool) {
+        let mut accusers: BTreeMap<MemberId, BTreeSet<MemberId>> = BTreeMap::new();
         for (by, accused) in self.accusations(now).filter(|(by, _)| self.members.contains_key(by)) {
-            for seat in accused.iter().filter(|s| self.members.contains_key(*s) && !fresh(**s)) {
-                accusers.entry(*seat).or_default().insert(by);
+            for member in accused.iter().filter(|s| self.members.contains_key(*s) && !fresh(**s)) {
+                accusers.entry(*member).or_default().insert(by);
             }
         }
         let accused = accusers.len();
-        let mut out: BTreeSet<Seat> = accusers.keys().copied().filter(|s| *s != self.me).collect();
+        let mut out: BTreeSet<MemberId> = accusers.keys().copied().filter(|s| *s != self.me).collect();
         loop {
-            let stays = |seat: &Seat| {
-                let by = &accusers[seat];
-                let observers = &self.observers[seat];
+            let stays = |member: &MemberId| {
+                let by = &accusers[member];
+                let observers = &self.observers[member];
                 let against = observers.iter().filter(|o| by.contains(o) || out.contains(o)).count();
                 let live = by.iter().any(|o| !out.contains(o));
                 5 * against < 4 * observers.len() || !live
             };
-            let keep: Vec<Seat> = out.iter().copied().filter(stays).collect();
+            let keep: Vec<MemberId> = out.iter().copied().filter(stays).collect();
             if keep.is_empty() {
                 break;
             }
@@ -133,18 +133,18 @@
         (out, unsettled)
     }
 
-    fn cut(&self, now: Nanos, fresh: &impl Fn(Seat) -> bool) -> (Cut, bool) {
+    fn cut(&self, now: Nanos, fresh: &impl Fn(MemberId) -> bool) -> (Cut, bool) {
         let (out, unsettled) = self.silent(now, fresh);
-        let wish = |(seat, (at, life)): (&Seat, &(Nanos, Life))| {
-            counts(now, *at).then_some((*seat, life.to_le_bytes()))
+        let wish = |(member, (at, incarnation)): (&MemberId, &(Nanos, Incarnation))| {
+            counts(now, *at).then_some((*member, incarnation.to_le_bytes()))
         };
-        let joins: Vec<_> = self.joiners.iter().filter_map(wish).take(JOINS).collect();
-        let taken = |seat: &Seat| joins.iter().any(|(s, _)| s == seat);
-        (Cut { out: out.into_iter().filter(|s| !taken(s)).collect(), joins }, unsettled)
+        let joined: Vec<_> = self.joiners.iter().filter_map(wish).take(MAX_JOINS).collect();
+        let taken = |member: &MemberId| joined.iter().any(|(s, _)| s == member);
+        (Cut { removed: out.into_iter().filter(|s| !taken(s)).collect(), joined }, unsettled)
     }
 
     /// Time goes by. `fresh` says who was heard just now by this member itself.
-    pub fn tick(&mut self, now: Nanos, fresh: impl Fn(Seat) -> bool) -> Vec<To> {
+    pub fn tick(&mut self, now: Nanos, fresh: impl Fn(MemberId) -> bool) -> Vec<To> {
         let (cut, unsettled) = self.cut(now, &fresh);
         if cut != self.wanted.0 {
             let since = if self.wanted.0.is_empty() { now } else { self.wanted.2 };
@@ -175,7 +175,13 @@
     }
 
     /// Takes a word of the council.
-    pub fn hear(&mut self, now: Nanos, from: Seat, body: Body, fresh: impl Fn(Seat) -> bool) -> Vec<To> {
+    pub fn hear(
+        &mut self,
+        now: Nanos,
+        from: MemberId,
+        body: Body,
+        fresh: impl Fn(MemberId) -> bool,
+    ) -> Vec<To> {
         if !self.seats.contains(&from) {
             return Vec::new();
         }
@@ -187,17 +193,17 @@
             }
             Body::Accept(ballot, cut, bound) if ballot >= self.promised => {
                 // One that is to leave has been heard after all.
-                if !bound && cut.out.iter().any(|s| fresh(s) || s == self.me) {
-                    return vec![To::One(from, Body::Refuse(ballot))];
+                if !bound && cut.removed.iter().any(|s| fresh(s) || s == self.me) {
+                    return vec![To::One(from, Body::Nack(ballot))];
                 }
                 self.promised = ballot;
                 self.accepted = Some((ballot, cut));
                 vec![To::One(from, Body::Accepted(ballot))]
             }
-            Body::Prepare(_) | Body::Accept(..) => vec![To::One(from, Body::Refuse(self.promised))],
+            Body::Prepare(_) | Body::Accept(..) => vec![To::One(from, Body::Nack(self.promised))],
             Body::Promise(ballot, accepted, heard) => self.promise(now, from, ballot, accepted, heard),
             Body::Accepted(ballot) => self.agree(from, ballot),
-            Body::Refuse(ballot) => {
+            Body::Nack(ballot) => {
                 if self.proposal.as_ref().is_some_and(|(own, ..)| ballot >= *own) {
                     self.promised = self.promised.max(ballot);
                 }
@@ -207,7 +213,14 @@
         }
     }
 
-    fn promise(&mut self, now: Nanos, from: Seat, ballot: u32, accepted: Accepted, heard: Seats) -> Vec<To> {
+    fn promise(
+        &mut self,
+        now: Nanos,
+        from: MemberId,
+        ballot: u32,
+        accepted: Accepted,
+        heard: MemberSet,
+    ) -> Vec<To> {
         let Some((own, _, Proposal::Preparing { promises })) = &mut self.proposal else { return Vec::new() };
         if ballot != *own {
             return Vec::new();
@@ -218,7 +231,7 @@
         }
         // Those that said that they have accepted nothing never will below this ballot. Where the others are too few, nothing
         // can have been decided, and an old cut need not be gone on with.
-        let may_have = |s: Seat| promises.get(&s).is_none_or(|(accepted, _)| accepted.is_some());
+        let may_have = |s: MemberId| promises.get(&s).is_none_or(|(accepted, _)| accepted.is_some());
         let decided = quorum(&self.seats, may_have);
         let accepted = || promises.values().filter_map(|(a, _)| a.clone());
         let unfinished = accepted().next().is_some();
@@ -228,8 +241,8 @@
             || {
                 let mut cut = self.wanted.0.clone();
                 // Whom any of them hears is there.
-                let vouched = |seat: Seat| promises.values().any(|(_, heard)| heard.holds(seat));
-                cut.out = cut.out.iter().filter(|s| !vouched(*s)).collect();
+                let vouched = |member: MemberId| promises.values().any(|(_, heard)| heard.contains(member));
+                cut.removed = cut.removed.iter().filter(|s| !vouched(*s)).collect();
                 cut
             },
             |(_, cut)| cut,
@@ -245,7 +258,7 @@
         vec![To::All(accept.clone()), To::One(self.me, accept)]
     }
 
-    fn agree(&mut self, from: Seat, ballot: u32) -> Vec<To> {
+    fn agree(&mut self, from: MemberId, ballot: u32) -> Vec<To> {
         let Some((own, _, Proposal::Accepting { cut, agreed })) = &mut self.proposal else {
             return Vec::new();
         };
--- a/crates/membership/src/defect.rs
+++ b/crates/membership/src/defect.rs
@@ -7,7 +7,7 @@
     NoRefutation,
     /// One that was paused takes its own pause for others' silence.
     NoSelfDoubt,
-    /// A process that starts again has the life that it had before.
+    /// A process that starts again has the incarnation that it had before.
     LifeComesBack,
     /// A member takes its part by the members that it sees, lease or not.
     SmallerCount,
--- a/crates/membership/src/founding.rs
+++ b/crates/membership/src/founding.rs
@@ -1,7 +1,7 @@
 //! The first view: founded by all of the roster, or, where some never come, by more than half of it.
 
-use crate::view::{digest, quorum, Seat};
-use crate::{Life, Nanos, MS};
+use crate::view::{digest, quorum, MemberId};
+use crate::{Incarnation, Nanos, MS};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Who is in no view says so to this many at a time ...
@@ -17,11 +17,11 @@
 #[derive(Clone, Debug)]
 pub struct Founding {
     began: Nanos,
-    others: BTreeMap<Seat, (Nanos, Life)>,
+    others: BTreeMap<MemberId, (Nanos, Incarnation)>,
     next: usize,
     called: Option<Nanos>,
     wanted: (u64, Nanos),
-    agreed: (u64, BTreeSet<Seat>),
+    agreed: (u64, BTreeSet<MemberId>),
 }
 
 impl Founding {
@@ -38,17 +38,17 @@
     }
 
     /// Another one is in no view.
-    pub fn hear(&mut self, now: Nanos, seat: Seat, life: Life) {
-        self.others.insert(seat, (now, life));
+    pub fn hear(&mut self, now: Nanos, member: MemberId, incarnation: Incarnation) {
+        self.others.insert(member, (now, incarnation));
     }
 
     /// Another one is in a view.
-    pub fn gone(&mut self, seat: Seat) {
-        self.others.remove(&seat);
+    pub fn gone(&mut self, member: MemberId) {
+        self.others.remove(&member);
     }
 
     /// Whom to call now.
-    pub fn calls(&mut self, now: Nanos, me: Seat, roster: usize) -> Vec<Seat> {
+    pub fn calls(&mut self, now: Nanos, me: MemberId, roster: usize) -> Vec<MemberId> {
         if self.called.is_some_and(|at| now.saturating_sub(at) < CALL_EVERY) {
             return Vec::new();
         }
@@ -58,14 +58,19 @@
         while calls.len() < others {
             self.next = (self.next + 1) % roster;
             if self.next != usize::from(me) {
-                calls.push(self.next as Seat);
+                calls.push(self.next as MemberId);
             }
         }
         calls
     }
 
     /// All that are in no view now, this one too.
-    fn present(&self, now: Nanos, me: (Seat, Life), roster: usize) -> BTreeMap<Seat, Life> {
+    fn present(
+        &self,
+        now: Nanos,
+        me: (MemberId, Incarnation),
+        roster: usize,
+    ) -> BTreeMap<MemberId, Incarnation> {
         // All are called once in that time; one call may be lost.
         let round = CALL_EVERY * roster.div_ceil(CALLS) as Nanos;
         let counts = |at: Nanos| now.saturating_sub(at) < 2 * round + 1_000 * MS;
@@ -74,9 +79,14 @@
     }
 
     /// Those who would found now, and their digest, where that may be.
-    fn founders(&self, now: Nanos, me: (Seat, Life), roster: usize) -> Option<(BTreeMap<Seat, Life>, u64)> {
+    fn founders(
+        &self,
+        now: Nanos,
+        me: (MemberId, Incarnation),
+        roster: usize,
+    ) -> Option<(BTreeMap<MemberId, Incarnation>, u64)> {
         let present = self.present(now, me, roster);
-        let seats: Vec<Seat> = (0..roster as Seat).collect();
+        let seats: Vec<MemberId> = (0..roster as MemberId).collect();
         let late = now.saturating_sub(self.began) >= ALL_WITHIN;
         let enough = present.len() == roster || late && quorum(&seats, |s| present.contains_key(&s));
         enough.then(|| {
@@ -86,7 +96,12 @@
     }
 
     /// Whom to ask for a founding now, and its digest: only the first of the founders asks.
-    pub fn ask(&mut self, now: Nanos, me: (Seat, Life), roster: usize) -> Option<(Vec<Seat>, u64)> {
+    pub fn ask(
+        &mut self,
+        now: Nanos,
+        me: (MemberId, Incarnation),
+        roster: usize,
+    ) -> Option<(Vec<MemberId>, u64)> {
         let (founders, digest) = self.founders(now, me, roster)?;
         if digest != self.wanted.0 {
             self.wanted = (digest, now);
@@ -99,7 +114,14 @@
     }
 
     /// Whether this one wants the same founding as the first of the founders, who asks.
-    pub fn agrees(&self, now: Nanos, me: (Seat, Life), roster: usize, from: Seat, digest: u64) -> bool {
+    pub fn agrees(
+        &self,
+        now: Nanos,
+        me: (MemberId, Incarnation),
+        roster: usize,
+        from: MemberId,
+        digest: u64,
+    ) -> bool {
         let founders = self.founders(now, me, roster);
         founders.is_some_and(|(f, own)| own == digest && f.keys().next() == Some(&from))
     }
@@ -108,11 +130,11 @@
     pub fn agreed(
         &mut self,
         now: Nanos,
-        me: (Seat, Life),
+        me: (MemberId, Incarnation),
         roster: usize,
-        from: Seat,
+        from: MemberId,
         digest: u64,
-    ) -> Option<BTreeMap<Seat, Life>> {
+    ) -> Option<BTreeMap<MemberId, Incarnation>> {
         if self.agreed.0 == digest {
             self.agreed.1.insert(from);
         }
--- a/crates/membership/src/lease.rs
+++ b/crates/membership/src/lease.rs
@@ -1,6 +1,6 @@
 //! Leases: how long a member may go on as one of its view without a word from the council.
 
-use crate::view::{quorum, Seat};
+use crate::view::{quorum, MemberId};
 use crate::{Nanos, MS};
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
     /// When it was so for sure.
     from: Option<Nanos>,
     /// On the council: when each other one was asked that has since said yes.
-    said: BTreeMap<Seat, Nanos>,
+    said: BTreeMap<MemberId, Nanos>,
     /// Shares of earlier views hold until then, when the last that may not know has lost its lease.
     settled: Nanos,
     /// Part of the whole that this member had before.
@@ -29,7 +29,7 @@
     }
 
     /// One of the council, asked at that time, has said that the view is in force.
-    pub fn confirmed(&mut self, by: Seat, asked: Nanos) {
+    pub fn confirmed(&mut self, by: MemberId, asked: Nanos) {
         let at = self.said.entry(by).or_insert(asked);
         *at = asked.max(*at);
     }
@@ -41,8 +41,8 @@
     }
 
     /// On the council: the latest moment at which a majority was asked that has since said yes.
-    pub fn renew(&mut self, now: Nanos, me: Seat, council: &[Seat]) {
-        let at = |s: Seat| if s == me { Some(now) } else { self.said.get(&s).copied() };
+    pub fn renew(&mut self, now: Nanos, me: MemberId, council: &[MemberId]) {
+        let at = |s: MemberId| if s == me { Some(now) } else { self.said.get(&s).copied() };
         let mut moments: Vec<Nanos> = council.iter().filter_map(|s| at(*s)).collect();
         moments.sort_unstable();
         let enough = |t: &Nanos| quorum(council, |s| at(s).is_some_and(|a| a >= *t));
@@ -57,9 +57,9 @@
     }
 
     /// The part of the whole that a member of a view of `members` out of a roster may use.
-    pub fn share(&self, now: Nanos, rooted: bool, members: usize, roster: usize) -> f64 {
+    pub fn share(&self, now: Nanos, is_primary: bool, members: usize, roster: usize) -> f64 {
         let alone = RESERVE / roster as f64;
-        if !rooted || self.age(now).is_none() {
+        if !is_primary || self.age(now).is_none() {
             return alone;
         }
         let mine = (1.0 - RESERVE) / members.max(1) as f64;
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -16,21 +16,21 @@
 pub mod watch;
 pub mod wire;
 
-pub use machine::{Machine, Output, Reason};
-pub use view::{Cut, Roster, RosterError, Seat, View};
+pub use machine::{Machine, Output, RejectReason};
+pub use view::{Cut, MemberId, Roster, RosterError, View};
 
 /// Time of a process's own monotonic clock, in nanoseconds.
 pub type Nanos = u64;
 /// One run of a process, drawn at its start: two of one name in a row are alike once in 2^32.
-pub type Life = u32;
+pub type Incarnation = u32;
 
 /// A millisecond.
 pub const MS: Nanos = 1_000_000;
 /// [`Machine::tick`] is to be called this often.
-pub const TICK: Nanos = 50 * MS;
+pub const TICK_INTERVAL: Nanos = 50 * MS;
 
 /// SplitMix64's finalizer (Steele, Lea and Flood, OOPSLA 2014): spreads a number over all bits.
-pub(crate) fn mix(mut x: u64) -> u64 {
+pub(crate) fn stable_hash(mut x: u64) -> u64 {
     x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -4,10 +4,10 @@
 use crate::defect::{Defect, Planted};
 use crate::founding::Founding;
 use crate::lease::Lease;
-use crate::view::{quorum, Cut, Roster, Seat, View};
-use crate::watch::{Watch, BEAT};
-use crate::wire::{Body, Datagram, Head, ACCUSED, PIECE, VERSION};
-use crate::{Life, Nanos, MS, TICK};
+use crate::view::{quorum, Cut, MemberId, Roster, View};
+use crate::watch::{Watch, HEARTBEAT_INTERVAL};
+use crate::wire::{Body, Datagram, Head, CHUNK_MEMBERS, MAX_SUSPECTS, VERSION};
+use crate::{Incarnation, Nanos, MS, TICK_INTERVAL};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -33,53 +33,55 @@
 /// Accusations are said again this often.
 const ACCUSE_EVERY: Nanos = 300 * MS;
 
-/// Why a datagram's sender is not spoken to.
+/// Why a datagram is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Reason {
-    /// Another version of the messages.
+pub enum RejectReason {
+    /// It has another version of the protocol.
     Version(u8),
-    /// Another installation.
-    Site,
-    /// Another list of members.
-    Roster,
-    /// It comes from where another name of the roster is.
-    Name,
-    /// An older life of a seat that has a newer one.
-    Life,
+    /// It belongs to another site.
+    OtherSite,
+    /// The sender has another roster.
+    OtherRoster,
+    /// It claims an ID that the roster has at another address, or is addressed to another member.
+    AddressMismatch,
+    /// The sender is an older incarnation of a current member.
+    Incarnation,
 }
 
-impl std::fmt::Display for Reason {
+impl std::fmt::Display for RejectReason {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Reason::Version(v) => write!(f, "it speaks version {v} of the messages, this program {VERSION}"),
-            Reason::Site => f.write_str("it belongs to another site"),
-            Reason::Roster => f.write_str("its list of members is another one"),
-            Reason::Name => f.write_str("it claims a name whose address is another one"),
-            Reason::Life => f.write_str("it is an older life of that name"),
+            RejectReason::Version(v) => {
+                write!(f, "it speaks version {v} of the messages, this program {VERSION}")
+            }
+            RejectReason::OtherSite => f.write_str("it belongs to another site"),
+            RejectReason::OtherRoster => f.write_str("its list of members is another one"),
+            RejectReason::AddressMismatch => f.write_str("it claims a name whose address is another one"),
+            RejectReason::Incarnation => f.write_str("it is an older incarnation of that name"),
         }
     }
 }
 
-/// What a member wants done or known.
+/// An action or event that the caller has to handle.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send this.
-    Send(Seat, Vec<u8>),
-    /// A new view is in force here.
-    View(View),
-    /// This member is in no view now.
-    Out,
-    /// A sender is not spoken to.
-    Refused(Seat, Reason),
+    /// Send this datagram.
+    Send(MemberId, Vec<u8>),
+    /// A new view was installed.
+    ViewChanged(View),
+    /// This member is no longer in a view.
+    Removed,
+    /// A datagram of this sender was rejected.
+    Rejected(MemberId, RejectReason),
 }
 
 /// A view that is being fetched in pieces.
 #[derive(Debug)]
 struct Fetch {
     view: (u64, u16),
-    rooted: bool,
+    is_primary: bool,
     total: usize,
-    members: BTreeMap<Seat, Life>,
+    members: BTreeMap<MemberId, Incarnation>,
 }
 
 /// One member.
@@ -88,13 +90,13 @@
     site: u16,
     roster: Roster,
     tag: u16,
-    me: Seat,
-    life: Life,
+    me: MemberId,
+    incarnation: Incarnation,
     random: Pcg64Mcg,
     planted: Planted,
     view: Option<View>,
-    observers: Vec<Seat>,
-    council_seats: Vec<Seat>,
+    observers: Vec<MemberId>,
+    council_members: Vec<MemberId>,
     council: Option<Council>,
     founding: Founding,
     watch: Watch,
@@ -102,40 +104,40 @@
     cuts: VecDeque<(u64, Cut)>,
     fetch: Option<Fetch>,
     /// A member of a view that this one is not in.
-    sponsor: Option<(Seat, Nanos)>,
-    /// Seats of the council whose life in this view is gone: another one speaks from there.
-    replaced: BTreeSet<Seat>,
+    sponsor: Option<(MemberId, Nanos)>,
+    /// MemberSet of the council whose incarnation in this view is gone: another one speaks from there.
+    replaced: BTreeSet<MemberId>,
     cookies: (Nanos, [u64; 2]),
     /// The last cookie that a seat has given.
-    given: BTreeMap<Seat, u64>,
-    told: BTreeMap<Seat, Nanos>,
-    asked: BTreeMap<Seat, Nanos>,
-    passed_on: BTreeMap<Seat, Nanos>,
+    given: BTreeMap<MemberId, u64>,
+    told: BTreeMap<MemberId, Nanos>,
+    asked: BTreeMap<MemberId, Nanos>,
+    passed_on: BTreeMap<MemberId, Nanos>,
     /// When anything last went to a seat: whatever that was, it says that this one is there.
-    spoken: BTreeMap<Seat, Nanos>,
+    spoken: BTreeMap<MemberId, Nanos>,
     pinged: Option<Nanos>,
-    accused: (Nanos, Vec<Seat>),
+    accused: (Nanos, Vec<MemberId>),
     called_out: Nanos,
     out: Vec<Output>,
 }
 
 impl Machine {
     /// The member `me` of an installation. All that is drawn follows from the seed, which has to be another at each start.
-    pub fn new(site: &str, roster: Roster, me: Seat, seed: [u8; 16], now: Nanos) -> Machine {
+    pub fn new(site: &str, roster: Roster, me: MemberId, seed: [u8; 16], now: Nanos) -> Machine {
         let mut random = Pcg64Mcg::from_seed(seed);
-        let (life, cookies) = (random.next_u32(), [random.next_u64(), random.next_u64()]);
+        let (incarnation, cookies) = (random.next_u32(), [random.next_u64(), random.next_u64()]);
         let start = random.next_u32() as usize % roster.len();
         Machine {
-            site: crate::view::text(site) as u16,
+            site: crate::view::stable_text_hash(site) as u16,
             tag: roster.tag(),
             roster,
             me,
-            life,
+            incarnation,
             random,
             planted: Planted::default(),
             view: None,
             observers: Vec::new(),
-            council_seats: Vec::new(),
+            council_members: Vec::new(),
             council: None,
             founding: Founding::new(now, start),
             watch: Watch::default(),
@@ -162,18 +164,18 @@
         self.planted = planted;
         self.watch.plant(planted);
         if planted.is(Defect::LifeComesBack) {
-            self.life = Life::from(self.me) + 1;
+            self.incarnation = Incarnation::from(self.me) + 1;
         }
     }
 
     /// Its seat.
-    pub fn seat(&self) -> Seat {
+    pub fn id(&self) -> MemberId {
         self.me
     }
 
-    /// Its life. It is another one after it was put out of a view.
-    pub fn life(&self) -> Life {
-        self.life
+    /// Its incarnation. It is another one after it was put out of a view.
+    pub fn incarnation(&self) -> Incarnation {
+        self.incarnation
     }
 
     /// The roster.
@@ -187,52 +189,53 @@
     }
 
     /// Whether its view was in force a moment ago, for sure.
-    pub fn attached(&self, now: Nanos) -> bool {
-        self.view.as_ref().is_some_and(|v| v.rooted) && self.lease.age(now).is_some()
+    pub fn holds_lease(&self, now: Nanos) -> bool {
+        self.view.as_ref().is_some_and(|v| v.is_primary) && self.lease.age(now).is_some()
     }
 
     /// The part of something that all members share that this one may use now, from 0 to 1.
     pub fn share(&self, now: Nanos) -> f64 {
-        let (rooted, members) = self.view.as_ref().map_or((false, 1), |v| (v.rooted, v.members.len()));
+        let (is_primary, members) =
+            self.view.as_ref().map_or((false, 1), |v| (v.is_primary, v.members.len()));
         if self.planted.is(Defect::SmallerCount) && self.view.is_some() {
             return 1.0 / members as f64;
         }
-        self.lease.share(now, rooted, members, self.roster.len())
+        self.lease.share(now, is_primary, members, self.roster.len())
     }
 
     /// For people: whom it watches and how long each has been silent.
-    pub fn silences(&self) -> impl Iterator<Item = (Seat, Nanos)> + '_ {
-        self.watch.silences()
+    pub fn silent_times(&self) -> impl Iterator<Item = (MemberId, Nanos)> + '_ {
+        self.watch.silent_times()
     }
 
     /// For people: who accuses a member, as far as this one has a seat on the council.
-    pub fn accusers_of(&self, now: Nanos, seat: Seat) -> BTreeSet<Seat> {
-        self.council.as_ref().map_or_else(BTreeSet::new, |c| c.accusers_of(now, seat))
+    pub fn suspected_by(&self, now: Nanos, member: MemberId) -> BTreeSet<MemberId> {
+        self.council.as_ref().map_or_else(BTreeSet::new, |c| c.suspected_by(now, member))
     }
 
     /// Whom it accuses of silence.
-    pub fn accuses(&self) -> &[Seat] {
+    pub fn suspects(&self) -> &[MemberId] {
         &self.accused.1
     }
 
     /// Times that this process was itself paused.
-    pub fn pauses(&self) -> u64 {
-        self.watch.pauses()
+    pub fn pause_count(&self) -> u64 {
+        self.watch.pause_count()
     }
 
-    fn send(&mut self, now: Nanos, to: Seat, body: Body) {
-        let (view, lineage, rooted) =
-            self.view.as_ref().map_or((0, 0, false), |v| (v.number, v.lineage, v.rooted));
+    fn send(&mut self, now: Nanos, to: MemberId, body: Body) {
+        let (view, lineage, is_primary) =
+            self.view.as_ref().map_or((0, 0, false), |v| (v.number, v.lineage, v.is_primary));
         let head = Head {
             version: VERSION,
             site: self.site.to_le_bytes(),
             roster: self.tag.to_le_bytes(),
             from: self.me,
             to,
-            life: self.life.to_le_bytes(),
+            incarnation: self.incarnation.to_le_bytes(),
             view,
             lineage: lineage.to_le_bytes(),
-            rooted,
+            is_primary,
         };
         if let Some(bytes) = (Datagram { head, body }).encode() {
             self.spoken.insert(to, now);
@@ -244,13 +247,13 @@
         let mut words: VecDeque<To> = words.into();
         while let Some(word) = words.pop_front() {
             match word {
-                To::One(seat, body) if seat == self.me => {
+                To::One(member, body) if member == self.me => {
                     let watch = &self.watch;
                     if let Some(council) = &mut self.council {
-                        words.extend(council.hear(now, seat, body, |s| watch.vouches(now, s)));
+                        words.extend(council.hear(now, member, body, |s| watch.vouches(now, s)));
                     }
                 }
-                To::One(seat, body) => self.send(now, seat, body),
+                To::One(member, body) => self.send(now, member, body),
                 To::All(body) => self.tell_council(now, &body),
                 To::Decided(cut) => return self.decided(now, cut),
             }
@@ -262,15 +265,15 @@
         let Some(view) = self.view.clone() else { return };
         let number = view.number;
         self.view = Some(view.next(&cut, self.roster.len()));
-        self.tell_council(now, &Body::Change(number, cut.clone()));
+        self.tell_council(now, &Body::ViewChange(number, cut.clone()));
         self.view = Some(view);
         self.step(now, &cut);
     }
 
     fn tell_council(&mut self, now: Nanos, body: &Body) {
-        for seat in self.council_seats.clone() {
-            if seat != self.me {
-                self.send(now, seat, body.clone());
+        for member in self.council_members.clone() {
+            if member != self.me {
+                self.send(now, member, body.clone());
             }
         }
     }
@@ -287,11 +290,11 @@
     }
 
     fn adopt(&mut self, now: Nanos, view: View) {
-        if !view.holds(self.me, self.life) {
+        if !view.contains(self.me, self.incarnation) {
             self.leave(now);
             return;
         }
-        let changed: Vec<Seat> = match &self.view {
+        let changed: Vec<MemberId> = match &self.view {
             Some(old) => {
                 view.members.iter().filter(|(s, l)| old.members.get(s) != Some(l)).map(|(s, _)| *s).collect()
             }
@@ -306,25 +309,25 @@
         self.observers = observers.get(&self.me).into_iter().flatten().copied().collect();
         let mine = observers.iter().filter(|(_, by)| by.contains(&self.me)).map(|(s, _)| *s).collect();
         self.watch.over(mine, |s| view.members.contains_key(&s));
-        self.council_seats = view.council();
-        let seats = self.council_seats.clone();
+        self.council_members = view.council();
+        let seats = self.council_members.clone();
         self.council = seats.contains(&self.me).then(|| Council::new(self.me, &view, seats, observers));
         (self.fetch, self.sponsor, self.pinged) = (None, None, None);
         self.replaced.clear();
         self.accused = (0, Vec::new());
         self.view = Some(view.clone());
-        self.out.push(Output::View(view));
+        self.out.push(Output::ViewChanged(view));
         // Some hear of it at once, and tell others by their beats.
-        let others: Vec<Seat> = self.some_members(HELPERS, self.me);
-        others.into_iter().for_each(|s| self.send(now, s, Body::Beat));
+        let others: Vec<MemberId> = self.some_members(HELPERS, self.me);
+        others.into_iter().for_each(|s| self.send(now, s, Body::Heartbeat));
     }
 
-    /// Out of its view, it comes back as another life.
+    /// Out of its view, it comes back as another incarnation.
     fn leave(&mut self, now: Nanos) {
-        self.life = self.random.next_u32();
+        self.incarnation = self.random.next_u32();
         self.view = None;
         self.council = None;
-        self.council_seats.clear();
+        self.council_members.clear();
         self.observers.clear();
         self.watch.over(BTreeSet::new(), |_| false);
         self.lease = Lease::default();
@@ -333,12 +336,12 @@
         self.accused = (now, Vec::new());
         self.fetch = None;
         self.founding = Founding::new(now, usize::from(self.me));
-        self.out.push(Output::Out);
+        self.out.push(Output::Removed);
     }
 
-    fn some_members(&mut self, count: usize, but: Seat) -> Vec<Seat> {
+    fn some_members(&mut self, count: usize, but: MemberId) -> Vec<MemberId> {
         let Some(view) = &self.view else { return Vec::new() };
-        let mut seats: Vec<Seat> =
+        let mut seats: Vec<MemberId> =
             view.members.keys().copied().filter(|s| *s != self.me && *s != but).collect();
         for k in 0..count.min(seats.len()) {
             let other = k + self.random.next_u32() as usize % (seats.len() - k);
@@ -349,15 +352,15 @@
     }
 
     /// Whether something may be said to a seat again, after so long.
-    fn due(times: &mut BTreeMap<Seat, Nanos>, now: Nanos, seat: Seat, every: Nanos) -> bool {
-        let due = times.get(&seat).is_none_or(|at| now.saturating_sub(*at) >= every);
+    fn due(times: &mut BTreeMap<MemberId, Nanos>, now: Nanos, member: MemberId, every: Nanos) -> bool {
+        let due = times.get(&member).is_none_or(|at| now.saturating_sub(*at) >= every);
         if due {
-            times.insert(seat, now);
+            times.insert(member, now);
         }
         due
     }
 
-    /// To be called each [`TICK`]. Gives what is to be done.
+    /// To be called each [`TICK_INTERVAL`]. Gives what is to be done.
     pub fn tick(&mut self, now: Nanos) -> Vec<Output> {
         if now.saturating_sub(self.cookies.0) >= COOKIE {
             self.cookies = (now, [self.random.next_u64(), self.cookies.1[0]]);
@@ -369,7 +372,7 @@
         }
         for subject in ask {
             let helpers = self.some_members(HELPERS, subject);
-            helpers.into_iter().for_each(|h| self.send(now, h, Body::Ask(subject)));
+            helpers.into_iter().for_each(|h| self.send(now, h, Body::ProbeRequest(subject)));
         }
         self.accuse(now);
         self.ping(now);
@@ -383,31 +386,36 @@
         std::mem::take(&mut self.out)
     }
 
-    /// Whoever watches this member hears of it each [`BEAT`].
+    /// Whoever watches this member hears of it each [`HEARTBEAT_INTERVAL`].
     fn beat(&mut self, now: Nanos) {
-        for seat in self.observers.clone() {
-            if self.spoken.get(&seat).is_none_or(|at| now.saturating_sub(*at) + TICK / 2 >= BEAT) {
-                self.send(now, seat, Body::Beat);
+        for member in self.observers.clone() {
+            if self
+                .spoken
+                .get(&member)
+                .is_none_or(|at| now.saturating_sub(*at) + TICK_INTERVAL / 2 >= HEARTBEAT_INTERVAL)
+            {
+                self.send(now, member, Body::Heartbeat);
             }
         }
     }
 
     fn call_out(&mut self, now: Nanos) {
-        if now.saturating_sub(self.called_out) < CALL_OUT || self.attached(now) {
+        if now.saturating_sub(self.called_out) < CALL_OUT || self.holds_lease(now) {
             return;
         }
         self.called_out = now;
         let Some(view) = &self.view else { return };
-        let mut outside: Vec<Seat> = self.roster.seats().filter(|s| !view.members.contains_key(s)).collect();
+        let mut outside: Vec<MemberId> =
+            self.roster.ids().filter(|s| !view.members.contains_key(s)).collect();
         for _ in 0..HELPERS.min(outside.len()) {
-            let seat = outside.swap_remove(self.random.next_u32() as usize % outside.len());
-            self.send(now, seat, Body::Beat);
+            let member = outside.swap_remove(self.random.next_u32() as usize % outside.len());
+            self.send(now, member, Body::Heartbeat);
         }
     }
 
     fn accuse(&mut self, now: Nanos) {
         let mut accused = self.watch.accused(now);
-        accused.truncate(ACCUSED);
+        accused.truncate(MAX_SUSPECTS);
         let again = now.saturating_sub(self.accused.0) >= ACCUSE_EVERY;
         if accused == self.accused.1 && (accused.is_empty() || !again) {
             return;
@@ -416,7 +424,7 @@
         if let Some(council) = &mut self.council {
             council.accuse(now, self.me, accused.clone());
         }
-        self.tell_council(now, &Body::Accuse(accused));
+        self.tell_council(now, &Body::Suspect(accused));
     }
 
     fn ping(&mut self, now: Nanos) {
@@ -424,39 +432,39 @@
             self.lease.renew(now, self.me, council.seats());
         }
         let every = if self.council.is_some() { PING_ALL } else { PING };
-        if self.pinged.is_some_and(|at| now.saturating_sub(at) + TICK / 2 < every) {
+        if self.pinged.is_some_and(|at| now.saturating_sub(at) + TICK_INTERVAL / 2 < every) {
             return;
         }
         self.pinged = Some(now);
-        let others: Vec<Seat> = self.council_seats.iter().copied().filter(|s| *s != self.me).collect();
+        let others: Vec<MemberId> = self.council_members.iter().copied().filter(|s| *s != self.me).collect();
         if self.council.is_some() {
-            others.into_iter().for_each(|s| self.send(now, s, Body::Ping(now)));
+            others.into_iter().for_each(|s| self.send(now, s, Body::LeaseRequest(now)));
         } else if !others.is_empty() {
             let one = others[self.random.next_u32() as usize % others.len()];
-            self.send(now, one, Body::Ping(now));
+            self.send(now, one, Body::LeaseRequest(now));
         }
     }
 
     fn look_for_a_view(&mut self, now: Nanos) {
-        let me = (self.me, self.life);
+        let me = (self.me, self.incarnation);
         let roster = self.roster.len();
         if roster == 1 {
-            return self.adopt(now, View::found(BTreeMap::from([me]), 1));
+            return self.adopt(now, View::bootstrap(BTreeMap::from([me]), 1));
         }
         let sponsor = self.sponsor.filter(|(_, at)| now.saturating_sub(*at) < SPONSORS).map(|(s, _)| s);
         let mut calls = self.founding.calls(now, self.me, roster);
         if !calls.is_empty() {
             calls.extend(sponsor.filter(|s| !calls.contains(s)));
         }
-        for seat in calls {
-            let cookie = self.given.get(&seat).copied().unwrap_or(0);
-            self.send(now, seat, Body::Join(cookie));
+        for member in calls {
+            let cookie = self.given.get(&member).copied().unwrap_or(0);
+            self.send(now, member, Body::Join(cookie));
         }
         if sponsor.is_none() {
             if let Some((seats, digest)) = self.founding.ask(now, me, roster) {
-                for seat in seats {
-                    if Self::due(&mut self.asked, now, seat, TELL) {
-                        self.send(now, seat, Body::Found(digest));
+                for member in seats {
+                    if Self::due(&mut self.asked, now, member, TELL) {
+                        self.send(now, member, Body::BootstrapProposal(digest));
                     }
                 }
             }
@@ -464,11 +472,11 @@
     }
 
     /// Takes a datagram that came from that seat's address. Gives what is to be done.
-    pub fn receive(&mut self, now: Nanos, at: Seat, bytes: &[u8]) -> Vec<Output> {
+    pub fn receive(&mut self, now: Nanos, at: MemberId, bytes: &[u8]) -> Vec<Output> {
         // A word of another version can be told by its first byte.
         match (Datagram::decode(bytes), bytes.first()) {
             (_, Some(version)) if *version != VERSION => {
-                self.out.push(Output::Refused(at, Reason::Version(*version)));
+                self.out.push(Output::Rejected(at, RejectReason::Version(*version)));
             }
             (Some(datagram), _) => self.take(now, at, datagram),
             _ => {}
@@ -476,43 +484,44 @@
         std::mem::take(&mut self.out)
     }
 
-    fn take(&mut self, now: Nanos, at: Seat, Datagram { head, body }: Datagram) {
+    fn take(&mut self, now: Nanos, at: MemberId, Datagram { head, body }: Datagram) {
         let wrong = [
-            (head.site != self.site.to_le_bytes(), Reason::Site),
-            (head.roster != self.tag.to_le_bytes(), Reason::Roster),
-            (head.from != at || head.to != self.me, Reason::Name),
+            (head.site != self.site.to_le_bytes(), RejectReason::OtherSite),
+            (head.roster != self.tag.to_le_bytes(), RejectReason::OtherRoster),
+            (head.from != at || head.to != self.me, RejectReason::AddressMismatch),
         ];
         if let Some((_, reason)) = wrong.into_iter().find(|(is, _)| *is) {
-            return self.out.push(Output::Refused(at, reason));
+            return self.out.push(Output::Rejected(at, reason));
         }
         if at == self.me {
             return;
         }
-        let life = Life::from_le_bytes(head.life);
-        match self.view.as_ref().map(|v| (v.number, v.lineage, v.rooted, v.holds(at, life))) {
+        let incarnation = Incarnation::from_le_bytes(head.incarnation);
+        match self.view.as_ref().map(|v| (v.number, v.lineage, v.is_primary, v.contains(at, incarnation))) {
             None => self.take_outside(now, at, &head, body),
-            Some((number, lineage, rooted, holds)) => {
+            Some((number, lineage, is_primary, holds)) => {
                 if head.view != 0 && head.lineage() != lineage {
                     // Two that were founded apart: one whose view is in force never gives way.
-                    if !self.attached(now) && (head.rooted || !rooted && head.lineage() > lineage) {
+                    if !self.holds_lease(now) && (head.is_primary || !is_primary && head.lineage() > lineage)
+                    {
                         self.leave(now);
                         self.sponsor = Some((at, now));
                     } else if Self::due(&mut self.told, now, at, TELL) {
-                        self.send(now, at, Body::Beat);
+                        self.send(now, at, Body::Heartbeat);
                     }
                     return;
                 }
-                self.take_inside(now, at, life, &head, body, (number, holds));
+                self.take_inside(now, at, incarnation, &head, body, (number, holds));
             }
         }
     }
 
-    fn take_outside(&mut self, now: Nanos, at: Seat, head: &Head, body: Body) {
-        let life = Life::from_le_bytes(head.life);
-        let me = (self.me, self.life);
+    fn take_outside(&mut self, now: Nanos, at: MemberId, head: &Head, body: Body) {
+        let incarnation = Incarnation::from_le_bytes(head.incarnation);
+        let me = (self.me, self.incarnation);
         let roster = self.roster.len();
         if head.view == 0 {
-            self.founding.hear(now, at, life);
+            self.founding.hear(now, at, incarnation);
             self.sponsor = self.sponsor.filter(|(s, _)| *s != at);
         } else {
             self.founding.gone(at);
@@ -523,18 +532,20 @@
                 self.given.insert(at, cookie);
                 self.send(now, at, Body::Join(cookie));
             }
-            Body::Found(digest) if head.view == 0 && self.founding.agrees(now, me, roster, at, digest) => {
-                self.send(now, at, Body::Founded(digest));
+            Body::BootstrapProposal(digest)
+                if head.view == 0 && self.founding.agrees(now, me, roster, at, digest) =>
+            {
+                self.send(now, at, Body::BootstrapAccept(digest));
             }
-            Body::Founded(digest) if head.view == 0 => {
+            Body::BootstrapAccept(digest) if head.view == 0 => {
                 if let Some(founders) = self.founding.agreed(now, me, roster, at, digest) {
-                    self.adopt(now, View::found(founders, roster));
+                    self.adopt(now, View::bootstrap(founders, roster));
                 }
             }
-            Body::Piece(..) => self.take_piece(now, at, head, body),
+            Body::ViewChunk(..) => self.take_piece(now, at, head, body),
             _ if head.view != 0 && Self::due(&mut self.asked, now, at, TELL) => {
                 let from = self.fetched((head.view, head.lineage()));
-                self.send(now, at, Body::Want(from));
+                self.send(now, at, Body::ViewRequest(from));
             }
             _ => {}
         }
@@ -548,8 +559,8 @@
     fn take_inside(
         &mut self,
         now: Nanos,
-        at: Seat,
-        life: Life,
+        at: MemberId,
+        incarnation: Incarnation,
         head: &Head,
         body: Body,
         (number, holds): (u64, bool),
@@ -558,12 +569,12 @@
             self.watch.hear(now, at);
         }
         if head.view > number {
-            if matches!(body, Body::Change(..) | Body::Piece(..)) {
+            if matches!(body, Body::ViewChange(..) | Body::ViewChunk(..)) {
                 return self.catch_up(now, at, head, body);
             }
             if Self::due(&mut self.asked, now, at, TELL) {
                 let from = self.fetched((head.view, head.lineage()));
-                self.send(now, at, Body::Want(from));
+                self.send(now, at, Body::ViewRequest(from));
             }
             return;
         }
@@ -571,8 +582,8 @@
             return self.leave(now);
         }
         match body {
-            Body::Want(from) => return self.give(now, at, head.view, from),
-            Body::Join(cookie) if !holds => return self.join(now, at, life, cookie),
+            Body::ViewRequest(from) => return self.give(now, at, head.view, from),
+            Body::Join(cookie) if !holds => return self.join(now, at, incarnation, cookie),
             _ => {}
         }
         if head.view < number {
@@ -580,52 +591,56 @@
                 return;
             }
             if !holds {
-                self.out.push(Output::Refused(at, Reason::Life));
+                self.out.push(Output::Rejected(at, RejectReason::Incarnation));
             }
             if Self::due(&mut self.told, now, at, TELL) {
-                self.send(now, at, Body::Beat);
+                self.send(now, at, Body::Heartbeat);
             }
             // What a member says of others counts in its own view only.
-            if !matches!(body, Body::Probe(_) | Body::Alive(_)) {
+            if !matches!(body, Body::Probe(_) | Body::ProbeAck(_)) {
                 return;
             }
         }
         if holds {
-            self.take_as_member(now, at, life, body);
+            self.take_as_member(now, at, incarnation, body);
         }
     }
 
-    /// Another life speaks from a seat: whether with it so many of the council are gone that this view can never end.
-    fn dead_view(&mut self, at: Seat) -> bool {
-        if self.council_seats.contains(&at) {
+    /// Another incarnation speaks from a seat: whether with it so many of the council are gone that this view can never end.
+    fn dead_view(&mut self, at: MemberId) -> bool {
+        if self.council_members.contains(&at) {
             self.replaced.insert(at);
         }
-        !quorum(&self.council_seats, |s| !self.replaced.contains(&s))
+        !quorum(&self.council_members, |s| !self.replaced.contains(&s))
     }
 
-    fn take_as_member(&mut self, now: Nanos, at: Seat, life: Life, body: Body) {
+    fn take_as_member(&mut self, now: Nanos, at: MemberId, incarnation: Incarnation, body: Body) {
         match body {
-            Body::Ask(subject) => self.send(now, subject, Body::Probe(at)),
-            Body::Probe(asker) => self.send(now, at, Body::Alive(asker)),
-            Body::Alive(asker) => self.send(now, asker, Body::Seen(at, life.to_le_bytes())),
-            Body::Seen(seat, life) => {
-                if self.view.as_ref().is_some_and(|v| v.holds(seat, Life::from_le_bytes(life))) {
-                    self.watch.hear_of(seat);
+            Body::ProbeRequest(subject) => self.send(now, subject, Body::Probe(at)),
+            Body::Probe(asker) => self.send(now, at, Body::ProbeAck(asker)),
+            Body::ProbeAck(asker) => self.send(now, asker, Body::ProbeResult(at, incarnation.to_le_bytes())),
+            Body::ProbeResult(member, incarnation) => {
+                if self
+                    .view
+                    .as_ref()
+                    .is_some_and(|v| v.contains(member, Incarnation::from_le_bytes(incarnation)))
+                {
+                    self.watch.hear_of(member);
                 }
             }
-            Body::Accuse(accused) => {
+            Body::Suspect(accused) => {
                 if let Some(council) = &mut self.council {
                     council.accuse(now, at, accused);
                 }
             }
-            Body::Joiner(seat, life) => {
+            Body::ForwardedJoin(member, incarnation) => {
                 if let Some(council) = &mut self.council {
-                    council.join(now, seat, Life::from_le_bytes(life));
+                    council.join(now, member, Incarnation::from_le_bytes(incarnation));
                 }
             }
-            Body::Ping(asked) => self.pong(now, at, asked),
-            Body::Pong(asked, age) => {
-                // A stamp from before this life is none of its own.
+            Body::LeaseRequest(asked) => self.pong(now, at, asked),
+            Body::LeaseReply(asked, age) => {
+                // A stamp from before this incarnation is none of its own.
                 if asked <= now {
                     self.lease.confirmed(at, asked);
                     if age != u32::MAX && self.council.is_none() {
@@ -643,7 +658,7 @@
     }
 
     /// The council's word that the view is in force, where it is; to one of the council, that this one thinks so.
-    fn pong(&mut self, now: Nanos, at: Seat, asked: Nanos) {
+    fn pong(&mut self, now: Nanos, at: MemberId, asked: Nanos) {
         let Some(council) = &self.council else { return };
         if !council.in_force() {
             return;
@@ -651,13 +666,13 @@
         let age = self.lease.age(now).and_then(|age| u32::try_from(age.div_ceil(MS)).ok());
         let to_council = council.seats().contains(&at);
         match age {
-            Some(age) => self.send(now, at, Body::Pong(asked, age)),
-            None if to_council => self.send(now, at, Body::Pong(asked, u32::MAX)),
+            Some(age) => self.send(now, at, Body::LeaseReply(asked, age)),
+            None if to_council => self.send(now, at, Body::LeaseReply(asked, u32::MAX)),
             None => {}
         }
     }
 
-    fn join(&mut self, now: Nanos, at: Seat, life: Life, cookie: u64) {
+    fn join(&mut self, now: Nanos, at: MemberId, incarnation: Incarnation, cookie: u64) {
         if !self.cookies.1.contains(&cookie) {
             let cookie = self.cookies.1[0];
             return self.send(now, at, Body::Challenge(cookie));
@@ -666,41 +681,41 @@
             return;
         }
         if let Some(council) = &mut self.council {
-            council.join(now, at, life);
+            council.join(now, at, incarnation);
         }
-        self.tell_council(now, &Body::Joiner(at, life.to_le_bytes()));
+        self.tell_council(now, &Body::ForwardedJoin(at, incarnation.to_le_bytes()));
     }
 
     /// What leads from that view to this one's, or a piece of this one's.
-    fn give(&mut self, now: Nanos, at: Seat, theirs: u64, from: u16) {
+    fn give(&mut self, now: Nanos, at: MemberId, theirs: u64, from: u16) {
         if let Some((_, cut)) = self.cuts.iter().find(|(number, _)| *number == theirs && from == 0) {
             let cut = cut.clone();
-            return self.send(now, at, Body::Change(theirs, cut));
+            return self.send(now, at, Body::ViewChange(theirs, cut));
         }
         let Some(view) = &self.view else { return };
-        let members = view.members.iter().skip(usize::from(from)).take(PIECE);
-        let piece = members.map(|(seat, life)| (*seat, life.to_le_bytes())).collect();
+        let members = view.members.iter().skip(usize::from(from)).take(CHUNK_MEMBERS);
+        let piece = members.map(|(member, incarnation)| (*member, incarnation.to_le_bytes())).collect();
         let total = view.members.len() as u16;
-        self.send(now, at, Body::Piece(from, total, piece));
+        self.send(now, at, Body::ViewChunk(from, total, piece));
     }
 
-    fn catch_up(&mut self, now: Nanos, at: Seat, head: &Head, body: Body) {
+    fn catch_up(&mut self, now: Nanos, at: MemberId, head: &Head, body: Body) {
         match body {
-            Body::Change(base, cut) => {
+            Body::ViewChange(base, cut) => {
                 if self.view.as_ref().is_none_or(|v| v.number != base) {
                     return;
                 }
                 self.step(now, &cut);
                 if self.view.as_ref().is_some_and(|v| v.number < head.view) {
-                    self.send(now, at, Body::Want(0));
+                    self.send(now, at, Body::ViewRequest(0));
                 }
             }
             body => self.take_piece(now, at, head, body),
         }
     }
 
-    fn take_piece(&mut self, now: Nanos, at: Seat, head: &Head, body: Body) {
-        let Body::Piece(from, total, members) = body else { return };
+    fn take_piece(&mut self, now: Nanos, at: MemberId, head: &Head, body: Body) {
+        let Body::ViewChunk(from, total, members) = body else { return };
         let view = (head.view, head.lineage());
         if head.view == 0 || usize::from(total) > self.roster.len() {
             return;
@@ -710,21 +725,23 @@
             if !newer || from != 0 {
                 return;
             }
-            let (rooted, total) = (head.rooted, usize::from(total));
-            self.fetch = Some(Fetch { view, rooted, total, members: BTreeMap::new() });
+            let (is_primary, total) = (head.is_primary, usize::from(total));
+            self.fetch = Some(Fetch { view, is_primary, total, members: BTreeMap::new() });
         }
         let Some(fetch) = &mut self.fetch else { return };
         if usize::from(from) != fetch.members.len() {
             return;
         }
-        fetch.members.extend(members.iter().map(|(s, l)| (*s, Life::from_le_bytes(*l))));
+        fetch.members.extend(members.iter().map(|(s, l)| (*s, Incarnation::from_le_bytes(*l))));
         if fetch.members.len() < fetch.total {
             let next = fetch.members.len() as u16;
-            return self.send(now, at, Body::Want(next));
+            return self.send(now, at, Body::ViewRequest(next));
         }
-        let Some(Fetch { view: (number, lineage), rooted, members, .. }) = self.fetch.take() else { return };
-        let view = View { number, lineage, rooted, members };
-        if view.holds(self.me, self.life) || self.view.is_some() {
+        let Some(Fetch { view: (number, lineage), is_primary, members, .. }) = self.fetch.take() else {
+            return;
+        };
+        let view = View { number, lineage, is_primary, members };
+        if view.contains(self.me, self.incarnation) || self.view.is_some() {
             self.adopt(now, view);
         }
     }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,16 +1,16 @@
-//! Datagrams: postcard, at most [`MOST`] bytes.
+//! Datagrams: postcard, at most [`MAX_DATAGRAM_BYTES`] bytes.
 
-use crate::view::{Cut, Seat, Seats};
+use crate::view::{Cut, MemberId, MemberSet};
 use serde::{Deserialize, Serialize};
 
 /// Bytes of a datagram at most, without what a carrier adds to tell that it is from one of us.
-pub const MOST: usize = 236;
+pub const MAX_DATAGRAM_BYTES: usize = 236;
 /// Raised when a program could not understand one of another version.
 pub const VERSION: u8 = 1;
 /// Members in one piece of a view.
-pub const PIECE: usize = 25;
+pub const CHUNK_MEMBERS: usize = 25;
 /// Subjects in one accusation.
-pub const ACCUSED: usize = 32;
+pub const MAX_SUSPECTS: usize = 32;
 
 /// What stands in every datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -22,17 +22,17 @@
     /// The roster.
     pub roster: [u8; 2],
     /// The sender's seat.
-    pub from: Seat,
+    pub from: MemberId,
     /// Whom it is for.
-    pub to: Seat,
-    /// Its life.
-    pub life: [u8; 4],
+    pub to: MemberId,
+    /// Its incarnation.
+    pub incarnation: [u8; 4],
     /// The sender's view and its lineage; 0 where it is in none.
     pub view: u64,
     /// As above.
     pub lineage: [u8; 2],
-    /// The sender's view is rooted.
-    pub rooted: bool,
+    /// The sender's view is is_primary.
+    pub is_primary: bool,
 }
 
 impl Head {
@@ -45,51 +45,51 @@
 /// What a council has accepted before: the ballot and the cut.
 pub type Accepted = Option<(u32, Cut)>;
 
-/// What is said.
+/// A message from one member to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// I am there, and this is my view.
-    Beat,
-    /// Is this one there? I do not hear it.
-    Ask(Seat),
-    /// Are you there? This one asks.
-    Probe(Seat),
-    /// I am, for this one who asks.
-    Alive(Seat),
-    /// It is, with this life.
-    Seen(Seat, [u8; 4]),
-    /// All that I watch and do not hear.
-    Accuse(Vec<Seat>),
-    /// Is my view in force? With the sender's time.
-    Ping(u64),
-    /// It is, and was so for sure this many milliseconds ago.
-    Pong(u64, u32),
-    /// I am in no view; with the cookie of the one that is asked, if it has given one.
+    /// The sender is alive; the head carries its view.
+    Heartbeat,
+    /// Asks the receiver to probe this member, which the sender has not heard from.
+    ProbeRequest(MemberId),
+    /// Asks for a [`Body::ProbeAck`] on behalf of this member.
+    Probe(MemberId),
+    /// Answers a probe that was sent on behalf of this member.
+    ProbeAck(MemberId),
+    /// The probed member answered, with this incarnation.
+    ProbeResult(MemberId, [u8; 4]),
+    /// All members that the sender observes and suspects.
+    Suspect(Vec<MemberId>),
+    /// Asks whether the view is in force, with the sender's clock.
+    LeaseRequest(u64),
+    /// Echoes the request's clock; the view was confirmed by a majority this many milliseconds ago.
+    LeaseReply(u64, u32),
+    /// The sender is in no view; with the cookie that the receiver gave it, or 0.
     Join(u64),
-    /// Say it again with this, so that I know that you are there now.
+    /// Asks the sender to repeat its join with this cookie, which proves that the join is not an old datagram.
     Challenge(u64),
-    /// This life would like this seat, and is there.
-    Joiner(Seat, [u8; 4]),
-    /// Promise to take nothing below this ballot.
+    /// Passes on to the council that this incarnation asks to join under this ID.
+    ForwardedJoin(MemberId, [u8; 4]),
+    /// Paxos phase 1a: asks for a promise to accept nothing below this ballot.
     Prepare(u32),
-    /// Promised; with what was accepted before, and whom I have heard just now.
-    Promise(u32, Accepted, Seats),
-    /// Accept this; bound by what was accepted before.
+    /// Paxos phase 1b: the ballot, what was accepted before, and the members heard recently.
+    Promise(u32, Accepted, MemberSet),
+    /// Paxos phase 2a: the ballot and the cut, and whether an earlier acceptance dictates the cut.
     Accept(u32, Cut, bool),
-    /// Accepted.
+    /// Paxos phase 2b.
     Accepted(u32),
-    /// There is a higher ballot.
-    Refuse(u32),
-    /// Give me what comes after my view, or your view from this member on.
-    Want(u16),
-    /// What led from the view with this number to the next.
-    Change(u64, Cut),
-    /// Members of my view from this one on, of so many.
-    Piece(u16, u16, Vec<(Seat, [u8; 4])>),
-    /// Let all of us with these lives (a digest) found the first view.
-    Found(u64),
-    /// So be it.
-    Founded(u64),
+    /// A higher ballot was promised.
+    Nack(u32),
+    /// Asks for the change that follows the sender's view, or for the receiver's view from this member on.
+    ViewRequest(u16),
+    /// The cut that led from the view with this number to the next.
+    ViewChange(u64, Cut),
+    /// Members of the sender's view: the index of the first, the view's total, and the members.
+    ViewChunk(u16, u16, Vec<(MemberId, [u8; 4])>),
+    /// Proposes to form the first view from the members and incarnations with this digest.
+    BootstrapProposal(u64),
+    /// Accepts the proposal with this digest.
+    BootstrapAccept(u64),
 }
 
 /// A datagram.
@@ -115,10 +115,10 @@
 
 /// Something as a datagram's bytes; `None` where it would be too long.
 pub fn encode<T: Serialize>(datagram: &T) -> Option<Vec<u8>> {
-    postcard::to_allocvec(datagram).ok().filter(|bytes| bytes.len() <= MOST)
+    postcard::to_allocvec(datagram).ok().filter(|bytes| bytes.len() <= MAX_DATAGRAM_BYTES)
 }
 
 /// What a datagram's bytes say; `None` where they are too long, or nothing of the kind.
 pub fn decode<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Option<T> {
-    (bytes.len() <= MOST).then(|| postcard::from_bytes(bytes).ok()).flatten()
+    (bytes.len() <= MAX_DATAGRAM_BYTES).then(|| postcard::from_bytes(bytes).ok()).flatten()
 }
--- a/crates/node/src/fleet/history.rs
+++ b/crates/node/src/fleet/history.rs
@@ -34,8 +34,8 @@
         let at = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |t| t.as_micros() as u64);
         let mut fields = serde_json::Map::new();
         fields.insert("at".to_owned(), at.into());
-        fields.insert("seat".to_owned(), machine.seat().into());
-        fields.insert("life".to_owned(), machine.life().into());
+        fields.insert("seat".to_owned(), machine.id().into());
+        fields.insert("life".to_owned(), machine.incarnation().into());
         fields.insert("what".to_owned(), what.into());
         fields
     }
@@ -52,7 +52,7 @@
         let mut line = Self::header(machine, "view");
         line.insert("number".to_owned(), view.number.into());
         line.insert("lineage".to_owned(), view.lineage.into());
-        line.insert("rooted".to_owned(), view.rooted.into());
+        line.insert("rooted".to_owned(), view.is_primary.into());
         let members: Vec<_> =
             view.members.iter().map(|(seat, life)| serde_json::json!([seat, life])).collect();
         line.insert("members".to_owned(), members.into());
--- a/crates/node/src/fleet/learned_state.rs
+++ b/crates/node/src/fleet/learned_state.rs
@@ -2,8 +2,8 @@
 //! one.
 
 use laurelroute_policy::interface::{Endpoint, LearnedServer, LearnedState};
-use laurelroute_replica::lesson::MOST_SERVERS;
-use laurelroute_replica::{Lesson, Row, Usual};
+use laurelroute_replica::snapshot::MAX_SERVERS;
+use laurelroute_replica::{FleetAverages, LearnedSnapshot, ServerRow};
 
 /// Units of the fixed-point form: sixteenths of a request, thousandths of a ratio, and `u16::MAX` for a fraction of 1.
 const SIXTEENTHS: f64 = 16.0;
@@ -16,45 +16,45 @@
 }
 
 /// Encodes learned state for a member that requests it.
-pub(super) fn encode(number: u32, learned: &LearnedState) -> Lesson {
-    let row = |known: &LearnedServer| Row {
+pub(super) fn encode(number: u32, learned: &LearnedState) -> LearnedSnapshot {
+    let row = |known: &LearnedServer| ServerRow {
         address: known.server.address,
         port: known.server.port,
-        accomplished: (known.score * SIXTEENTHS).round().clamp(0.0, f64::from(u32::MAX)) as u32,
-        lag: to_fixed(known.relative_latency, THOUSANDTHS),
-        faults: to_fixed(known.failure_rate, FULL_SCALE),
+        score: (known.score * SIXTEENTHS).round().clamp(0.0, f64::from(u32::MAX)) as u32,
+        relative_latency: to_fixed(known.relative_latency, THOUSANDTHS),
+        failure_rate: to_fixed(known.failure_rate, FULL_SCALE),
     };
     let class =
         |(typical, answers): &(u64, u32)| (u32::try_from(typical / 1_000).unwrap_or(u32::MAX), *answers);
-    Lesson {
+    LearnedSnapshot {
         number,
-        usual: Usual {
-            pressure: to_fixed(learned.slowdown, THOUSANDTHS),
-            faults: to_fixed(learned.failure_rate, FULL_SCALE),
+        averages: FleetAverages {
+            slowdown: to_fixed(learned.slowdown, THOUSANDTHS),
+            failure_rate: to_fixed(learned.failure_rate, FULL_SCALE),
             classes: learned.classes.iter().map(class).collect(),
         },
-        rows: learned.servers.iter().take(MOST_SERVERS).map(row).collect(),
+        rows: learned.servers.iter().take(MAX_SERVERS).map(row).collect(),
     }
 }
 
 /// Decodes learned state received from another member; `rate` is the request rate that this node observes itself.
-pub(super) fn decode(rate: f64, message: &Lesson) -> LearnedState {
-    let known = |row: &Row| LearnedServer {
+pub(super) fn decode(rate: f64, message: &LearnedSnapshot) -> LearnedState {
+    let known = |row: &ServerRow| LearnedServer {
         server: Endpoint { address: row.address, port: row.port },
-        score: f64::from(row.accomplished) / SIXTEENTHS,
-        relative_latency: f64::from(row.lag) / THOUSANDTHS,
-        failure_rate: f64::from(row.faults) / FULL_SCALE,
+        score: f64::from(row.score) / SIXTEENTHS,
+        relative_latency: f64::from(row.relative_latency) / THOUSANDTHS,
+        failure_rate: f64::from(row.failure_rate) / FULL_SCALE,
     };
     LearnedState {
         rate,
         classes: message
-            .usual
+            .averages
             .classes
             .iter()
             .map(|(us, answers)| (u64::from(*us) * 1_000, *answers))
             .collect(),
-        slowdown: f64::from(message.usual.pressure) / THOUSANDTHS,
-        failure_rate: f64::from(message.usual.faults) / FULL_SCALE,
+        slowdown: f64::from(message.averages.slowdown) / THOUSANDTHS,
+        failure_rate: f64::from(message.averages.failure_rate) / FULL_SCALE,
         servers: message.rows.iter().map(known).collect(),
     }
 }
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -12,7 +12,7 @@
 use history::History;
 use laurelroute_core::gateway::Gateway;
 use laurelroute_core::retry_io::retry_interrupted;
-use laurelroute_membership::{Machine, Nanos, Output, Reason, Seat, View, MS, TICK};
+use laurelroute_membership::{Machine, MemberId, Nanos, Output, RejectReason, View, MS, TICK_INTERVAL};
 use replica::LocalReplica;
 use ring::hmac;
 use std::cell::{Cell, RefCell};
@@ -59,13 +59,13 @@
     waiting_for_port: Cell<bool>,
     history: RefCell<Option<History>>,
     /// When the refusal of a seat for a reason was last logged.
-    refused: RefCell<BTreeMap<(Seat, Reason), Nanos>>,
+    refused: RefCell<BTreeMap<(MemberId, RejectReason), Nanos>>,
     /// The current view and when it was installed, for operators.
     current_view: RefCell<(Option<View>, Nanos)>,
     /// The last share of the fleet-wide limits passed to the gateway.
     share: RefCell<f64>,
     /// The last accusations recorded in the history.
-    accused: RefCell<Vec<Seat>>,
+    accused: RefCell<Vec<MemberId>>,
 }
 
 /// Joins the fleet configured in the operator's file.
@@ -84,8 +84,12 @@
     let history = config.history.as_deref().map(History::open).transpose().map_err(FleetError::History)?;
     let machine =
         Machine::new(&config.site, config.roster.clone(), config.own_seat, seed, gateway.clock.now());
-    let replica_machine =
-        laurelroute_replica::Machine::new(&config.site, &config.roster, config.own_seat, machine.life());
+    let replica_machine = laurelroute_replica::Machine::new(
+        &config.site,
+        &config.roster,
+        config.own_seat,
+        machine.incarnation(),
+    );
     #[cfg(feature = "planted")]
     let (machine, replica_machine) = planted(machine, replica_machine);
     let replica = LocalReplica::new(
@@ -142,19 +146,19 @@
         };
         if !self.waiting_for_port.replace(false) {
             // No old process has handed over what this node had learned.
-            self.replica.machine.borrow_mut().learn();
+            self.replica.machine.borrow_mut().request_snapshot();
         }
         self.socket.replace(Some(socket.clone()));
         // The old process has ended and no longer writes the replica's file.
         self.restore_replica(&gateway);
-        let seats: BTreeMap<SocketAddr, Seat> = self
+        let seats: BTreeMap<SocketAddr, MemberId> = self
             .config
             .addresses
             .iter()
             .enumerate()
-            .map(|(seat, address)| (*address, seat as Seat))
+            .map(|(seat, address)| (*address, seat as MemberId))
             .collect();
-        let mut tick = tokio::time::interval(Duration::from_nanos(TICK));
+        let mut tick = tokio::time::interval(Duration::from_nanos(TICK_INTERVAL));
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
@@ -187,7 +191,7 @@
 
     /// Passes a datagram to the state machine that it is for: a replica datagram has the high bit of its first byte
     /// set.
-    fn receive(&self, gateway: &Rc<Gateway>, seat: Seat, body: &[u8]) {
+    fn receive(&self, gateway: &Rc<Gateway>, seat: MemberId, body: &[u8]) {
         let now = gateway.clock.now();
         if body.first().is_some_and(|version| version & 0x80 != 0) {
             let outputs = self.replica.machine.borrow_mut().receive(now, seat, body);
@@ -198,7 +202,7 @@
     }
 
     /// Sends a datagram, best effort: it is dropped where the socket has no room or the peer cannot be reached.
-    fn send(&self, to: Seat, bytes: Vec<u8>) {
+    fn send(&self, to: MemberId, bytes: Vec<u8>) {
         if let Some(socket) = &*self.socket.borrow() {
             let (sealed, address) = (self.seal(bytes), self.config.addresses[usize::from(to)]);
             let _ = retry_interrupted(|| socket.try_send_to(&sealed, address));
@@ -232,35 +236,36 @@
         for output in outputs {
             match output {
                 Output::Send(to, bytes) => self.send(to, bytes),
-                Output::View(view) => {
-                    let life = self.machine.borrow().life();
-                    let outputs = self.replica.machine.borrow_mut().view(now, &view, life);
+                Output::ViewChanged(view) => {
+                    let life = self.machine.borrow().incarnation();
+                    let outputs = self.replica.machine.borrow_mut().apply_view(now, &view, life);
                     self.install_view(now, view);
                     self.apply_replica_outputs(gateway, outputs);
                 }
-                Output::Out => {
+                Output::Removed => {
                     tracing::warn!("fleet: this member was removed from the view and asks to rejoin");
                     self.record("out", "");
                     self.replica.machine.borrow_mut().leave();
                     *self.current_view.borrow_mut() = (None, now);
                 }
-                Output::Refused(seat, reason) => self.log_refusal(now, seat, reason),
+                Output::Rejected(seat, reason) => self.log_refusal(now, seat, reason),
             }
         }
     }
 
     /// Records a new view and logs who joined and who was removed.
     fn install_view(&self, now: Nanos, view: View) {
-        let name = |seat: &Seat| self.config.roster.name(*seat).to_owned();
+        let name = |seat: &MemberId| self.config.roster.name(*seat).to_owned();
         let (previous, _) = self.current_view.replace((Some(view.clone()), now));
         let old = previous.map(|v| v.members).unwrap_or_default();
-        let missing_from = |members: &BTreeMap<Seat, u32>, other: &BTreeMap<Seat, u32>| -> Vec<String> {
-            members
-                .iter()
-                .filter(|(seat, life)| other.get(seat) != Some(life))
-                .map(|(seat, _)| name(seat))
-                .collect()
-        };
+        let missing_from =
+            |members: &BTreeMap<MemberId, u32>, other: &BTreeMap<MemberId, u32>| -> Vec<String> {
+                members
+                    .iter()
+                    .filter(|(seat, life)| other.get(seat) != Some(life))
+                    .map(|(seat, _)| name(seat))
+                    .collect()
+            };
         let (joined, removed) = (missing_from(&view.members, &old), missing_from(&old, &view.members));
         tracing::info!(
             "fleet: view {} with {} members; joined: {}; removed: {}",
@@ -275,7 +280,7 @@
     }
 
     /// Logs a refused datagram, at most once per [`REFUSAL_LOG_INTERVAL`] for the same seat and reason.
-    fn log_refusal(&self, now: Nanos, seat: Seat, reason: Reason) {
+    fn log_refusal(&self, now: Nanos, seat: MemberId, reason: RejectReason) {
         let mut refused = self.refused.borrow_mut();
         if refused.get(&(seat, reason)).is_some_and(|at| now.saturating_sub(*at) < REFUSAL_LOG_INTERVAL) {
             return;
@@ -300,9 +305,9 @@
 
     /// Records this member's accusations in the history whenever they change.
     fn record_accusations(&self) {
-        let accused = self.machine.borrow().accuses().to_vec();
+        let accused = self.machine.borrow().suspects().to_vec();
         if *self.accused.borrow() != accused {
-            let seats: Vec<String> = accused.iter().map(Seat::to_string).collect();
+            let seats: Vec<String> = accused.iter().map(MemberId::to_string).collect();
             self.record("accuse", &seats.join(","));
             self.accused.replace(accused);
         }
@@ -320,13 +325,13 @@
         let machine = self.machine.borrow();
         let roster = &self.config.roster;
         let (view, installed_at) = &*self.current_view.borrow();
-        let silent: BTreeMap<Seat, Nanos> = machine.silences().collect();
+        let silent: BTreeMap<MemberId, Nanos> = machine.silent_times().collect();
         let members: Vec<_> = roster
-            .seats()
+            .ids()
             .map(|seat| {
                 let life = view.as_ref().and_then(|v| v.members.get(&seat));
                 let accusers: BTreeSet<String> =
-                    machine.accusers_of(now, seat).iter().map(|s| roster.name(*s).to_owned()).collect();
+                    machine.suspected_by(now, seat).iter().map(|s| roster.name(*s).to_owned()).collect();
                 serde_json::json!({
                     "name": roster.name(seat),
                     "address": self.config.addresses[usize::from(seat)],
@@ -339,13 +344,13 @@
             })
             .collect();
         serde_json::json!({
-            "me": roster.name(machine.seat()),
+            "me": roster.name(machine.id()),
             "view": view.as_ref().map(|v| v.number),
-            "rooted": view.as_ref().map(|v| v.rooted),
+            "rooted": view.as_ref().map(|v| v.is_primary),
             "since_ms": now.saturating_sub(*installed_at) / MS,
-            "lease": machine.attached(now),
+            "lease": machine.holds_lease(now),
             "share": machine.share(now),
-            "pauses": machine.pauses(),
+            "pauses": machine.pause_count(),
             "learnt": self.replica.learned_from.borrow().as_ref().map(|(from, servers)| serde_json::json!({"from": from, "servers": servers})),
             "members": members,
         })
--- a/crates/node/src/fleet/replica.rs
+++ b/crates/node/src/fleet/replica.rs
@@ -7,9 +7,9 @@
 use crate::files;
 use laurelroute_core::fleet::ServerEntry as Listed;
 use laurelroute_core::gateway::Gateway;
-use laurelroute_membership::{Nanos, Seat, MS};
+use laurelroute_membership::{MemberId, Nanos, MS};
 use laurelroute_policy::interface::{ListKind, Phase};
-use laurelroute_replica::{disk, Drain, Entry, Key, Lesson, Machine, Output, SayError};
+use laurelroute_replica::{disk, BanError, Drain, Entry, Key, LearnedSnapshot, Machine, Output};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io;
@@ -50,7 +50,7 @@
     written: watch::Sender<(u64, Option<String>)>,
     write_requested: Notify,
     /// Number of the last query to all members, and the answers to it.
-    query: RefCell<(u32, BTreeMap<Seat, bool>)>,
+    query: RefCell<(u32, BTreeMap<MemberId, bool>)>,
     /// Drains that only other members have seen, and when they were first reported.
     reported_drains: RefCell<BTreeMap<String, Nanos>>,
     /// Version of this node's own list from discovery.
@@ -60,14 +60,14 @@
     /// The warning that this member may be behind has been logged.
     behind_logged: Cell<bool>,
     /// The last snapshot of learned state that was sent to a member, and when it was taken.
-    snapshot: RefCell<(Nanos, Lesson)>,
+    snapshot: RefCell<(Nanos, LearnedSnapshot)>,
     /// The member that this node has received learned state from, and the number of servers in it.
     pub(super) learned_from: RefCell<Option<(String, usize)>>,
 }
 
 /// Reads the replica's file; a damaged one is moved aside.
 fn load(path: &Path) -> Vec<(Key, Entry)> {
-    let bytes = match files::read_bounded(path, disk::MOST_FILE) {
+    let bytes = match files::read_bounded(path, disk::MAX_FILE_BYTES) {
         Ok(bytes) => bytes,
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Vec::new(),
         Err(error) => {
@@ -158,7 +158,7 @@
             match output {
                 Output::Send(to, bytes) => self.send(to, bytes),
                 Output::Changed(key) => self.apply_entry(gateway, &key),
-                Output::Lost(key) => tracing::warn!(
+                Output::UnbanOverridden(key) => tracing::warn!(
                     "fleet: server {}: lifting the ban is overridden by a concurrent ban from {}",
                     key.host(),
                     self.banning_members(&key)
@@ -168,19 +168,21 @@
                     self.record("caught", "");
                     self.publish_local_bans(gateway);
                 }
-                Output::Has(seat, number, has) => {
+                Output::HolderReply(seat, number, has) => {
                     let mut query = self.replica.query.borrow_mut();
                     if query.0 == number {
                         query.1.insert(seat, has);
                     }
                 }
-                Output::Version(seat, version) => {
-                    let reason = laurelroute_membership::Reason::Version(version);
+                Output::VersionMismatch(seat, version) => {
+                    let reason = laurelroute_membership::RejectReason::Version(version);
                     self.log_refusal(gateway.clock.now(), seat, reason);
                 }
-                Output::Asked(seat, number, first) => self.send_learned_state(gateway, seat, number, first),
-                Output::Learnt(seat, learned) => self.apply_learned_state(gateway, seat, learned),
-                Output::NoPlace(key) => {
+                Output::SnapshotRequested(seat, number, first) => {
+                    self.send_learned_state(gateway, seat, number, first)
+                }
+                Output::SnapshotReceived(seat, learned) => self.apply_learned_state(gateway, seat, learned),
+                Output::StoreFull(key) => {
                     tracing::warn!("fleet: no room for the other members' entry of server {}", key.host());
                 }
             }
@@ -189,7 +191,7 @@
 
     /// Sends what this node has learned about servers to a member that starts. All rows of a transfer come from one
     /// snapshot.
-    fn send_learned_state(&self, gateway: &Rc<Gateway>, to: Seat, number: u32, first: u32) {
+    fn send_learned_state(&self, gateway: &Rc<Gateway>, to: MemberId, number: u32, first: u32) {
         let now = gateway.clock.now();
         let outputs = {
             let (taken_at, snapshot) = &mut *self.replica.snapshot.borrow_mut();
@@ -198,13 +200,13 @@
                 let number = snapshot.number.wrapping_add(1).max(1);
                 (*taken_at, *snapshot) = (now, learned_state::encode(number, &gateway.export_learned()));
             }
-            self.replica.machine.borrow_mut().teach(to, snapshot, first)
+            self.replica.machine.borrow_mut().send_snapshot(to, snapshot, first)
         };
         self.apply_replica_outputs(gateway, outputs);
     }
 
     /// Applies the learned state received from another member as soon as there is a list of servers.
-    fn apply_learned_state(&self, gateway: &Rc<Gateway>, from: Seat, learned: Lesson) {
+    fn apply_learned_state(&self, gateway: &Rc<Gateway>, from: MemberId, learned: LearnedSnapshot) {
         let name = self.config.roster.name(from).to_owned();
         tracing::info!("fleet: received learned state of {} servers from {name}", learned.rows.len());
         self.record("learnt", &name);
@@ -224,7 +226,7 @@
         self.replica.write_requested.notify_one();
         match key {
             Key::Ban(host) => {
-                let banned = self.replica.machine.borrow().bans(host).is_some_and(|b| b.out());
+                let banned = self.replica.machine.borrow().bans(host).is_some_and(|b| b.is_banned());
                 self.record_ban(host);
                 gateway.apply_fleet_ban(host, banned);
             }
@@ -235,7 +237,7 @@
     /// Applies a drain to the gateway where the fleet's entry is newer than this node's own list.
     fn apply_drain(&self, gateway: &Rc<Gateway>, host: &str) {
         let drain = self.replica.machine.borrow().store().drain(host);
-        let ahead_of_list = drain.is_some_and(|d| d.out && d.version > self.replica.list_version.get());
+        let ahead_of_list = drain.is_some_and(|d| d.drained && d.version > self.replica.list_version.get());
         let mut reported = self.replica.reported_drains.borrow_mut();
         if ahead_of_list {
             reported.entry(host.to_owned()).or_insert(gateway.clock.now());
@@ -265,14 +267,16 @@
             let machine = self.replica.machine.borrow();
             // A host that a full list does not contain counts as drained.
             let missing = |(key, entry): (&Key, &Entry)| match key {
-                Key::Drain(host) if !entry.out() && !listed.contains(host) => Some((host.clone(), true)),
+                Key::Drain(host) if !entry.excludes_server() && !listed.contains(host) => {
+                    Some((host.clone(), true))
+                }
                 _ => None,
             };
             drains.extend(machine.store().entries().filter_map(missing));
         }
         for (host, drained) in drains {
             let outputs =
-                self.replica.machine.borrow_mut().listed(now, &host, Drain { version, out: drained });
+                self.replica.machine.borrow_mut().update_drain(now, &host, Drain { version, drained });
             self.apply_replica_outputs(gateway, outputs);
         }
         // This list may contain drains that only other members had reported.
@@ -301,7 +305,7 @@
         let local_bans: Vec<(String, bool)> =
             gateway.fleet(|f| f.bans.records().map(|w| (w.host.clone(), w.banned)).collect());
         for (host, banned) in local_bans {
-            let known = self.replica.machine.borrow().bans(&host).map(|b| b.out());
+            let known = self.replica.machine.borrow().bans(&host).map(|b| b.is_banned());
             match known {
                 Some(known) if known != banned => gateway.apply_fleet_ban(&host, known),
                 None if banned => drop(self.change_ban(gateway, &host, true)),
@@ -311,9 +315,9 @@
     }
 
     /// Records an operator's change in the replica and sends it to the other members.
-    fn change_ban(&self, gateway: &Rc<Gateway>, host: &str, banned: bool) -> Result<(), SayError> {
+    fn change_ban(&self, gateway: &Rc<Gateway>, host: &str, banned: bool) -> Result<(), BanError> {
         let now = gateway.clock.now();
-        let outputs = self.replica.machine.borrow_mut().say(now, host, banned, now)?;
+        let outputs = self.replica.machine.borrow_mut().set_ban(now, host, banned, now)?;
         self.record_change(host, banned);
         self.apply_replica_outputs(gateway, outputs);
         Ok(())
@@ -322,7 +326,7 @@
     /// Bans a server or lifts its ban for an operator; reports where the change is stored.
     pub(crate) async fn set_ban(&self, gateway: &Rc<Gateway>, host: &str, banned: bool) -> String {
         let key = Key::Ban(host.to_owned());
-        let known = self.replica.machine.borrow().bans(host).map(|b| b.out());
+        let known = self.replica.machine.borrow().bans(host).map(|b| b.is_banned());
         if known.is_none() && !banned {
             return "nobody has taken it out".to_owned();
         }
@@ -334,7 +338,7 @@
         let changes = self.replica.changes.get();
         let required =
             self.config.confirm.min(self.machine.borrow().view().map_or(0, |v| v.members.len() - 1));
-        let holders = || self.replica.machine.borrow().held_by(&key);
+        let holders = || self.replica.machine.borrow().holder_count(&key);
         let started_at = tokio::time::Instant::now();
         while started_at.elapsed() < CONFIRM_TIMEOUT
             && (holders() < required || self.replica.on_disk(changes) == Ok(false))
@@ -361,7 +365,7 @@
             *query = (query.0.wrapping_add(1), BTreeMap::new());
             query.0
         };
-        let members: Vec<Seat> =
+        let members: Vec<MemberId> =
             self.machine.borrow().view().map_or_else(Vec::new, |v| v.members.keys().copied().collect());
         let others = members.iter().filter(|s| **s != self.config.own_seat).count();
         // Done when a newer query has replaced this one or all members hold the entry; one that does not may receive
@@ -372,7 +376,7 @@
         };
         let started_at = tokio::time::Instant::now();
         while started_at.elapsed() < QUERY_TIMEOUT && !done() {
-            let outputs = self.replica.machine.borrow_mut().ask(number, &key);
+            let outputs = self.replica.machine.borrow_mut().query_holders(number, &key);
             for output in outputs {
                 if let Output::Send(to, bytes) = output {
                     self.send(to, bytes);
@@ -384,8 +388,13 @@
             }
         }
         let query = self.replica.query.borrow();
-        let answer =
-            |seat: Seat| if seat == self.config.own_seat { Some(true) } else { query.1.get(&seat).copied() };
+        let answer = |seat: MemberId| {
+            if seat == self.config.own_seat {
+                Some(true)
+            } else {
+                query.1.get(&seat).copied()
+            }
+        };
         members.into_iter().map(|seat| (self.config.roster.name(seat).to_owned(), answer(seat))).collect()
     }
 
@@ -417,7 +426,7 @@
         serde_json::json!({
             "me": self.config.roster.name(self.config.own_seat),
             "caught_up": machine.caught_up(),
-            "copy": format!("{:016x}", machine.store().root()),
+            "copy": format!("{:016x}", machine.store().root_digest()),
             "entries": rows,
         })
     }
@@ -426,26 +435,26 @@
     fn entry_json(&self, key: &Key, entry: &Entry) -> serde_json::Value {
         let records: Vec<_> = match entry {
             Entry::Bans(bans) => bans
-                .words()
+                .changes()
                 .iter()
                 .map(|change| {
-                    let by = self.config.roster.name(change.dot.writer.seat);
-                    serde_json::json!({"by": by, "life": change.dot.writer.life, "number": change.dot.number, "out": change.out, "at": change.at})
+                    let by = self.config.roster.name(change.dot.writer.member);
+                    serde_json::json!({"by": by, "life": change.dot.writer.incarnation, "number": change.dot.number, "out": change.banned, "at": change.changed_at})
                 })
                 .collect(),
-            Entry::Drain(drain) => vec![serde_json::json!({"version": drain.version, "out": drain.out})],
+            Entry::Drain(drain) => vec![serde_json::json!({"version": drain.version, "out": drain.drained})],
         };
-        serde_json::json!({"kind": key.kind(), "server": key.host(), "out": entry.out(), "words": records})
+        serde_json::json!({"kind": key.kind(), "server": key.host(), "out": entry.excludes_server(), "words": records})
     }
 
     /// Names of the members whose bans of the server are in force.
     fn banning_members(&self, key: &Key) -> String {
         let machine = self.replica.machine.borrow();
-        let changes = machine.bans(key.host()).map_or(&[][..], |b| b.words());
+        let changes = machine.bans(key.host()).map_or(&[][..], |b| b.changes());
         let names: Vec<&str> = changes
             .iter()
-            .filter(|change| change.out)
-            .map(|change| self.config.roster.name(change.dot.writer.seat))
+            .filter(|change| change.banned)
+            .map(|change| self.config.roster.name(change.dot.writer.member))
             .collect();
         names.join(" ")
     }
@@ -455,7 +464,7 @@
         let line = {
             let machine = self.replica.machine.borrow();
             let Some(bans) = machine.bans(host) else { return };
-            serde_json::json!({"host": host, "out": bans.out(), "known": known_changes(bans)})
+            serde_json::json!({"host": host, "out": bans.is_banned(), "known": known_changes(bans)})
         };
         self.record("ban", &line.to_string());
     }
@@ -464,9 +473,9 @@
     fn record_change(&self, host: &str, banned: bool) {
         let line = {
             let machine = self.replica.machine.borrow();
-            let Some(change) = machine.bans(host).and_then(|b| b.words().first().copied()) else { return };
+            let Some(change) = machine.bans(host).and_then(|b| b.changes().first().copied()) else { return };
             let writer = change.dot.writer;
-            serde_json::json!({"host": host, "out": banned, "dot": [u64::from(writer.seat), u64::from(writer.life), change.dot.number],
+            serde_json::json!({"host": host, "out": banned, "dot": [u64::from(writer.member), u64::from(writer.incarnation), change.dot.number],
                 "knew": machine.bans(host).map(known_changes)})
         };
         self.record("said", &line.to_string());
@@ -474,7 +483,7 @@
 
     /// Records the replica's digest in the history whenever it has changed.
     pub(super) fn record_replica_digest(&self) {
-        let root = self.replica.machine.borrow().store().root();
+        let root = self.replica.machine.borrow().store().root_digest();
         if self.replica.recorded_root.replace(root) != root {
             self.record("copy", &format!("{root:016x}"));
         }
@@ -483,7 +492,9 @@
 
 /// The changes that this ban's state includes, as seat, incarnation and number.
 fn known_changes(bans: &laurelroute_replica::Bans) -> Vec<[u64; 3]> {
-    bans.known().map(|dot| [dot.writer.seat.into(), dot.writer.life.into(), dot.number]).collect()
+    bans.version_vector()
+        .map(|dot| [dot.writer.member.into(), dot.writer.incarnation.into(), dot.number])
+        .collect()
 }
 
 /// Reduces a list from discovery to hosts and whether each drains, as members replicate it.
--- a/crates/node/src/fleet/table.rs
+++ b/crates/node/src/fleet/table.rs
@@ -1,7 +1,7 @@
 //! The `[fleet]` section of the operator's file: the members of the fleet and which of them this process is.
 
 use crate::site::{SiteError, Validator};
-use laurelroute_membership::{Roster, Seat};
+use laurelroute_membership::{MemberId, Roster};
 use ring::hmac;
 use serde::Deserialize;
 use std::net::{IpAddr, SocketAddr};
@@ -39,7 +39,7 @@
     /// All configured members.
     pub roster: Roster,
     /// This member's seat in the roster.
-    pub own_seat: Seat,
+    pub own_seat: MemberId,
     /// Addresses that datagrams to the members are sent to, in roster order.
     pub addresses: Vec<SocketAddr>,
     /// Address that this member receives datagrams on.
@@ -87,7 +87,7 @@
         let roster = Roster::new(names)
             .map_err(|e| validator.error_at(&self.name, format!("`[[fleet.member]]`: {e}")))?;
         let own_name = self.name.get_ref();
-        let Some(own_seat) = roster.seat(own_name) else {
+        let Some(own_seat) = roster.id_of(own_name) else {
             return Err(validator.error_at(
                 &self.name,
                 format!("`fleet.name` is `{own_name}`, which is not a `[[fleet.member]]`"),
--- a/crates/replica/src/disk.rs
+++ b/crates/replica/src/disk.rs
@@ -2,19 +2,19 @@
 //! whole or not at all.
 
 use crate::entry::{Entry, Key};
-use crate::store::{Store, MOST};
+use crate::store::{Store, MAX_ENTRIES};
 
 /// Raised when a program could not understand a file of another version.
 pub const VERSION: u32 = 1;
 /// The longest file in bytes.
-pub const MOST_FILE: usize = 16 * 1024 * 1024;
+pub const MAX_FILE_BYTES: usize = 16 * 1024 * 1024;
 const NAME: &str = "laurelroute-replica";
 
 /// Why a file is not believed.
 #[derive(Debug, thiserror::Error)]
 pub enum FileError {
     /// Longer than any.
-    #[error("longer than {MOST_FILE} bytes")]
+    #[error("longer than {MAX_FILE_BYTES} bytes")]
     Long,
     /// Something else stands in its place.
     #[error("no copy of what the fleet knows")]
@@ -34,7 +34,7 @@
     #[error("malformed: {0}")]
     Malformed(#[from] postcard::Error),
     /// More, or larger, than is ever held.
-    #[error("more than {MOST} entries of a kind, or one that cannot be")]
+    #[error("more than {MAX_ENTRIES} entries of a kind, or one that cannot be")]
     Beyond,
 }
 
@@ -50,7 +50,7 @@
 
 /// The entries in a file.
 pub fn decode(file: &[u8]) -> Result<Vec<(Key, Entry)>, FileError> {
-    if file.len() > MOST_FILE {
+    if file.len() > MAX_FILE_BYTES {
         return Err(FileError::Long);
     }
     let end = file.iter().position(|b| *b == b'\n').ok_or(FileError::Foreign)?;
@@ -69,7 +69,7 @@
         return Err(FileError::Torn { named, found });
     }
     let entries: Vec<(Key, Entry)> = postcard::from_bytes(body)?;
-    let sound =
-        entries.len() <= 2 * MOST && entries.iter().all(|(key, entry)| key.sound() && entry.fits(key));
+    let sound = entries.len() <= 2 * MAX_ENTRIES
+        && entries.iter().all(|(key, entry)| key.is_valid() && entry.is_valid_for(key));
     sound.then_some(entries).ok_or(FileError::Beyond)
 }
--- a/crates/replica/src/entry.rs
+++ b/crates/replica/src/entry.rs
@@ -1,14 +1,14 @@
 //! Entries and, by kind, the rule for copies that differ. Every rule is a join: two copies give the same third one whichever
 //! comes first, and meeting again changes nothing (Shapiro et al., "Conflict-free replicated data types", 2011).
 
-use laurelroute_membership::{Life, Seat};
+use laurelroute_membership::{Incarnation, MemberId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// Bytes of a server's name at most.
-pub const MOST_NAME: usize = 128;
-/// Words on one server that did not know of each other, and lives that have ever spoken on it.
-pub const MOST_WRITERS: usize = 128;
+pub const MAX_NAME_BYTES: usize = 128;
+/// Words on one server that did not know of each other, and incarnations that have ever spoken on it.
+pub const MAX_WRITERS: usize = 128;
 
 /// What an entry is about. Sorted by urgency.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -36,8 +36,8 @@
     }
 
     /// Not longer than any.
-    pub fn sound(&self) -> bool {
-        (1..=MOST_NAME).contains(&self.host().len())
+    pub fn is_valid(&self) -> bool {
+        (1..=MAX_NAME_BYTES).contains(&self.host().len())
     }
 }
 
@@ -45,9 +45,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Writer {
     /// The member.
-    pub seat: Seat,
+    pub member: MemberId,
     /// The run.
-    pub life: Life,
+    pub incarnation: Incarnation,
 }
 
 /// One word of one writer; a writer numbers its words.
@@ -61,13 +61,13 @@
 
 /// Staff's word on a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
+pub struct BanChange {
     /// Whose, and which.
     pub dot: Dot,
     /// Out of use, or back in use.
-    pub out: bool,
+    pub banned: bool,
     /// When it was said by the speaker's clock, in nanoseconds since the Unix epoch: for people. Nothing is ordered by it.
-    pub at: u64,
+    pub changed_at: u64,
 }
 
 /// All words on one server that nobody has answered yet, and which words were ever known.
@@ -76,48 +76,49 @@
 /// of. Words that did not know of each other stand side by side, and a ban among them wins.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Bans {
-    words: Vec<Word>,
+    changes: Vec<BanChange>,
     known: BTreeMap<Writer, u64>,
 }
 
 impl Bans {
     /// A word that answers all that are known here.
-    pub fn say(&mut self, word: Word) {
-        self.words = vec![word];
-        self.known.insert(word.dot.writer, word.dot.number);
+    pub fn apply(&mut self, change: BanChange) {
+        self.changes = vec![change];
+        self.known.insert(change.dot.writer, change.dot.number);
     }
 
     /// Whether the server is out of use: where any word that stands says so.
-    pub fn out(&self) -> bool {
-        self.words.iter().any(|w| w.out)
+    pub fn is_banned(&self) -> bool {
+        self.changes.iter().any(|w| w.banned)
     }
 
     /// The words that stand.
-    pub fn words(&self) -> &[Word] {
-        &self.words
+    pub fn changes(&self) -> &[BanChange] {
+        &self.changes
     }
 
-    /// The last word of each life that has ever spoken on it, as far as is known here.
-    pub fn known(&self) -> impl Iterator<Item = Dot> + '_ {
+    /// The last word of each incarnation that has ever spoken on it, as far as is known here.
+    pub fn version_vector(&self) -> impl Iterator<Item = Dot> + '_ {
         self.known.iter().map(|(writer, number)| Dot { writer: *writer, number: *number })
     }
 
     /// Whether a word was ever known here.
-    pub fn knew(&self, dot: Dot) -> bool {
+    pub fn has_seen(&self, dot: Dot) -> bool {
         self.known.get(&dot.writer).is_some_and(|n| *n >= dot.number)
     }
 
     /// A word to put the server back that stands beside a ban, and so does nothing.
-    pub fn lost(&self) -> Option<&Word> {
-        self.words.iter().find(|w| !w.out).filter(|_| self.out())
+    pub fn overridden_unban(&self) -> Option<&BanChange> {
+        self.changes.iter().find(|w| !w.banned).filter(|_| self.is_banned())
     }
 
-    fn join(&mut self, other: &Bans) {
-        let stays = |w: &Word, at: &Bans| !at.knew(w.dot) || at.words.iter().any(|o| o.dot == w.dot);
-        let mut words: Vec<Word> = self.words.iter().filter(|w| stays(w, other)).copied().collect();
-        words.extend(other.words.iter().filter(|w| !self.knew(w.dot)).copied());
-        words.sort_unstable_by_key(|w| w.dot);
-        self.words = words;
+    fn merge(&mut self, other: &Bans) {
+        let stays =
+            |w: &BanChange, at: &Bans| !at.has_seen(w.dot) || at.changes.iter().any(|o| o.dot == w.dot);
+        let mut changes: Vec<BanChange> = self.changes.iter().filter(|w| stays(w, other)).copied().collect();
+        changes.extend(other.changes.iter().filter(|w| !self.has_seen(w.dot)).copied());
+        changes.sort_unstable_by_key(|w| w.dot);
+        self.changes = changes;
         for (writer, number) in &other.known {
             let known = self.known.entry(*writer).or_insert(0);
             *known = *number.max(known);
@@ -125,15 +126,15 @@
     }
 
     /// For tests: what a later-by-the-clock rule would make of it.
-    fn by_the_clock(&mut self) {
-        self.words.sort_unstable_by_key(|w| (w.at, w.dot));
-        self.words.drain(..self.words.len().saturating_sub(1));
+    fn newest_by_clock(&mut self) {
+        self.changes.sort_unstable_by_key(|w| (w.changed_at, w.dot));
+        self.changes.drain(..self.changes.len().saturating_sub(1));
     }
 
-    fn sound(&self) -> bool {
-        self.words.len() <= MOST_WRITERS
-            && self.known.len() <= MOST_WRITERS
-            && self.words.iter().all(|w| self.knew(w.dot))
+    fn is_valid(&self) -> bool {
+        self.changes.len() <= MAX_WRITERS
+            && self.known.len() <= MAX_WRITERS
+            && self.changes.iter().all(|w| self.has_seen(w.dot))
     }
 }
 
@@ -143,7 +144,7 @@
     /// The list's version.
     pub version: u64,
     /// It drains, or has left.
-    pub out: bool,
+    pub drained: bool,
 }
 
 /// An entry.
@@ -157,22 +158,22 @@
 
 impl Entry {
     /// Whether it may stand under that key, and is not larger than any.
-    pub fn fits(&self, key: &Key) -> bool {
+    pub fn is_valid_for(&self, key: &Key) -> bool {
         match (self, key) {
-            (Entry::Bans(bans), Key::Ban(_)) => bans.sound(),
+            (Entry::Bans(bans), Key::Ban(_)) => bans.is_valid(),
             (Entry::Drain(_), Key::Drain(_)) => true,
             _ => false,
         }
     }
 
     /// Takes in another copy; whether that changed anything.
-    pub fn join(&mut self, other: &Entry, by_the_clock: bool) -> bool {
+    pub fn merge(&mut self, other: &Entry, newest_by_clock: bool) -> bool {
         let before = self.clone();
         match (&mut *self, other) {
             (Entry::Bans(mine), Entry::Bans(theirs)) => {
-                mine.join(theirs);
-                if by_the_clock {
-                    mine.by_the_clock();
+                mine.merge(theirs);
+                if newest_by_clock {
+                    mine.newest_by_clock();
                 }
             }
             (Entry::Drain(mine), Entry::Drain(theirs)) => *mine = *theirs.max(mine),
@@ -182,10 +183,10 @@
     }
 
     /// Whether the server is out of use by it.
-    pub fn out(&self) -> bool {
+    pub fn excludes_server(&self) -> bool {
         match self {
-            Entry::Bans(bans) => bans.out(),
-            Entry::Drain(drain) => drain.out,
+            Entry::Bans(bans) => bans.is_banned(),
+            Entry::Drain(drain) => drain.drained,
         }
     }
 }
--- a/crates/replica/src/link.rs
+++ b/crates/replica/src/link.rs
@@ -3,7 +3,7 @@
 use crate::entry::Key;
 use crate::store::Store;
 use crate::wire::{parts, Body, Item, LACKING, PARTS};
-use laurelroute_membership::{Life, Nanos, MS};
+use laurelroute_membership::{Incarnation, Nanos, MS};
 use std::collections::BTreeSet;
 
 /// A batch that is not answered is sent again after this.
@@ -31,7 +31,7 @@
 #[derive(Debug)]
 pub struct Link {
     /// Its process.
-    pub life: Life,
+    pub incarnation: Incarnation,
     pending: BTreeSet<Key>,
     digests: Option<bool>,
     digested: Option<Nanos>,
@@ -48,9 +48,9 @@
 
 impl Link {
     /// A new one: each says what it has.
-    pub fn new(life: Life) -> Link {
+    pub fn new(incarnation: Incarnation) -> Link {
         Link {
-            life,
+            incarnation,
             pending: BTreeSet::new(),
             digests: Some(true),
             digested: None,
@@ -75,7 +75,7 @@
 
     /// It has said what it has; gives it what it lacks.
     pub fn compare(&mut self, store: &Store, theirs: &[u32], back: bool) {
-        self.pending.extend(store.differing(theirs).cloned());
+        self.pending.extend(store.differing_keys(theirs).cloned());
         self.known = true;
         if back {
             // It may have made this link anew.
@@ -130,7 +130,7 @@
         }
         flight.sent = Some(now);
         let of = flight.parts.len() as u8;
-        let part = |at: &u8| Body::Part(flight.number, *at, of, flight.parts[usize::from(*at)].clone());
+        let part = |at: &u8| Body::BatchPart(flight.number, *at, of, flight.parts[usize::from(*at)].clone());
         flight.lacking.iter().map(part).collect()
     }
 
@@ -139,7 +139,7 @@
         let mut items = Vec::new();
         let digests = self.digests.take();
         if let Some(back) = digests {
-            items.push(Item::Buckets(store.buckets(), back));
+            items.push(Item::BucketDigests(store.bucket_digests(), back));
             self.digested = Some(now);
         }
         let before = items.len();
@@ -155,7 +155,7 @@
         let news = self.done.is_none_or(|told| caught_up && !told);
         let done = self.known && news && keys.len() == self.pending.len();
         if done {
-            items.push(Item::Done(caught_up));
+            items.push(Item::SyncComplete(caught_up));
         }
         if items.is_empty() {
             return None;
@@ -185,7 +185,7 @@
     pub fn part(&mut self, number: u32, at: u8, of: u8, bytes: Vec<u8>) -> (Option<Body>, Option<Vec<u8>>) {
         if number <= self.taken {
             // It came before, and the answer may be lost.
-            return ((number == self.taken).then(|| Body::Took(number, Vec::new())), None);
+            return ((number == self.taken).then(|| Body::BatchAck(number, Vec::new())), None);
         }
         let (at, of) = (usize::from(at), usize::from(of));
         if of > PARTS || at >= of {
@@ -202,10 +202,10 @@
             (0u8..).zip(&*parts).filter(|(_, p)| p.is_none()).map(|(k, _)| k).take(LACKING).collect();
         if !lacking.is_empty() {
             // The last one has come: what is lacking now is lost, or late.
-            return ((at + 1 == of).then_some(Body::Took(number, lacking)), None);
+            return ((at + 1 == of).then_some(Body::BatchAck(number, lacking)), None);
         }
         self.taken = number;
         let whole = self.assembly.take().map(|(_, parts)| parts.into_iter().flatten().flatten().collect());
-        (Some(Body::Took(number, Vec::new())), whole)
+        (Some(Body::BatchAck(number, Vec::new())), whole)
     }
 }
--- a/crates/replica/src/machine.rs
+++ b/crates/replica/src/machine.rs
@@ -1,12 +1,12 @@
 //! One node's replica: datagrams, words and time in, datagrams and changes out.
 
 use crate::defect::{Defect, Planted};
-use crate::entry::{Bans, Dot, Drain, Entry, Key, Word, Writer, MOST_NAME};
-use crate::lesson::{Lesson, Step, Student};
+use crate::entry::{BanChange, Bans, Dot, Drain, Entry, Key, Writer, MAX_NAME_BYTES};
 use crate::link::Link;
-use crate::store::{Full, Store};
+use crate::snapshot::{FetchStep, LearnedSnapshot, SnapshotFetcher};
+use crate::store::{CapacityError, Store};
 use crate::wire::{items, Body, Datagram, Head, Item, VERSION};
-use laurelroute_membership::{Life, Nanos, Roster, Seat, View, MS};
+use laurelroute_membership::{Incarnation, MemberId, Nanos, Roster, View, MS};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Neighbours tell each other this often that nothing has changed.
@@ -19,38 +19,39 @@
 /// ... and at once.
 const BURST: u64 = 32 * 1024;
 
-/// Why a word is not taken.
+/// Why a ban or an unban is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum SayError {
-    /// There is no place for it.
+pub enum BanError {
+    /// The store has no room.
     #[error("{0}")]
-    Full(#[from] Full),
-    /// No server's name is like that.
-    #[error("a name has 1 to {MOST_NAME} bytes")]
-    Name,
+    Full(#[from] CapacityError),
+    /// The server's name is empty or too long.
+    #[error("a name has 1 to {MAX_NAME_BYTES} bytes")]
+    InvalidName,
 }
 
-/// What a replica wants done or known.
+/// An action or event that the caller has to handle.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send this.
-    Send(Seat, Vec<u8>),
-    /// An entry is another one now.
+    /// Send this datagram.
+    Send(MemberId, Vec<u8>),
+    /// An entry has changed.
     Changed(Key),
-    /// This member's own word to put a server back has lost to a ban that it did not know of.
-    Lost(Key),
-    /// This copy has all that a neighbour has.
+    /// An unban made at this member has no effect because of a concurrent ban.
+    UnbanOverridden(Key),
+    /// This store has every entry that a neighbour has.
     CaughtUp,
-    /// A member says whether it has the copy that was asked for, under that number.
-    Has(Seat, u32, bool),
-    /// A neighbour speaks another version.
-    Version(Seat, u8),
-    /// An entry has no place here.
-    NoPlace(Key),
-    /// A member asks what this one has learnt: the lesson that it has in part, and from which row on ([`Machine::teach`]).
-    Asked(Seat, u32, u32),
-    /// That one has told all that it has learnt.
-    Learnt(Seat, Lesson),
+    /// Reply to [`Machine::query_holders`]: the member, the query's number, and whether it holds the entry.
+    HolderReply(MemberId, u32, bool),
+    /// A member sent a datagram of this other protocol version.
+    VersionMismatch(MemberId, u8),
+    /// An entry was dropped because the store is full.
+    StoreFull(Key),
+    /// A member requests the learned state: the number of the snapshot that it has in part, and the first row that it
+    /// lacks. Answered by [`Machine::send_snapshot`].
+    SnapshotRequested(MemberId, u32, u32),
+    /// The complete snapshot of that member was received.
+    SnapshotReceived(MemberId, LearnedSnapshot),
 }
 
 /// A replica.
@@ -58,23 +59,23 @@
 pub struct Machine {
     site: u16,
     tag: u16,
-    me: Seat,
+    me: MemberId,
     writer: Writer,
     number: u64,
-    /// The life that the view has for this member.
-    life: Life,
-    members: BTreeMap<Seat, Life>,
-    links: BTreeMap<Seat, Link>,
+    /// The incarnation that the view has for this member.
+    incarnation: Incarnation,
+    members: BTreeMap<MemberId, Incarnation>,
+    links: BTreeMap<MemberId, Link>,
     store: Store,
     caught_up: bool,
     /// Since when it is in a view.
     since: Option<Nanos>,
-    rooted: Option<Nanos>,
+    root_sent_at: Option<Nanos>,
     allowance: (Nanos, u64),
     /// Batches that went to anybody: a link that is made anew goes on from there.
     batches: u32,
     /// As long as it wants to learn from others.
-    student: Option<Student>,
+    fetcher: Option<SnapshotFetcher>,
     /// Words of its own that were told of as lost.
     lost: BTreeSet<Dot>,
     planted: Planted,
@@ -82,24 +83,24 @@
 }
 
 impl Machine {
-    /// A member's replica, with a life of its own that tells its words from those of former runs.
-    pub fn new(site: &str, roster: &Roster, me: Seat, life: Life) -> Machine {
+    /// A member's replica, with a incarnation of its own that tells its words from those of former runs.
+    pub fn new(site: &str, roster: &Roster, me: MemberId, incarnation: Incarnation) -> Machine {
         Machine {
-            site: laurelroute_membership::view::text(site) as u16,
+            site: laurelroute_membership::view::stable_text_hash(site) as u16,
             tag: roster.tag(),
             me,
-            writer: Writer { seat: me, life },
+            writer: Writer { member: me, incarnation },
             number: 0,
-            life,
+            incarnation,
             members: BTreeMap::new(),
             links: BTreeMap::new(),
             store: Store::default(),
             caught_up: false,
             since: None,
-            rooted: None,
+            root_sent_at: None,
             allowance: (0, BURST),
             batches: 0,
-            student: None,
+            fetcher: None,
             lost: BTreeSet::new(),
             planted: Planted::default(),
             out: Vec::new(),
@@ -110,7 +111,7 @@
     pub fn plant(&mut self, planted: Planted) {
         self.planted = planted;
         if planted.is(Defect::SecondWriter) {
-            self.writer.life = 1;
+            self.writer.incarnation = 1;
         }
     }
 
@@ -130,21 +131,21 @@
         std::mem::take(&mut self.out)
     }
 
-    /// A view of the members has come into force here; this member has that life in it.
-    pub fn view(&mut self, now: Nanos, view: &View, life: Life) -> Vec<Output> {
-        self.life = life;
+    /// A view of the members has come into force here; this member has that incarnation in it.
+    pub fn apply_view(&mut self, now: Nanos, view: &View, incarnation: Incarnation) -> Vec<Output> {
+        self.incarnation = incarnation;
         self.since.get_or_insert(now);
         self.members.clone_from(&view.members);
         let observers = view.observers();
-        let near = |seat: Seat| {
-            observers.get(&self.me).is_some_and(|o| o.contains(&seat))
-                || observers.get(&seat).is_some_and(|o| o.contains(&self.me))
+        let near = |member: MemberId| {
+            observers.get(&self.me).is_some_and(|o| o.contains(&member))
+                || observers.get(&member).is_some_and(|o| o.contains(&self.me))
         };
-        let wanted: BTreeMap<Seat, Life> =
+        let wanted: BTreeMap<MemberId, Incarnation> =
             view.members.iter().filter(|(s, _)| **s != self.me && near(**s)).map(|(s, l)| (*s, *l)).collect();
-        self.links.retain(|seat, link| wanted.get(seat) == Some(&link.life));
-        for (seat, life) in wanted {
-            self.links.entry(seat).or_insert_with(|| Link::new(life));
+        self.links.retain(|member, link| wanted.get(member) == Some(&link.incarnation));
+        for (member, incarnation) in wanted {
+            self.links.entry(member).or_insert_with(|| Link::new(incarnation));
         }
         if self.links.is_empty() || self.planted.is(Defect::ReadyEarly) {
             self.catch_up();
@@ -161,12 +162,20 @@
     }
 
     /// Staff's word on a server, said here.
-    pub fn say(&mut self, now: Nanos, host: &str, out: bool, at: u64) -> Result<Vec<Output>, SayError> {
-        if !(1..=MOST_NAME).contains(&host.len()) {
-            return Err(SayError::Name);
+    pub fn set_ban(
+        &mut self,
+        now: Nanos,
+        host: &str,
+        banned: bool,
+        changed_at: u64,
+    ) -> Result<Vec<Output>, BanError> {
+        if !(1..=MAX_NAME_BYTES).contains(&host.len()) {
+            return Err(BanError::InvalidName);
         }
         let number = self.number + 1;
-        let key = self.store.say(host, Word { dot: Dot { writer: self.writer, number }, out, at })?;
+        let key = self
+            .store
+            .set_ban(host, BanChange { dot: Dot { writer: self.writer, number }, banned, changed_at })?;
         self.number = number;
         self.changed(None, key);
         self.flush(now);
@@ -174,12 +183,12 @@
     }
 
     /// What a list of that version says of a server.
-    pub fn listed(&mut self, now: Nanos, host: &str, drain: Drain) -> Vec<Output> {
+    pub fn update_drain(&mut self, now: Nanos, host: &str, drain: Drain) -> Vec<Output> {
         let key = Key::Drain(host.to_owned());
         let known = self.store.drain(host);
         // One that has never drained is no news, nor is what is known.
-        let news = known.map_or(drain.out, |k| k.out != drain.out && drain.version >= k.version);
-        if key.sound() && news {
+        let news = known.map_or(drain.drained, |k| k.drained != drain.drained && drain.version >= k.version);
+        if key.is_valid() && news {
             self.take(None, key, Entry::Drain(drain));
             self.flush(now);
         }
@@ -187,27 +196,27 @@
     }
 
     /// Members that are known to have an entry as it is here.
-    pub fn held_by(&self, key: &Key) -> usize {
+    pub fn holder_count(&self, key: &Key) -> usize {
         self.links.values().filter(|link| link.has(key)).count()
     }
 
     /// Asks all members whether they have an entry as it is here; they answer under that number.
-    pub fn ask(&mut self, number: u32, key: &Key) -> Vec<Output> {
-        let mark = self.store.mark(key);
-        let others: Vec<Seat> = self.members.keys().copied().filter(|s| *s != self.me).collect();
-        others.into_iter().for_each(|seat| self.send(seat, Body::Ask(number, key.clone(), mark)));
+    pub fn query_holders(&mut self, number: u32, key: &Key) -> Vec<Output> {
+        let mark = self.store.entry_digest(key);
+        let others: Vec<MemberId> = self.members.keys().copied().filter(|s| *s != self.me).collect();
+        others.into_iter().for_each(|member| self.send(member, Body::EntryQuery(number, key.clone(), mark)));
         std::mem::take(&mut self.out)
     }
 
     /// This member starts with nothing, and asks others what they have learnt.
-    pub fn learn(&mut self) {
-        self.student = Some(Student::default());
+    pub fn request_snapshot(&mut self) {
+        self.fetcher = Some(SnapshotFetcher::default());
     }
 
     /// Tells a member that has asked what this one has learnt, from that row on; as far as the allowance goes, and it asks
     /// again.
-    pub fn teach(&mut self, to: Seat, lesson: &Lesson, first: u32) -> Vec<Output> {
-        for piece in lesson.pieces(first) {
+    pub fn send_snapshot(&mut self, to: MemberId, snapshot: &LearnedSnapshot, first: u32) -> Vec<Output> {
+        for piece in snapshot.pieces(first) {
             if self.allowance.1 == 0 {
                 break;
             }
@@ -216,15 +225,15 @@
         std::mem::take(&mut self.out)
     }
 
-    fn study(&mut self, step: Step) {
+    fn study(&mut self, step: FetchStep) {
         match step {
-            Step::Ask(seat, question) => self.send(seat, question),
-            Step::Wait => {}
-            Step::Learnt(seat, lesson) => {
-                self.student = None;
-                self.out.push(Output::Learnt(seat, lesson));
+            FetchStep::Request(member, question) => self.send(member, question),
+            FetchStep::Wait => {}
+            FetchStep::Complete(member, snapshot) => {
+                self.fetcher = None;
+                self.out.push(Output::SnapshotReceived(member, snapshot));
             }
-            Step::Alone => self.student = None,
+            FetchStep::GaveUp => self.fetcher = None,
         }
     }
 
@@ -234,16 +243,16 @@
         }
     }
 
-    fn send(&mut self, to: Seat, body: Body) {
-        let Some(to_life) = self.members.get(&to) else { return };
+    fn send(&mut self, to: MemberId, body: Body) {
+        let Some(to_incarnation) = self.members.get(&to) else { return };
         let head = Head {
             version: VERSION,
             site: self.site.to_le_bytes(),
             roster: self.tag.to_le_bytes(),
             from: self.me,
             to,
-            life: self.life.to_le_bytes(),
-            to_life: to_life.to_le_bytes(),
+            incarnation: self.incarnation.to_le_bytes(),
+            to_incarnation: to_incarnation.to_le_bytes(),
         };
         if let Some(bytes) = (Datagram { head, body }).encode() {
             self.allowance.1 = self.allowance.1.saturating_sub(bytes.len() as u64);
@@ -252,26 +261,31 @@
     }
 
     /// An entry has changed: all neighbours but the one that it came from have to hear of it.
-    fn changed(&mut self, from: Option<Seat>, key: Key) {
-        self.links.iter_mut().filter(|(seat, _)| Some(**seat) != from).for_each(|(_, link)| link.owe(&key));
+    fn changed(&mut self, from: Option<MemberId>, key: Key) {
+        self.links
+            .iter_mut()
+            .filter(|(member, _)| Some(**member) != from)
+            .for_each(|(_, link)| link.owe(&key));
         let lost = match self.store.get(&key) {
-            Some(Entry::Bans(bans)) => bans.lost().map(|w| w.dot).filter(|d| d.writer == self.writer),
+            Some(Entry::Bans(bans)) => {
+                bans.overridden_unban().map(|w| w.dot).filter(|d| d.writer == self.writer)
+            }
             _ => None,
         };
         if lost.is_some_and(|dot| self.lost.insert(dot)) {
-            self.out.push(Output::Lost(key.clone()));
+            self.out.push(Output::UnbanOverridden(key.clone()));
         }
         self.out.push(Output::Changed(key));
     }
 
-    fn take(&mut self, from: Option<Seat>, key: Key, entry: Entry) {
-        if !key.sound() || !entry.fits(&key) {
+    fn take(&mut self, from: Option<MemberId>, key: Key, entry: Entry) {
+        if !key.is_valid() || !entry.is_valid_for(&key) {
             return;
         }
-        match self.store.take(&key, entry, self.planted.is(Defect::WallClock)) {
+        match self.store.merge(&key, entry, self.planted.is(Defect::WallClock)) {
             Ok(taken) => {
-                if let Some(link) = from.and_then(|seat| self.links.get_mut(&seat)) {
-                    if taken.more {
+                if let Some(link) = from.and_then(|member| self.links.get_mut(&member)) {
+                    if taken.has_more {
                         link.owe(&key)
                     } else {
                         link.settle(&key)
@@ -281,17 +295,17 @@
                     self.changed(from, key);
                 }
             }
-            Err(Full::Entries) => self.out.push(Output::NoPlace(key)),
+            Err(CapacityError::TooManyEntries) => self.out.push(Output::StoreFull(key)),
         }
     }
 
-    /// To be called each [`laurelroute_membership::TICK`].
+    /// To be called each [`laurelroute_membership::TICK_INTERVAL`].
     pub fn tick(&mut self, now: Nanos) -> Vec<Output> {
-        if self.rooted.is_none_or(|at| now.saturating_sub(at) >= ROOT) {
-            self.rooted = Some(now);
-            let root = self.store.root();
-            let idle: Vec<Seat> = self.links.iter().filter(|(_, l)| l.idle()).map(|(s, _)| *s).collect();
-            idle.into_iter().for_each(|seat| self.send(seat, Body::Root(root)));
+        if self.root_sent_at.is_none_or(|at| now.saturating_sub(at) >= ROOT) {
+            self.root_sent_at = Some(now);
+            let root = self.store.root_digest();
+            let idle: Vec<MemberId> = self.links.iter().filter(|(_, l)| l.idle()).map(|(s, _)| *s).collect();
+            idle.into_iter().for_each(|member| self.send(member, Body::RootDigest(root)));
         }
         let long = self.since.is_some_and(|at| now.saturating_sub(at) >= GRACE);
         if long && self.links.values().all(Link::heard_done) {
@@ -300,7 +314,7 @@
         if self.planted.is(Defect::ForgetsEarly) {
             self.forget_early();
         }
-        if let Some(step) = self.student.as_mut().map(|s| s.tick(now, self.me, &self.members)) {
+        if let Some(step) = self.fetcher.as_mut().map(|s| s.tick(now, self.me, &self.members)) {
             self.study(step);
         }
         self.flush(now);
@@ -310,9 +324,11 @@
     /// For tests.
     fn forget_early(&mut self) {
         let all = |key: &Key| self.links.values().all(|l| l.has(key)) && !self.links.is_empty();
-        let idle = |(key, entry): &(&Key, &Entry)| matches!(key, Key::Ban(_)) && !entry.out() && all(key);
+        let idle = |(key, entry): &(&Key, &Entry)| {
+            matches!(key, Key::Ban(_)) && !entry.excludes_server() && all(key)
+        };
         let forgotten: Vec<Key> = self.store.entries().filter(idle).map(|(key, _)| key.clone()).collect();
-        forgotten.iter().for_each(|key| self.store.forget(key));
+        forgotten.iter().for_each(|key| self.store.remove(key));
     }
 
     /// Sends what is owed, as far as the allowance goes.
@@ -322,20 +338,20 @@
         if earned > 0 {
             self.allowance = (now, (left + earned).min(BURST));
         }
-        for seat in self.links.keys().copied().collect::<Vec<_>>() {
+        for member in self.links.keys().copied().collect::<Vec<_>>() {
             if self.allowance.1 == 0 {
                 return;
             }
-            let Some(link) = self.links.get_mut(&seat) else { continue };
+            let Some(link) = self.links.get_mut(&member) else { continue };
             let words = link.send(now, &self.store, self.caught_up, &mut self.batches);
-            words.into_iter().for_each(|body| self.send(seat, body));
+            words.into_iter().for_each(|body| self.send(member, body));
         }
     }
 
     /// Takes a datagram that came from that seat's address.
-    pub fn receive(&mut self, now: Nanos, at: Seat, bytes: &[u8]) -> Vec<Output> {
+    pub fn receive(&mut self, now: Nanos, at: MemberId, bytes: &[u8]) -> Vec<Output> {
         match (Datagram::decode(bytes), bytes.first()) {
-            (_, Some(version)) if *version != VERSION => self.out.push(Output::Version(at, *version)),
+            (_, Some(version)) if *version != VERSION => self.out.push(Output::VersionMismatch(at, *version)),
             (Some(datagram), _) => self.hear(now, at, datagram),
             _ => {}
         }
@@ -343,37 +359,39 @@
         std::mem::take(&mut self.out)
     }
 
-    fn hear(&mut self, now: Nanos, at: Seat, Datagram { head, body }: Datagram) {
-        let life = Life::from_le_bytes(head.life);
+    fn hear(&mut self, now: Nanos, at: MemberId, Datagram { head, body }: Datagram) {
+        let incarnation = Incarnation::from_le_bytes(head.incarnation);
         let ours = head.site == self.site.to_le_bytes()
             && head.roster == self.tag.to_le_bytes()
-            && (head.from, head.to, head.to_life) == (at, self.me, self.life.to_le_bytes())
-            && self.members.get(&at) == Some(&life);
+            && (head.from, head.to, head.to_incarnation) == (at, self.me, self.incarnation.to_le_bytes())
+            && self.members.get(&at) == Some(&incarnation);
         if !ours {
             return;
         }
         match body {
-            Body::Ask(number, key, mark) => {
-                let same = self.store.get(&key).is_some() && self.store.mark(&key) == mark;
-                self.send(at, Body::Answer(number, same));
+            Body::EntryQuery(number, key, mark) => {
+                let same = self.store.get(&key).is_some() && self.store.entry_digest(&key) == mark;
+                self.send(at, Body::EntryReply(number, same));
+            }
+            Body::EntryReply(number, same) => self.out.push(Output::HolderReply(at, number, same)),
+            Body::SnapshotRequest(number, first) => {
+                self.out.push(Output::SnapshotRequested(at, number, first))
             }
-            Body::Answer(number, same) => self.out.push(Output::Has(at, number, same)),
-            Body::Learn(number, first) => self.out.push(Output::Asked(at, number, first)),
-            body @ (Body::Usual(..) | Body::Rows(..)) => {
-                if let Some(step) = self.student.as_mut().map(|s| s.hear(now, at, life, body)) {
+            body @ (Body::SnapshotSummary(..) | Body::SnapshotRows(..)) => {
+                if let Some(step) = self.fetcher.as_mut().map(|s| s.hear(now, at, incarnation, body)) {
                     self.study(step);
                 }
             }
-            body => self.hear_near(now, at, life, body),
+            body => self.hear_near(now, at, incarnation, body),
         }
     }
 
-    fn hear_near(&mut self, now: Nanos, at: Seat, life: Life, body: Body) {
-        let Some(link) = self.links.get_mut(&at).filter(|l| l.life == life) else { return };
+    fn hear_near(&mut self, now: Nanos, at: MemberId, incarnation: Incarnation, body: Body) {
+        let Some(link) = self.links.get_mut(&at).filter(|l| l.incarnation == incarnation) else { return };
         match body {
-            Body::Root(theirs) if theirs != self.store.root() => link.differs(now),
-            Body::Took(number, lacking) => link.took(number, lacking),
-            Body::Part(number, part, of, bytes) => {
+            Body::RootDigest(theirs) if theirs != self.store.root_digest() => link.differs(now),
+            Body::BatchAck(number, lacking) => link.took(number, lacking),
+            Body::BatchPart(number, part, of, bytes) => {
                 let (answer, whole) = link.part(number, part, of, bytes);
                 if let Some(items) = whole.and_then(|whole| items(&whole)) {
                     items.into_iter().for_each(|item| self.hear_item(at, item));
@@ -386,15 +404,15 @@
         }
     }
 
-    fn hear_item(&mut self, at: Seat, item: Item) {
+    fn hear_item(&mut self, at: MemberId, item: Item) {
         match item {
             Item::Entry(key, entry) => self.take(Some(at), key, entry),
-            Item::Buckets(theirs, back) => {
+            Item::BucketDigests(theirs, back) => {
                 if let Some(link) = self.links.get_mut(&at) {
                     link.compare(&self.store, &theirs, back);
                 }
             }
-            Item::Done(caught_up) => {
+            Item::SyncComplete(caught_up) => {
                 if let Some(link) = self.links.get_mut(&at) {
                     link.hear_done();
                 }
--- a/crates/replica/src/wire.rs
+++ b/crates/replica/src/wire.rs
@@ -1,9 +1,9 @@
 //! Datagrams between replicas: postcard, no longer than the members' own; and batches of entries, which go in parts.
 
 use crate::entry::{Entry, Key};
-use crate::lesson::{Row, Usual};
+use crate::snapshot::{FleetAverages, ServerRow};
 use laurelroute_membership::wire::{decode, encode};
-use laurelroute_membership::Seat;
+use laurelroute_membership::MemberId;
 use serde::{Deserialize, Serialize};
 
 /// The first byte, which no datagram of the members' own begins with; raised when a program could not understand one of
@@ -26,34 +26,34 @@
     /// The roster.
     pub roster: [u8; 2],
     /// The sender's seat.
-    pub from: Seat,
+    pub from: MemberId,
     /// Whom it is for.
-    pub to: Seat,
-    /// The sender's life.
-    pub life: [u8; 4],
-    /// The life that it is for: what was said to the process before is nothing to the one that has its seat now.
-    pub to_life: [u8; 4],
+    pub to: MemberId,
+    /// The sender's incarnation.
+    pub incarnation: [u8; 4],
+    /// The incarnation that it is for: what was said to the process before is nothing to the one that has its seat now.
+    pub to_incarnation: [u8; 4],
 }
 
-/// What is said.
+/// A message from one replica to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Of the batch with this number, this part of so many.
-    Part(u32, u8, u8, Vec<u8>),
-    /// Of that batch all parts but these have come.
-    Took(u32, Vec<u8>),
-    /// My copy, told from others.
-    Root(u64),
-    /// Do you have this entry with that mark? With a number for the answer.
-    Ask(u32, Key, u64),
-    /// Yes, or no.
-    Answer(u32, bool),
-    /// What have you learnt of servers? I have this lesson up to this row, or none yet.
-    Learn(u32, u32),
-    /// Of that lesson, which has so many rows: what is usual.
-    Usual(u32, u32, Usual),
-    /// Of that lesson, which has so many rows: those from this one on.
-    Rows(u32, u32, u32, Vec<Row>),
+    /// A part of a batch: the batch's number, the part's index, the number of parts, and the bytes.
+    BatchPart(u32, u8, u8, Vec<u8>),
+    /// Acknowledges the batch with this number, except for the parts listed as missing.
+    BatchAck(u32, Vec<u8>),
+    /// Digest of the sender's whole store.
+    RootDigest(u64),
+    /// Asks whether the receiver holds this entry with this digest; the number identifies the reply.
+    EntryQuery(u32, Key, u64),
+    /// Answers the query with this number.
+    EntryReply(u32, bool),
+    /// Asks for the rows of a snapshot from this index on; the snapshot's number is 0 where none is known yet.
+    SnapshotRequest(u32, u32),
+    /// The snapshot's number, its total of rows, and the fleet's averages.
+    SnapshotSummary(u32, u32, FleetAverages),
+    /// The snapshot's number, its total of rows, the index of the first row here, and the rows.
+    SnapshotRows(u32, u32, u32, Vec<ServerRow>),
 }
 
 /// A datagram.
@@ -77,15 +77,15 @@
     }
 }
 
-/// Something in a batch.
+/// An item of a batch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Item {
     /// An entry.
     Entry(Key, Entry),
-    /// Digests of my copy's buckets; whether I want yours back.
-    Buckets(Vec<u32>, bool),
-    /// You now have all that I have; whether I have all that there is, as far as I know.
-    Done(bool),
+    /// Digests of the sender's buckets, and whether it asks for the receiver's.
+    BucketDigests(Vec<u32>, bool),
+    /// The receiver now has every entry that the sender has; whether the sender has itself caught up.
+    SyncComplete(bool),
 }
 
 /// A batch as parts. Items are left out from the end where they would be too many; gives how many are in.
--- a/crates/replica/tests/joins.rs
+++ b/crates/replica/tests/joins.rs
@@ -1,8 +1,8 @@
 //! Copies that differ: whichever way they meet, and however often, they come to the same; and files that are not sound.
 
 use laurelroute_replica::disk::{decode, encode, FileError};
-use laurelroute_replica::store::MOST;
-use laurelroute_replica::{Dot, Drain, Entry, Key, Store, Word, Writer};
+use laurelroute_replica::store::MAX_ENTRIES;
+use laurelroute_replica::{BanChange, Dot, Drain, Entry, Key, Store, Writer};
 use proptest::prelude::*;
 
 /// What happens to three copies: a word said at one, a list heard at one, or one that takes in all that another has.
@@ -25,7 +25,7 @@
 
 fn take_all(to: &mut Store, from: &Store) {
     for (key, entry) in from.entries() {
-        to.take(key, entry.clone(), false).expect("there is room");
+        to.merge(key, entry.clone(), false).expect("there is room");
     }
 }
 
@@ -34,14 +34,16 @@
     for (number, step) in (1..).zip(steps) {
         match *step {
             Step::Say(at, host, out) => {
-                let writer = Writer { seat: at as u16, life: 7 };
+                let writer = Writer { member: at as u16, incarnation: 7 };
                 // Clocks go as they like.
-                let word = Word { dot: Dot { writer, number }, out, at: 1_000 - number };
-                copies[at].say(&format!("s{host}"), word).expect("there is room");
+                let word = BanChange { dot: Dot { writer, number }, banned: out, changed_at: 1_000 - number };
+                copies[at].set_ban(&format!("s{host}"), word).expect("there is room");
             }
             Step::Hear(at, host, version, out) => {
                 let key = Key::Drain(format!("s{host}"));
-                copies[at].take(&key, Entry::Drain(Drain { version, out }), false).expect("there is room");
+                copies[at]
+                    .merge(&key, Entry::Drain(Drain { version, drained: out }), false)
+                    .expect("there is room");
             }
             Step::Meet(from, to) => {
                 let other = copies[from].clone();
@@ -67,12 +69,12 @@
         for order in [[0, 2, 1], [1, 0, 2], [1, 2, 0], [2, 0, 1], [2, 1, 0]] {
             let other = met(order);
             prop_assert_eq!(encode(&one), encode(&other));
-            prop_assert_eq!((one.root(), one.buckets()), (other.root(), other.buckets()));
+            prop_assert_eq!((one.root_digest(), one.bucket_digests()), (other.root_digest(), other.bucket_digests()));
         }
         // All that differs can be found by the digests.
         for copy in &copies {
-            let theirs = copy.buckets();
-            let found: Vec<&Key> = one.differing(&theirs).collect();
+            let theirs = copy.bucket_digests();
+            let found: Vec<&Key> = one.differing_keys(&theirs).collect();
             let differs = |key: &&Key| one.get(key) != copy.get(key);
             prop_assert!(one.entries().map(|(k, _)| k).filter(differs).all(|k| found.contains(&k)));
         }
@@ -84,7 +86,7 @@
         let file = encode(copy);
         let mut back = Store::default();
         for (key, entry) in decode(&file).expect("it is sound") {
-            back.take(&key, entry, false).expect("there is room");
+            back.merge(&key, entry, false).expect("there is room");
         }
         prop_assert_eq!(&back, copy);
         let mut spoilt = file.clone();
@@ -95,44 +97,47 @@
     }
 }
 
-fn word(seat: u16, number: u64, out: bool) -> Word {
-    Word { dot: Dot { writer: Writer { seat, life: 1 }, number }, out, at: 0 }
+fn word(member: u16, number: u64, out: bool) -> BanChange {
+    BanChange { dot: Dot { writer: Writer { member, incarnation: 1 }, number }, banned: out, changed_at: 0 }
 }
 
 #[test]
 fn a_word_answers_what_its_speaker_knew_of_and_nothing_else() {
     let (mut here, mut there) = (Store::default(), Store::default());
-    here.say("s", word(0, 1, true)).unwrap();
+    here.set_ban("s", word(0, 1, true)).unwrap();
     take_all(&mut there, &here);
     // Put back there, and taken out here again: neither knows of the other.
-    there.say("s", word(1, 1, false)).unwrap();
-    here.say("s", word(0, 2, true)).unwrap();
+    there.set_ban("s", word(1, 1, false)).unwrap();
+    here.set_ban("s", word(0, 2, true)).unwrap();
     take_all(&mut here, &there);
     let bans = here.bans("s").unwrap();
-    assert!(bans.out() && bans.lost().is_some_and(|w| w.dot.writer.seat == 1), "{bans:?}");
+    assert!(
+        bans.is_banned() && bans.overridden_unban().is_some_and(|w| w.dot.writer.member == 1),
+        "{bans:?}"
+    );
     // Who knows of both can put it back.
-    here.say("s", word(0, 3, false)).unwrap();
+    here.set_ban("s", word(0, 3, false)).unwrap();
     take_all(&mut here, &there);
-    assert!(!here.bans("s").unwrap().out() && here.bans("s").unwrap().lost().is_none());
+    assert!(!here.bans("s").unwrap().is_banned() && here.bans("s").unwrap().overridden_unban().is_none());
 }
 
 #[test]
 fn where_there_is_no_room_a_ban_is_never_what_goes() {
     let mut copy = Store::default();
-    copy.say("first", word(0, 1, true)).unwrap();
-    copy.say("back", word(0, 2, true)).unwrap();
-    copy.say("back", word(0, 3, false)).unwrap();
-    for k in 0..MOST - 2 {
-        copy.say(&format!("s{k}"), word(0, 4 + k as u64, true)).unwrap();
+    copy.set_ban("first", word(0, 1, true)).unwrap();
+    copy.set_ban("back", word(0, 2, true)).unwrap();
+    copy.set_ban("back", word(0, 3, false)).unwrap();
+    for k in 0..MAX_ENTRIES - 2 {
+        copy.set_ban(&format!("s{k}"), word(0, 4 + k as u64, true)).unwrap();
     }
-    assert_eq!(copy.len(), MOST);
-    copy.say("one more", word(0, 5_000, true)).unwrap();
-    assert!(copy.bans("back").is_none() && copy.bans("first").is_some_and(|b| b.out()));
-    assert!(copy.say("too many", word(0, 5_001, true)).is_err());
-    assert!(copy.bans("too many").is_none() && copy.len() == MOST);
-    let drain = |version| Entry::Drain(Drain { version, out: true });
-    for k in 0..=MOST as u64 {
-        copy.take(&Key::Drain(format!("d{k}")), drain(10 + k), false).unwrap();
+    assert_eq!(copy.len(), MAX_ENTRIES);
+    copy.set_ban("one more", word(0, 5_000, true)).unwrap();
+    assert!(copy.bans("back").is_none() && copy.bans("first").is_some_and(|b| b.is_banned()));
+    assert!(copy.set_ban("too many", word(0, 5_001, true)).is_err());
+    assert!(copy.bans("too many").is_none() && copy.len() == MAX_ENTRIES);
+    let drain = |version| Entry::Drain(Drain { version, drained: true });
+    for k in 0..=MAX_ENTRIES as u64 {
+        copy.merge(&Key::Drain(format!("d{k}")), drain(10 + k), false).unwrap();
     }
     assert!(copy.drain("d0").is_none() && copy.drain("d1").is_some());
 }
--- a/crates/replica/tests/links.rs
+++ b/crates/replica/tests/links.rs
@@ -1,7 +1,7 @@
 //! Two and three replicas that speak to each other over links that lose: what comes through, what is sent again, and who is not
 //! listened to.
 
-use laurelroute_membership::{Nanos, Roster, Seat, View, MS};
+use laurelroute_membership::{MemberId, Nanos, Roster, View, MS};
 use laurelroute_replica::wire::{Body, Datagram, VERSION};
 use laurelroute_replica::{Key, Machine, Output};
 use std::collections::{BTreeMap, VecDeque};
@@ -10,9 +10,9 @@
     Roster::new((0..members).map(|k| format!("n{k}")).collect()).unwrap()
 }
 
-fn view(lives: &[u32]) -> View {
-    let members: BTreeMap<Seat, u32> = (0..).zip(lives).map(|(s, l)| (s, *l)).collect();
-    View::found(members, lives.len())
+fn view(incarnations: &[u32]) -> View {
+    let members: BTreeMap<MemberId, u32> = (0..).zip(incarnations).map(|(s, l)| (s, *l)).collect();
+    View::bootstrap(members, incarnations.len())
 }
 
 struct Pair {
@@ -44,7 +44,7 @@
             }
             let to = usize::from(*to);
             queue.extend(
-                self.machines[to].receive(self.now, from as Seat, bytes).into_iter().map(|o| (to, o)),
+                self.machines[to].receive(self.now, from as MemberId, bytes).into_iter().map(|o| (to, o)),
             );
         }
         seen
@@ -62,16 +62,16 @@
         seen
     }
 
-    fn enter(&mut self, lives: &[u32]) {
-        let view = view(lives);
-        for (k, life) in lives.iter().enumerate() {
-            let outputs = self.machines[k].view(self.now, &view, *life);
+    fn enter(&mut self, incarnations: &[u32]) {
+        let view = view(incarnations);
+        for (k, incarnation) in incarnations.iter().enumerate() {
+            let outputs = self.machines[k].apply_view(self.now, &view, *incarnation);
             self.carry(k, outputs);
         }
     }
 
-    fn say(&mut self, k: usize, host: &str, out: bool) -> Vec<(usize, Output)> {
-        let outputs = self.machines[k].say(self.now, host, out, 0).expect("there is room");
+    fn set_ban(&mut self, k: usize, host: &str, out: bool) -> Vec<(usize, Output)> {
+        let outputs = self.machines[k].set_ban(self.now, host, out, 0).expect("there is room");
         self.carry(k, outputs)
     }
 }
@@ -82,30 +82,30 @@
     pair.enter(&[10, 11]);
     pair.run(40);
     assert!(pair.machines.iter().all(Machine::caught_up));
-    pair.say(0, "s", true);
-    assert!(pair.machines[1].bans("s").is_some_and(|b| b.out()));
-    assert_eq!(pair.machines[0].held_by(&Key::Ban("s".to_owned())), 1);
-    let outputs = pair.machines[0].ask(7, &Key::Ban("s".to_owned()));
-    assert_eq!(pair.carry(0, outputs), [(0, Output::Has(1, 7, true))]);
+    pair.set_ban(0, "s", true);
+    assert!(pair.machines[1].bans("s").is_some_and(|b| b.is_banned()));
+    assert_eq!(pair.machines[0].holder_count(&Key::Ban("s".to_owned())), 1);
+    let outputs = pair.machines[0].query_holders(7, &Key::Ban("s".to_owned()));
+    assert_eq!(pair.carry(0, outputs), [(0, Output::HolderReply(1, 7, true))]);
 }
 
 #[test]
 fn many_entries_come_through_links_that_lose() {
     let mut pair = Pair::new(2);
     for k in 0..700 {
-        pair.say(0, &format!("a-box-with-a-rather-long-name-{k}"), true);
-        pair.say(1, &format!("another-box-{k}"), k % 2 == 0);
+        pair.set_ban(0, &format!("a-box-with-a-rather-long-name-{k}"), true);
+        pair.set_ban(1, &format!("another-box-{k}"), k % 2 == 0);
     }
     pair.loses = 3;
     pair.enter(&[10, 11]);
     let mut ticks = 0;
-    while pair.machines[0].store().root() != pair.machines[1].store().root() && ticks < 400 {
+    while pair.machines[0].store().root_digest() != pair.machines[1].store().root_digest() && ticks < 400 {
         pair.run(1);
         ticks += 1;
     }
     // 1,024 of 1,400 have a place; those in use go first, so that both have the same bans at least.
     println!("{ticks} ticks, {} datagrams", pair.sent);
-    let outs = |m: &Machine| m.store().entries().filter(|(_, e)| e.out()).count();
+    let outs = |m: &Machine| m.store().entries().filter(|(_, e)| e.excludes_server()).count();
     assert!(outs(&pair.machines[0]) >= 1_000 && outs(&pair.machines[1]) >= 1_000);
 }
 
@@ -114,17 +114,17 @@
     let mut pair = Pair::new(2);
     pair.enter(&[10, 11]);
     for k in 0..5 {
-        pair.say(0, &format!("s{k}"), true);
+        pair.set_ban(0, &format!("s{k}"), true);
     }
     // The first one alone sees the other leave and come back.
     let (alone, both) = (view(&[10]), view(&[10, 11]));
-    let outputs = pair.machines[0].view(pair.now, &alone, 10);
+    let outputs = pair.machines[0].apply_view(pair.now, &alone, 10);
     pair.carry(0, outputs);
-    let outputs = pair.machines[0].view(pair.now, &both, 10);
+    let outputs = pair.machines[0].apply_view(pair.now, &both, 10);
     pair.carry(0, outputs);
-    pair.say(0, "later", true);
+    pair.set_ban(0, "later", true);
     pair.run(10);
-    assert!(pair.machines[1].bans("later").is_some_and(|b| b.out()));
+    assert!(pair.machines[1].bans("later").is_some_and(|b| b.is_banned()));
 }
 
 #[test]
@@ -132,7 +132,7 @@
     let mut pair = Pair::new(2);
     pair.enter(&[10, 11]);
     pair.run(4);
-    let outputs = pair.machines[0].say(pair.now, "s", true, 0).unwrap();
+    let outputs = pair.machines[0].set_ban(pair.now, "s", true, 0).unwrap();
     let bytes = outputs
         .iter()
         .find_map(|o| match o {
@@ -146,19 +146,19 @@
         datagram.encode().unwrap()
     };
     let wrong = [
-        spoilt(|d| d.head.life = [9; 4]),
+        spoilt(|d| d.head.incarnation = [9; 4]),
         spoilt(|d| d.head.site = [1; 2]),
         spoilt(|d| d.head.roster = [1; 2]),
         spoilt(|d| d.head.to = 0),
-        spoilt(|d| d.head.to_life = [9; 4]),
+        spoilt(|d| d.head.to_incarnation = [9; 4]),
     ];
     for bytes in wrong {
         assert_eq!(pair.machines[1].receive(pair.now, 0, &bytes), []);
     }
     let newer = spoilt(|d| d.head.version = VERSION + 1);
-    assert_eq!(pair.machines[1].receive(pair.now, 0, &newer), [Output::Version(0, VERSION + 1)]);
+    assert_eq!(pair.machines[1].receive(pair.now, 0, &newer), [Output::VersionMismatch(0, VERSION + 1)]);
     assert!(pair.machines[1].bans("s").is_none());
-    assert!(matches!(Datagram::decode(&bytes).unwrap().body, Body::Part(..)));
+    assert!(matches!(Datagram::decode(&bytes).unwrap().body, Body::BatchPart(..)));
     pair.machines[1].receive(pair.now, 0, &bytes);
     assert!(pair.machines[1].bans("s").is_some());
     // Bytes of all kinds are taken without harm.
@@ -173,14 +173,14 @@
     let mut pair = Pair::new(3);
     pair.enter(&[10, 11, 12]);
     pair.run(4);
-    pair.say(0, "s", true);
+    pair.set_ban(0, "s", true);
     let old: Vec<_> = pair.machines[2].store().entries().map(|(k, e)| (k.clone(), e.clone())).collect();
-    pair.say(1, "s", false);
+    pair.set_ban(1, "s", false);
     pair.machines[2] = Machine::new("s", &roster(3), 2, 99);
     assert!(pair.machines[2].restore(old).contains(&Output::Changed(Key::Ban("s".to_owned()))));
-    assert!(pair.machines[2].bans("s").is_some_and(|b| b.out()));
+    assert!(pair.machines[2].bans("s").is_some_and(|b| b.is_banned()));
     pair.enter(&[10, 11, 99]);
     pair.run(40);
-    assert!(pair.machines.iter().all(|m| m.bans("s").is_some_and(|b| !b.out())));
+    assert!(pair.machines.iter().all(|m| m.bans("s").is_some_and(|b| !b.is_banned())));
     assert!(pair.machines[2].caught_up());
 }
--- a/crates/simulation/src/members/copies.rs
+++ b/crates/simulation/src/members/copies.rs
@@ -6,7 +6,7 @@
 use crate::schedule::Fault;
 use crate::{Nanos, MS, S};
 use laurelroute_membership::defect::Planted as MemberPlanted;
-use laurelroute_membership::{Life, Seat, View};
+use laurelroute_membership::{Incarnation, MemberId, View};
 use laurelroute_replica::defect::Planted;
 use laurelroute_replica::{disk, Bans, Dot, Machine, Output};
 use std::collections::BTreeMap;
@@ -53,7 +53,7 @@
     /// When all that ran had it.
     everywhere: Option<Nanos>,
     /// Since when each run of a process has it.
-    had: BTreeMap<(Seat, u32), Nanos>,
+    had: BTreeMap<(MemberId, u32), Nanos>,
 }
 
 /// What is said, and how the clocks go.
@@ -82,10 +82,10 @@
         }
     }
 
-    pub(super) fn start_copy(&mut self, seat: Seat) {
+    pub(super) fn start_copy(&mut self, seat: MemberId) {
         let Some(copies) = &self.copies else { return };
         let process = &mut self.processes[usize::from(seat)];
-        let Some(life) = process.machine.as_ref().map(|m| m.life()) else { return };
+        let Some(life) = process.machine.as_ref().map(|m| m.incarnation()) else { return };
         let mut machine = Machine::new("perth", &self.roster, seat, life);
         machine.plant(copies.planted);
         // A disk that was new holds nothing, which is no file.
@@ -93,19 +93,21 @@
         process.copy.machine = Some(machine);
     }
 
-    pub(super) fn view_copy(&mut self, seat: Seat, view: &View) {
-        let Some(life) = self.processes[usize::from(seat)].machine.as_ref().map(|m| m.life()) else { return };
+    pub(super) fn view_copy(&mut self, seat: MemberId, view: &View) {
+        let Some(life) = self.processes[usize::from(seat)].machine.as_ref().map(|m| m.incarnation()) else {
+            return;
+        };
         let now = self.now;
-        self.act_copy(seat, |copy| copy.view(now, view, life));
+        self.act_copy(seat, |copy| copy.apply_view(now, view, life));
     }
 
-    pub(super) fn leave_copy(&mut self, seat: Seat) {
+    pub(super) fn leave_copy(&mut self, seat: MemberId) {
         if let Some(machine) = &mut self.processes[usize::from(seat)].copy.machine {
             machine.leave();
         }
     }
 
-    pub(super) fn act_copy(&mut self, seat: Seat, f: impl FnOnce(&mut Machine) -> Vec<Output>) {
+    pub(super) fn act_copy(&mut self, seat: MemberId, f: impl FnOnce(&mut Machine) -> Vec<Output>) {
         let Some(machine) = &mut self.processes[usize::from(seat)].copy.machine else { return };
         let outputs = f(machine);
         let mut changed = false;
@@ -115,9 +117,9 @@
                 Output::Changed(_) => changed = true,
                 Output::CaughtUp => self.look_at_caught_up(seat),
                 // Nobody here has servers to learn of.
-                Output::Asked(..) | Output::Learnt(..) => {}
-                Output::Lost(_) => self.copies.iter_mut().for_each(|c| c.lost += 1),
-                Output::Has(..) | Output::Version(..) | Output::NoPlace(_) => {}
+                Output::SnapshotRequested(..) | Output::SnapshotReceived(..) => {}
+                Output::UnbanOverridden(_) => self.copies.iter_mut().for_each(|c| c.lost += 1),
+                Output::HolderReply(..) | Output::VersionMismatch(..) | Output::StoreFull(_) => {}
             }
         }
         let copy = &mut self.processes[usize::from(seat)].copy;
@@ -127,7 +129,7 @@
         }
     }
 
-    pub(super) fn say(&mut self, seat: Seat, server: u16, out: bool) {
+    pub(super) fn say(&mut self, seat: MemberId, server: u16, out: bool) {
         let (now, paused) = (self.now, self.processes[usize::from(seat)].paused.1);
         let Some(copies) = &self.copies else { return };
         let at = now.saturating_add_signed(copies.skews[usize::from(seat)]);
@@ -138,11 +140,11 @@
         };
         let knew = machine.bans(&host).cloned().unwrap_or_default();
         // Who puts back what is not out says nothing, as at a node.
-        if knew.out() == out {
+        if knew.is_banned() == out {
             return;
         }
-        let Ok(outputs) = machine.say(now, &host, out, at) else { return };
-        let Some(dot) = machine.bans(&host).and_then(|b| b.words().first()).map(|w| w.dot) else { return };
+        let Ok(outputs) = machine.set_ban(now, &host, out, at) else { return };
+        let Some(dot) = machine.bans(&host).and_then(|b| b.changes().first()).map(|w| w.dot) else { return };
         if let Some(copies) = &mut self.copies {
             // The disk has it before anybody is answered.
             copies.said.push(Said { at: now, host, dot, out, knew, everywhere: None, had: BTreeMap::new() });
@@ -150,15 +152,15 @@
         self.act_copy(seat, |_| outputs);
     }
 
-    fn knows(&self, seat: Seat, said: &Said) -> bool {
+    fn knows(&self, seat: MemberId, said: &Said) -> bool {
         let machine = self.processes[usize::from(seat)].copy.machine.as_ref();
-        machine.and_then(|m| m.bans(&said.host)).is_some_and(|b| b.knew(said.dot))
+        machine.and_then(|m| m.bans(&said.host)).is_some_and(|b| b.has_seen(said.dot))
     }
 
     fn look_at_words(&mut self) {
         let Some(mut copies) = self.copies.take() else { return };
         for said in &mut copies.said {
-            let who: Vec<Seat> = self.seats().into_iter().filter(|s| self.knows(*s, said)).collect();
+            let who: Vec<MemberId> = self.seats().into_iter().filter(|s| self.knows(*s, said)).collect();
             for seat in who {
                 let run = (seat, self.processes[usize::from(seat)].starts);
                 said.had.entry(run).or_insert(self.now);
@@ -175,19 +177,21 @@
     }
 
     /// What all others of its view know, it has to know now.
-    fn look_at_caught_up(&mut self, seat: Seat) {
+    fn look_at_caught_up(&mut self, seat: MemberId) {
         let Some(mut copies) = self.copies.take() else { return };
-        let members: Vec<(Seat, Life)> = self
+        let members: Vec<(MemberId, Incarnation)> = self
             .machine(seat)
             .and_then(|m| m.view())
             .map_or_else(Vec::new, |v| v.members.iter().map(|(s, l)| (*s, *l)).collect());
         // Who has just woken has yet to read what came meanwhile.
         let ran = self.processes[usize::from(seat)].paused.1 + UNDER_WAY <= self.now;
-        let there = |(s, l): &&(Seat, Life)| *s != seat && self.machine(*s).is_some_and(|m| m.life() == *l);
+        let there = |(s, l): &&(MemberId, Incarnation)| {
+            *s != seat && self.machine(*s).is_some_and(|m| m.incarnation() == *l)
+        };
         for said in &copies.said {
-            let others: Vec<Seat> = members.iter().filter(there).map(|(s, _)| *s).collect();
-            let run = |seat: Seat| (seat, self.processes[usize::from(seat)].starts);
-            let had = |s: &Seat| said.had.get(&run(*s)).is_some_and(|at| self.now - at >= UNDER_WAY);
+            let others: Vec<MemberId> = members.iter().filter(there).map(|(s, _)| *s).collect();
+            let run = |seat: MemberId| (seat, self.processes[usize::from(seat)].starts);
+            let had = |s: &MemberId| said.had.get(&run(*s)).is_some_and(|at| self.now - at >= UNDER_WAY);
             let all = ran && !others.is_empty() && others.iter().all(had);
             if all && !self.knows(seat, said) {
                 copies
@@ -244,10 +248,10 @@
             let known: Vec<&Said> =
                 copies.said.iter().filter(|s| s.host == *host && self.knows(seat, s)).collect();
             // A word stands until somebody who knew of it has spoken.
-            let stands = |s: &&&Said| !known.iter().any(|other| other.knew.knew(s.dot));
+            let stands = |s: &&&Said| !known.iter().any(|other| other.knew.has_seen(s.dot));
             let out = known.iter().filter(stands).any(|s| s.out);
             let machine = self.processes[usize::from(seat)].copy.machine.as_ref();
-            let is = machine.and_then(|m| m.bans(host)).is_some_and(Bans::out);
+            let is = machine.and_then(|m| m.bans(host)).is_some_and(Bans::is_banned);
             if is != out {
                 broken.push(format!("{host} is out: {is}, and by what was said it is {out}"));
             }
--- a/crates/simulation/src/members/mod.rs
+++ b/crates/simulation/src/members/mod.rs
@@ -7,7 +7,7 @@
 use crate::schedule::{Fault, Line, Network};
 use crate::{Nanos, MS, S};
 use laurelroute_membership::defect::Planted;
-use laurelroute_membership::{Life, Machine, Output, Roster, Seat, View, TICK};
+use laurelroute_membership::{Incarnation, Machine, MemberId, Output, Roster, View, TICK_INTERVAL};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
@@ -18,8 +18,8 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Deliver { from: Seat, to: Seat, bytes: Vec<u8> },
-    Tick { seat: Seat, start: u32 },
+    Deliver { from: MemberId, to: MemberId, bytes: Vec<u8> },
+    Tick { seat: MemberId, start: u32 },
 }
 
 #[derive(Debug, Default)]
@@ -27,7 +27,7 @@
     machine: Option<Machine>,
     starts: u32,
     paused: (Nanos, Nanos),
-    waiting: Vec<(Seat, Vec<u8>)>,
+    waiting: Vec<(MemberId, Vec<u8>)>,
     views: Vec<(Nanos, View)>,
     sent: u64,
     copy: copies::Kept,
@@ -39,7 +39,7 @@
     /// When the first one learnt of it.
     pub at: Nanos,
     /// Who.
-    pub seat: Seat,
+    pub seat: MemberId,
     /// Its process runs with this life, and has for so long without a pause; `None` where it does not.
     pub ran_for: Option<Nanos>,
     /// Its last pause lasted so long.
@@ -54,9 +54,9 @@
     processes: Vec<Process>,
     queue: BinaryHeap<Reverse<(Nanos, u64, Event)>>,
     count: u64,
-    cut: BTreeSet<(Seat, Seat)>,
+    cut: BTreeSet<(MemberId, MemberId)>,
     network: Network,
-    lines: BTreeMap<(Seat, Seat), Line>,
+    lines: BTreeMap<(MemberId, MemberId), Line>,
     draw: Draw,
     planted: Planted,
     seen: BTreeMap<(u16, u64), View>,
@@ -98,7 +98,7 @@
         };
         let starts: Vec<Nanos> = (0..members).map(|_| S + fleet.draw.between(0, within.max(1))).collect();
         for (seat, at) in starts.into_iter().enumerate() {
-            fleet.start(seat as Seat, at);
+            fleet.start(seat as MemberId, at);
         }
         fleet
     }
@@ -108,7 +108,7 @@
         self.queue.push(Reverse((at, self.count, event)));
     }
 
-    fn start(&mut self, seat: Seat, at: Nanos) {
+    fn start(&mut self, seat: MemberId, at: Nanos) {
         let mut seed = [0; 16];
         seed.iter_mut().for_each(|b| *b = self.draw.below(256) as u8);
         let mut machine = Machine::new("perth", self.roster.clone(), seat, seed, at);
@@ -200,7 +200,7 @@
                 }
                 self.look();
                 self.look_after_pause(seat);
-                let next = now + TICK + self.draw.between(0, 2 * MS);
+                let next = now + TICK_INTERVAL + self.draw.between(0, 2 * MS);
                 self.push(next, Event::Tick { seat, start });
             }
             Event::Deliver { from, to, bytes } => {
@@ -219,7 +219,7 @@
         }
     }
 
-    fn deliver(&mut self, from: Seat, to: Seat, bytes: &[u8]) {
+    fn deliver(&mut self, from: MemberId, to: MemberId, bytes: &[u8]) {
         let now = self.now;
         if bytes.first() == Some(&laurelroute_replica::wire::VERSION) {
             return self.act_copy(to, |copy| copy.receive(now, from, bytes));
@@ -227,23 +227,23 @@
         self.act(to, |machine| machine.receive(now, from, bytes));
     }
 
-    fn act(&mut self, seat: Seat, f: impl FnOnce(&mut Machine) -> Vec<Output>) {
+    fn act(&mut self, seat: MemberId, f: impl FnOnce(&mut Machine) -> Vec<Output>) {
         let Some(machine) = &mut self.processes[usize::from(seat)].machine else { return };
         let outputs = f(machine);
         for output in outputs {
             match output {
                 Output::Send(to, bytes) => self.send(seat, to, bytes),
-                Output::View(view) => {
+                Output::ViewChanged(view) => {
                     self.view_copy(seat, &view);
                     self.saw(seat, view);
                 }
-                Output::Out => self.leave_copy(seat),
-                Output::Refused(..) => {}
+                Output::Removed => self.leave_copy(seat),
+                Output::Rejected(..) => {}
             }
         }
     }
 
-    fn send(&mut self, from: Seat, to: Seat, bytes: Vec<u8>) {
+    fn send(&mut self, from: MemberId, to: MemberId, bytes: Vec<u8>) {
         self.processes[usize::from(from)].sent += bytes.len() as u64 + MARK;
         if bytes.len() > 256 {
             self.broken.push(format!("a datagram of {} bytes", bytes.len()));
@@ -261,7 +261,7 @@
         }
     }
 
-    fn saw(&mut self, seat: Seat, view: View) {
+    fn saw(&mut self, seat: MemberId, view: View) {
         let key = (view.lineage, view.number);
         let first = self.seen.get(&key).cloned();
         match first {
@@ -287,7 +287,7 @@
         let gone = before.members.iter().filter(|(seat, life)| after.members.get(seat) != Some(life));
         for (seat, life) in gone {
             let process = &self.processes[usize::from(*seat)];
-            let runs = process.machine.as_ref().is_some_and(|m| m.life() == *life);
+            let runs = process.machine.as_ref().is_some_and(|m| m.incarnation() == *life);
             self.removals.push(Removal {
                 at: self.now,
                 seat: *seat,
@@ -302,16 +302,16 @@
     }
 
     /// Who has just woken accuses nobody that runs.
-    fn look_after_pause(&mut self, seat: Seat) {
+    fn look_after_pause(&mut self, seat: MemberId) {
         let process = &self.processes[usize::from(seat)];
         let (from, to) = process.paused;
         let woken = to > from + S && self.now < to + 500 * MS;
         let Some(machine) = process.machine.as_ref().filter(|_| woken) else { return };
-        let runs = |s: &&Seat| {
+        let runs = |s: &&MemberId| {
             let other = &self.processes[usize::from(**s)];
             other.machine.is_some() && other.paused.1 < from
         };
-        if let Some(accused) = machine.accuses().iter().find(runs) {
+        if let Some(accused) = machine.suspects().iter().find(runs) {
             self.broken.push(format!("seat {seat}, just woken, accuses {accused} at {} ms", self.now / MS));
         }
     }
@@ -332,7 +332,8 @@
 
     /// All that run have one view, and it has just them.
     pub fn agreed(&self) -> bool {
-        let running: BTreeMap<Seat, Life> = self.running().map(|m| (m.seat(), m.life())).collect();
+        let running: BTreeMap<MemberId, Incarnation> =
+            self.running().map(|m| (m.id(), m.incarnation())).collect();
         self.running().all(|m| m.view().is_some_and(|v| v.members == running))
     }
 
@@ -349,22 +350,22 @@
     }
 
     /// The seats.
-    pub fn seats(&self) -> Vec<Seat> {
-        self.roster.seats().collect()
+    pub fn seats(&self) -> Vec<MemberId> {
+        self.roster.ids().collect()
     }
 
     /// Those whose process runs.
-    pub fn runs(&self, seat: Seat) -> bool {
+    pub fn runs(&self, seat: MemberId) -> bool {
         self.processes[usize::from(seat)].machine.is_some()
     }
 
     /// A member's machine, where it runs.
-    pub fn machine(&self, seat: Seat) -> Option<&Machine> {
+    pub fn machine(&self, seat: MemberId) -> Option<&Machine> {
         self.processes[usize::from(seat)].machine.as_ref()
     }
 
     /// The views that a seat has seen, with when.
-    pub fn views(&self, seat: Seat) -> &[(Nanos, View)] {
+    pub fn views(&self, seat: MemberId) -> &[(Nanos, View)] {
         &self.processes[usize::from(seat)].views
     }
 
--- a/crates/simulation/src/schedule.rs
+++ b/crates/simulation/src/schedule.rs
@@ -3,7 +3,7 @@
 
 use crate::draw::Draw;
 use crate::{Nanos, MS, S};
-use laurelroute_membership::Seat;
+use laurelroute_membership::MemberId;
 use std::fmt;
 use std::str::FromStr;
 
@@ -59,21 +59,21 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
     /// The process ends.
-    Kill(Seat),
+    Kill(MemberId),
     /// It starts with a new life, if it does not run.
-    Start(Seat),
+    Start(MemberId),
     /// It starts with a new life and without what the one before kept, if it does not run.
-    Fresh(Seat),
+    Fresh(MemberId),
     /// Staff take this server out of use there, or put it back.
-    Say(Seat, u16, bool),
+    Say(MemberId, u16, bool),
     /// It does not run for so long.
-    Pause(Seat, Nanos),
+    Pause(MemberId, Nanos),
     /// Nothing can be written or read where it keeps what it knows, for so long.
-    NoDisk(Seat, Nanos),
+    NoDisk(MemberId, Nanos),
     /// It gets no further descriptor for so long.
-    NoDescriptors(Seat, Nanos),
+    NoDescriptors(MemberId, Nanos),
     /// From each of these nothing comes to any of those.
-    Cut(Vec<Seat>, Vec<Seat>),
+    Cut(Vec<MemberId>, Vec<MemberId>),
     /// All links carry again.
     Mend,
     /// All links become like this.
@@ -88,13 +88,13 @@
     let mut now = 0;
     for _ in 0..1 + draw.below(8) {
         now += draw.between(0, 6 * S);
-        let some = |draw: &mut Draw, most: usize| -> Vec<Seat> {
+        let some = |draw: &mut Draw, most: usize| -> Vec<MemberId> {
             let count = 1 + draw.below(most.max(1));
-            (0..count).map(|_| draw.below(members) as Seat).collect()
+            (0..count).map(|_| draw.below(members) as MemberId).collect()
         };
         match draw.below(8) {
             0 => {
-                let seat = draw.below(members) as Seat;
+                let seat = draw.below(members) as MemberId;
                 faults.push((now, Fault::Kill(seat)));
                 faults.push((now + draw.between(100 * MS, 8 * S), Fault::Start(seat)));
             }
@@ -110,18 +110,18 @@
                     .extend(some(&mut draw, members / 5).into_iter().map(|s| (now, Fault::Pause(s, lasts))));
             }
             3 => {
-                let (a, b) = (draw.below(members) as Seat, draw.below(members) as Seat);
+                let (a, b) = (draw.below(members) as MemberId, draw.below(members) as MemberId);
                 faults.push((now, Fault::Cut(vec![a], vec![b])));
             }
             4 => {
                 let third = some(&mut draw, members / 3);
-                let rest: Vec<Seat> = (0..members as Seat).filter(|s| !third.contains(s)).collect();
+                let rest: Vec<MemberId> = (0..members as MemberId).filter(|s| !third.contains(s)).collect();
                 let inwards = draw.chance(0.5);
                 faults.push((now, if inwards { Fault::Cut(rest, third) } else { Fault::Cut(third, rest) }));
             }
             5 => {
-                let half: Vec<Seat> = (0..members as Seat).filter(|_| draw.chance(0.5)).collect();
-                let rest: Vec<Seat> = (0..members as Seat).filter(|s| !half.contains(s)).collect();
+                let half: Vec<MemberId> = (0..members as MemberId).filter(|_| draw.chance(0.5)).collect();
+                let rest: Vec<MemberId> = (0..members as MemberId).filter(|s| !half.contains(s)).collect();
                 faults.push((now, Fault::Cut(half.clone(), rest.clone())));
                 faults.push((now, Fault::Cut(rest, half)));
             }
@@ -144,7 +144,7 @@
     let end = faults.last().map_or(0, |(at, _)| *at) + 10 * S;
     faults.push((end, Fault::Mend));
     faults.push((end, Fault::Network(Network::default())));
-    faults.extend((0..members as Seat).map(|s| (end, Fault::Start(s))));
+    faults.extend((0..members as MemberId).map(|s| (end, Fault::Start(s))));
     faults
 }
 
@@ -160,7 +160,7 @@
     let mut draw = Draw::new(seed, 84);
     let end = faults.last().map_or(0, |(at, _)| *at).saturating_sub(10 * S);
     for _ in 0..draw.below(4) {
-        let (at, seat) = (draw.between(0, end + S), draw.below(members) as Seat);
+        let (at, seat) = (draw.between(0, end + S), draw.below(members) as MemberId);
         let lasts = draw.between(200 * MS, 4 * S);
         match draw.below(3) {
             0 => faults.push((at, Fault::NoDisk(seat, lasts))),
@@ -191,7 +191,7 @@
         Fault::Kill(seat) => Some((*at, *seat)),
         _ => None,
     };
-    let killed: Vec<(Nanos, Seat)> = faults.iter().filter_map(kill).collect();
+    let killed: Vec<(Nanos, MemberId)> = faults.iter().filter_map(kill).collect();
     for (at, seat) in killed {
         let server = draw.below(usize::from(servers)) as u16;
         faults
@@ -199,12 +199,12 @@
         faults.push((at + draw.between(0, 12 * S), Fault::Say(seat, server, draw.chance(0.5))));
     }
     for _ in 0..2 + draw.below(12) {
-        let (seat, server) = (draw.below(members) as Seat, draw.below(usize::from(servers)) as u16);
+        let (seat, server) = (draw.below(members) as MemberId, draw.below(usize::from(servers)) as u16);
         let at = draw.between(0, end);
         faults.push((at, Fault::Say(seat, server, draw.chance(0.6))));
         if draw.chance(0.3) {
             // Somebody else says the opposite at about the same moment.
-            let other = draw.below(members) as Seat;
+            let other = draw.below(members) as MemberId;
             faults.push((at + draw.between(0, 20 * MS), Fault::Say(other, server, draw.chance(0.5))));
         }
     }
@@ -214,7 +214,7 @@
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let list = |seats: &[Seat]| seats.iter().map(Seat::to_string).collect::<Vec<_>>().join(",");
+        let list = |seats: &[MemberId]| seats.iter().map(MemberId::to_string).collect::<Vec<_>>().join(",");
         match self {
             Fault::Kill(seat) => write!(f, "kill {seat}"),
             Fault::Start(seat) => write!(f, "start {seat}"),
@@ -268,7 +268,7 @@
     Some(number::<Nanos>(text, "ms")? * MS)
 }
 
-fn seats(text: Option<&str>) -> Option<Vec<Seat>> {
+fn seats(text: Option<&str>) -> Option<Vec<MemberId>> {
     text?.split(',').map(|seat| seat.parse().ok()).collect()
 }
 
--- a/crates/simulation/tests/members.rs
+++ b/crates/simulation/tests/members.rs
@@ -1,7 +1,7 @@
 //! Members of a fleet under the faults that they have to bear, in simulated time.
 
 use laurelroute_membership::defect::{Defect, Planted};
-use laurelroute_membership::Seat;
+use laurelroute_membership::MemberId;
 use laurelroute_simulation::members::{play, Fleet};
 use laurelroute_simulation::schedule::{drawn, Fault, Network};
 use laurelroute_simulation::{MS, S};
@@ -36,7 +36,7 @@
 fn a_kill_is_noticed_and_the_rest_use_what_it_had() {
     for seed in 0..20 {
         let mut fleet = founded(12, seed);
-        fleet.apply(&Fault::Kill((seed % 12) as Seat));
+        fleet.apply(&Fault::Kill((seed % 12) as MemberId));
         let took = fleet.settle(6 * S).expect("all agree");
         assert!(took <= 3_500 * MS, "{} ms, seed {seed}", took / MS);
         fleet.run(5 * S - took);
@@ -52,7 +52,7 @@
         let mut fleet = founded(30, seed);
         // Fewer than half of the council.
         let council = fleet.machine(0).and_then(|m| m.view()).expect("a view").council();
-        let killed: Vec<Seat> =
+        let killed: Vec<MemberId> =
             council[8..].iter().copied().chain((0..30).filter(|s| !council.contains(s)).take(3)).collect();
         killed.iter().for_each(|s| fleet.apply(&Fault::Kill(*s)));
         assert!(fleet.settle(8 * S).is_some(), "seed {seed}");
@@ -107,7 +107,7 @@
     for seed in 0..10 {
         for inwards in [false, true] {
             let mut fleet = founded(12, seed);
-            let (third, rest): (Vec<Seat>, Vec<Seat>) = ((0..4).collect(), (4..12).collect());
+            let (third, rest): (Vec<MemberId>, Vec<MemberId>) = ((0..4).collect(), (4..12).collect());
             let cut = if inwards {
                 Fault::Cut(rest.clone(), third.clone())
             } else {
@@ -131,7 +131,8 @@
 fn halves_never_use_more_than_the_whole_and_mend() {
     for seed in 0..10 {
         let mut fleet = founded(12, seed);
-        let (a, b): (Vec<Seat>, Vec<Seat>) = (0..12).partition(|s| (u64::from(*s) * 7 + seed) % 2 == 0);
+        let (a, b): (Vec<MemberId>, Vec<MemberId>) =
+            (0..12).partition(|s| (u64::from(*s) * 7 + seed) % 2 == 0);
         fleet.apply(&Fault::Cut(a.clone(), b.clone()));
         fleet.apply(&Fault::Cut(b, a));
         fleet.run(30 * S);
