--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! The real program between sockets of the test's own, in HTTP's own words.
+//! Helpers that run the real program between fake HTTP servers and raw client sockets of the test.
 #![allow(dead_code)]
 
 use laurelroute_testkit::discovery::{Discovery, Entry};
@@ -13,16 +13,16 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// A request as a fake server has read it.
+/// A request that a fake server has read.
 #[derive(Clone, Debug)]
 pub struct Seen {
     pub head: String,
     pub body: Vec<u8>,
-    /// Which connection it came on, in the order of connecting.
+    /// The connection that it arrived on, numbered in the order of accepting.
     pub connection: usize,
 }
 
-/// One message's head and body; `None` where the peer has closed or sent what is none.
+/// Reads one message, head and body; `None` if the peer closed the connection or sent a malformed message.
 pub fn read_message(stream: &mut TcpStream) -> Option<Seen> {
     let mut head = Vec::new();
     let mut byte = [0];
@@ -35,8 +35,10 @@
         let body = read_chunks(stream)?;
         return Some(Seen { head, body, connection: 0 });
     }
-    let length =
-        head.to_lowercase().lines().find_map(|l| l.strip_prefix("content-length:")?.trim().parse().ok());
+    let length = head
+        .to_lowercase()
+        .lines()
+        .find_map(|line| line.strip_prefix("content-length:")?.trim().parse().ok());
     let mut body = vec![0; length.unwrap_or(0)];
     stream.read_exact(&mut body).ok()?;
     Some(Seen { head, body, connection: 0 })
@@ -61,14 +63,14 @@
     }
 }
 
-/// An answer with this status line's end and body.
+/// A response with this status (code and reason) and body.
 pub fn reply(status: &str, body: &str) -> Vec<u8> {
     format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
 type Script = dyn Fn(&Seen, &mut TcpStream) -> bool + Send + Sync;
 
-/// A server that answers by a script; the script says whether the connection goes on.
+/// A server that answers with a script, which returns whether the connection stays open.
 pub struct FakeServer {
     pub address: SocketAddr,
     pub seen: Arc<Mutex<Vec<Seen>>>,
@@ -81,15 +83,15 @@
         let address = listener.local_addr().expect("an address");
         let (seen, connections) = (Arc::new(Mutex::new(Vec::new())), Arc::new(AtomicUsize::new(0)));
         let script: Arc<Script> = Arc::new(script);
-        let (list, count) = (seen.clone(), connections.clone());
+        let (recorded, accepted) = (seen.clone(), connections.clone());
         thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
-                let (script, list) = (script.clone(), list.clone());
-                let connection = count.fetch_add(1, Ordering::SeqCst);
+                let (script, recorded) = (script.clone(), recorded.clone());
+                let connection = accepted.fetch_add(1, Ordering::SeqCst);
                 thread::spawn(move || {
                     while let Some(request) = read_message(&mut stream) {
                         let request = Seen { connection, ..request };
-                        list.lock().expect("not poisoned").push(request.clone());
+                        recorded.lock().expect("not poisoned").push(request.clone());
                         if !script(&request, &mut stream) {
                             break;
                         }
@@ -100,7 +102,7 @@
         FakeServer { address, seen, connections }
     }
 
-    /// One that serves everything with this body.
+    /// Starts a server that answers every request with this body.
     pub fn serving(body: &'static str) -> Self {
         Self::start(move |_, stream| stream.write_all(&reply("200 OK", body)).is_ok())
     }
@@ -110,7 +112,7 @@
     }
 }
 
-/// An entry of discovery's list.
+/// An entry of the discovery list.
 pub fn host(name: &str, address: SocketAddr) -> Entry {
     Entry {
         name: name.to_owned(),
@@ -123,7 +125,7 @@
     }
 }
 
-/// The program under test. It is ended with the test.
+/// The program under test; it is ended when this is dropped.
 pub struct Program(program::Program);
 
 impl Deref for Program {
@@ -141,7 +143,7 @@
 }
 
 impl Program {
-    /// Starts the program and waits until it takes clients.
+    /// Starts the program and waits until it accepts clients.
     pub fn start(discovery: &Discovery) -> Self {
         Self::with_sockets(discovery, Wishes::default().sockets)
     }
@@ -155,38 +157,39 @@
         Program(program::Program::start(path, discovery.address, FORMS[0].1, wishes))
     }
 
-    /// A second process of the same node.
+    /// Starts a second process of the same node.
     pub fn successor(&self) -> Self {
         Program(self.0.successor())
     }
 
     pub fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.http).expect("the program accepts");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out can be set");
+        stream.set_read_timeout(Some(PATIENCE)).expect("the read timeout can be set");
         stream
     }
 
-    /// Sends bytes on a connection of their own and gives all that comes back before the close or, without
-    /// one, the first whole answer.
+    /// Sends bytes on a new connection and returns the first complete response, or an empty text if there is none.
     pub fn raw(&self, bytes: &[u8]) -> String {
         let Ok(mut stream) = TcpStream::connect(self.http) else { return String::new() };
         let _ = stream.set_read_timeout(Some(PATIENCE));
         let _ = stream.write_all(bytes);
-        read_message(&mut stream).map(|m| m.head + &String::from_utf8_lossy(&m.body)).unwrap_or_default()
+        read_message(&mut stream)
+            .map(|message| message.head + &String::from_utf8_lossy(&message.body))
+            .unwrap_or_default()
     }
 
-    /// A well-formed request to read, with an id of its own.
+    /// Sends a well-formed read request with a fresh id and returns the response.
     pub fn ask(&self) -> String {
         self.raw(safe_request(&fresh_id()).as_bytes())
     }
 }
 
-/// A request of the safe class.
+/// A request of the class that may be retried.
 pub fn safe_request(id: &str) -> String {
     format!("GET /read HTTP/1.1\r\nHost: app.svc\r\nX-Request-ID: {id}\r\nX-Timeout-Ms: 4000\r\n\r\n")
 }
 
-/// A request of the class that must not run twice.
+/// A request of the class that must not be executed more than once.
 pub fn unsafe_request(id: &str, body: &str) -> String {
     let length = body.len();
     format!(
--- a/crates/node/tests/held_up.rs
+++ b/crates/node/tests/held_up.rs
@@ -1,5 +1,5 @@
-//! Clients that are held up themselves: they read an answer long after it was written, and ask again at once. New clients
-//! need a place meanwhile. Neither the ones nor the others go without an answer.
+//! Clients that are delayed themselves read an answer long after it was written and send the next request at
+//! once, while new clients need a connection slot. Every request of both kinds of clients gets an answer.
 
 use laurelroute_testkit::boxes::Act;
 use laurelroute_testkit::client::Client;
@@ -14,31 +14,31 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// An answer is read so long after it was written: to the node its client has rested for five looks ...
-const LATE: Duration = Duration::from_millis(500);
-/// ... or for two.
-const LITTLE_LATE: Duration = Duration::from_millis(200);
-/// ... or for fourteen.
-const VERY_LATE: Duration = Duration::from_millis(1_400);
-/// As many as a node with [`SMALL`] descriptors has places.
-const KEPT: usize = 7;
-/// Fewer than there are places, and more than half of them.
+/// How long after it was written an answer is read: the node sees the connection idle in five checks.
+const READ_DELAY: Duration = Duration::from_millis(500);
+/// A shorter delay: the node sees the connection idle in two checks.
+const SHORT_READ_DELAY: Duration = Duration::from_millis(200);
+/// A longer delay: the node sees the connection idle in fourteen checks.
+const LONG_READ_DELAY: Duration = Duration::from_millis(1_400);
+/// As many clients as a node with [`SMALL_NODE_SOCKETS`] descriptors has connection slots.
+const FULL_NODE_CLIENTS: usize = 7;
+/// Fewer clients than there are slots, but more than half of them.
 const FEW: usize = 5;
-/// Leaves 12 descriptors beside the node's own ones: 5 to 7 places.
-const SMALL: usize = 48;
-/// For so long new clients come.
-const COMING: Duration = Duration::from_secs(3);
+/// Leaves 12 descriptors beside the node's own: 5 to 7 connection slots.
+const SMALL_NODE_SOCKETS: usize = 48;
+/// How long new clients connect.
+const NEWCOMERS_TIME: Duration = Duration::from_secs(3);
 const PAUSE: Duration = Duration::from_millis(5);
 
 /// Clients that keep their connections and read each answer late.
 struct LateReaders {
     stop: Arc<AtomicBool>,
-    threads: Vec<JoinHandle<Read>>,
+    threads: Vec<JoinHandle<ReadCounts>>,
 }
 
-/// What one of them, or all, read.
+/// Counts of the answers that one late reader, or all of them, received.
 #[derive(Debug, Default)]
-struct Read {
+struct ReadCounts {
     served: usize,
     refused: usize,
     /// Requests without an answer.
@@ -49,34 +49,34 @@
     fn start(address: SocketAddr, number: usize, late: Duration) -> LateReaders {
         let stop = Arc::new(AtomicBool::new(false));
         let start = |k: usize| {
-            let ends = stop.clone();
+            let stopping = stop.clone();
             thread::spawn(move || {
-                // Not all at one time.
+                // Spread the clients over the delay.
                 thread::sleep(late * k as u32 / number as u32);
-                read_late(address, late, &ends)
+                run_late_reader(address, late, &stopping)
             })
         };
         let threads = (0..number).map(start).collect();
         LateReaders { stop, threads }
     }
 
-    fn finish(self) -> Read {
+    fn finish(self) -> ReadCounts {
         self.stop.store(true, Ordering::SeqCst);
-        let mut all = Read::default();
+        let mut total = ReadCounts::default();
         for thread in self.threads {
-            let read = thread.join().expect("a late reader ends");
-            all.served += read.served;
-            all.refused += read.refused;
-            all.lost += read.lost;
+            let counts = thread.join().expect("a late reader ends");
+            total.served += counts.served;
+            total.refused += counts.refused;
+            total.lost += counts.lost;
         }
-        all
+        total
     }
 }
 
-fn read_late(address: SocketAddr, late: Duration, ends: &AtomicBool) -> Read {
-    let mut read = Read::default();
+fn run_late_reader(address: SocketAddr, late: Duration, stop: &AtomicBool) -> ReadCounts {
+    let mut counts = ReadCounts::default();
     let mut kept: Option<Client> = None;
-    while !ends.load(Ordering::SeqCst) {
+    while !stop.load(Ordering::SeqCst) {
         let Some(mut client) = kept.take().or_else(|| Client::connect(Wire::Http, address)) else {
             thread::sleep(PAUSE);
             continue;
@@ -84,16 +84,16 @@
         client.send(&Ask::new(Class::Read));
         thread::sleep(late);
         match client.answer() {
-            Some(Answer::Served(_)) => read.served += 1,
-            Some(_) => read.refused += 1,
+            Some(Answer::Served(_)) => counts.served += 1,
+            Some(_) => counts.refused += 1,
             None => {
-                read.lost += 1;
+                counts.lost += 1;
                 continue;
             }
         }
         kept = Some(client).filter(|c| !c.told_to_close());
     }
-    read
+    counts
 }
 
 fn bed(sockets: usize) -> Bed {
@@ -103,44 +103,45 @@
     bed
 }
 
-/// What is wrong where so many new clients come at a time to late readers.
-fn broken(address: SocketAddr, kept: LateReaders, at_a_time: usize) -> Vec<String> {
+/// Opens new connections, `at_a_time` at once, beside late readers; returns the violations.
+fn violations(address: SocketAddr, kept: LateReaders, at_a_time: usize) -> Vec<String> {
     let newcomers = Newcomers::start(Wire::Http, address, at_a_time, PAUSE);
-    thread::sleep(COMING);
+    thread::sleep(NEWCOMERS_TIME);
     let late = newcomers.finish().late();
-    let read = kept.finish();
-    println!("{read:?}");
-    let lost = (read.served == 0 || read.lost > 0).then(|| format!("{read:?}"));
+    let counts = kept.finish();
+    println!("{counts:?}");
+    let lost = (counts.served == 0 || counts.lost > 0).then(|| format!("{counts:?}"));
     lost.into_iter().chain(late).collect()
 }
 
-/// A full node does not close on clients that are late to read for the sake of new ones (`Clients::make_room`).
+/// A full node does not close the connections of late readers to make room for new clients (`Clients::make_room`).
 fn beside_newcomers(at_a_time: usize, late: Duration) {
-    let bed = bed(SMALL);
-    let kept = LateReaders::start(bed.node.http, KEPT, late);
+    let bed = bed(SMALL_NODE_SOCKETS);
+    let kept = LateReaders::start(bed.node.http, FULL_NODE_CLIENTS, late);
     thread::sleep(2 * late);
-    let broken = broken(bed.node.http, kept, at_a_time);
-    assert!(broken.is_empty(), "{broken:#?}");
+    let violations = violations(bed.node.http, kept, at_a_time);
+    assert!(violations.is_empty(), "{violations:#?}");
 }
 
 #[test]
-fn late_readers_lose_no_request_beside_one_newcomer_at_a_time() {
-    beside_newcomers(1, LATE);
+fn late_readers_lose_no_request_beside_one_new_client_at_a_time() {
+    beside_newcomers(1, READ_DELAY);
 }
 
 #[test]
-fn late_readers_lose_no_request_beside_four_newcomers_at_a_time() {
-    beside_newcomers(4, LATE);
+fn late_readers_lose_no_request_beside_four_new_clients_at_a_time() {
+    beside_newcomers(4, READ_DELAY);
 }
 
-/// New clients find a place also where all are held by clients that were served just before.
+/// New clients get a slot also if all are taken by clients that were served just before.
 #[test]
-fn newcomers_are_answered_beside_readers_that_are_a_little_late() {
-    beside_newcomers(1, LITTLE_LATE);
-    beside_newcomers(4, LITTLE_LATE);
+fn new_clients_are_answered_beside_slightly_late_readers() {
+    beside_newcomers(1, SHORT_READ_DELAY);
+    beside_newcomers(4, SHORT_READ_DELAY);
 }
 
-/// The same at a new process of a takeover whose old one is stopped, once its lease has fallen (`NewProcess::expire_lease`).
+/// Runs late readers and new clients at the successor of a stopped process, once the quota lease has expired
+/// (`NewProcess::expire_lease`).
 fn beside_a_stopped_process(kept: usize, late: Duration, at_a_time: usize) {
     let bed = bed(Wishes::default().sockets);
     let new = bed.node.ready_successor();
@@ -148,19 +149,19 @@
     thread::sleep(Duration::from_millis(300));
     let kept = LateReaders::start(bed.node.http, kept, late);
     thread::sleep(2 * late);
-    let broken = broken(bed.node.http, kept, at_a_time);
+    let violations = violations(bed.node.http, kept, at_a_time);
     bed.node.signal("CONT");
     until("the new process serves", || new.call("GET", "/_ready") == Some(200));
-    assert!(broken.is_empty(), "{broken:#?}");
+    assert!(violations.is_empty(), "{violations:#?}");
 }
 
 #[test]
 fn late_readers_lose_no_request_at_a_new_process_beside_a_stopped_one() {
-    beside_a_stopped_process(KEPT + 1, LATE, 4);
+    beside_a_stopped_process(FULL_NODE_CLIENTS + 1, READ_DELAY, 4);
 }
 
-/// A few clients are no crowd because the lease has fallen to a few places (`Clients::sweep`).
+/// A few clients do not count as a crowd because the lease left only a few slots (`Clients::sweep`).
 #[test]
 fn very_late_readers_lose_no_request_at_a_new_process_beside_a_stopped_one() {
-    beside_a_stopped_process(FEW, VERY_LATE, 1);
+    beside_a_stopped_process(FEW, LONG_READ_DELAY, 1);
 }
--- a/crates/node/tests/stopped.rs
+++ b/crates/node/tests/stopped.rs
@@ -1,5 +1,5 @@
-//! A process that did not run for a while (SIGSTOP), or has no place left: clients that were served on a connection get an
-//! answer to their next request on it. The order of events is forced; nothing is left to luck.
+//! A process that is stopped for a while (SIGSTOP) or has no free connection slot still answers the next
+//! request of a client that it has served on a connection. Each test forces the order of events.
 
 use laurelroute_testkit::boxes::Act;
 use laurelroute_testkit::client::Client;
@@ -15,23 +15,23 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// More than half of the places with 256 descriptors: connections at rest are closed after 1 s.
+/// More than half of the connection slots with 256 descriptors: idle connections are closed after 1 s.
 const CROWD: usize = 80;
 const FEW: usize = 8;
-/// Longer than the limits where connections are crowded ...
+/// Longer than the idle limits of a crowded node.
 const STOP: Duration = Duration::from_millis(3_000);
-/// ... and where they are not.
+/// Longer than the idle limits of a node that is not crowded.
 const LONG_STOP: Duration = Duration::from_millis(4_700);
-/// Bytes of a body that is read in several pieces.
+/// Bytes of a body that takes several reads.
 const BODY: usize = 60_000;
-/// SIGKILL may come 3.7 s after SIGTERM, and the process ends by itself 0.4 s later.
+/// SIGKILL may come 3.7 s after SIGTERM, and the process exits by itself 0.4 s later.
 const LATEST_END: Duration = Duration::from_millis(4_200);
 
 fn thrift() -> Wire {
     Wire::thrift("framed-binary")
 }
 
-/// Sends a new request on each.
+/// Sends a new request on each connection.
 fn ask_all(clients: &mut [Client]) {
     for client in clients {
         client.send(&Ask::new(Class::Read));
@@ -42,11 +42,11 @@
     Bed::wishing(Path::new(env!("CARGO_BIN_EXE_laurelroute")), wire, 4, wishes)
 }
 
-/// Stops a process for so long, and does something as soon as it stands still.
-fn stopped<T>(process: &Program, lasts: Duration, meanwhile: impl FnOnce() -> T) -> T {
+/// Stops a process for `lasts`, and runs `meanwhile` as soon as it has stopped.
+fn while_stopped<T>(process: &Program, lasts: Duration, meanwhile: impl FnOnce() -> T) -> T {
     process.signal("STOP");
     let begun = Instant::now();
-    until("it stands still", || {
+    until("the process has stopped", || {
         let status = std::fs::read_to_string(format!("/proc/{}/stat", process.pid())).unwrap_or_default();
         status.rsplit(')').next().is_some_and(|rest| rest.trim_start().starts_with('T'))
     });
@@ -56,47 +56,47 @@
     done
 }
 
-/// So many connections, each of which was served once.
-fn used(bed: &Bed, number: usize) -> Vec<Client> {
+/// Opens `number` connections and has one request served on each.
+fn served_clients(bed: &Bed, number: usize) -> Vec<Client> {
     let mut clients: Vec<Client> = (0..number).map(|_| bed.node.connect(bed.wire)).collect();
     ask_all(&mut clients);
     for client in &mut clients {
-        assert!(client.answer().is_some_and(|a| a.served()), "the first request is served");
+        assert!(client.answer().is_some_and(|a| a.served()), "the first request must be served");
     }
     clients
 }
 
-/// How many of them hear no answer.
+/// The number of clients that receive no answer.
 fn unanswered(clients: &mut [Client]) -> usize {
     clients.iter_mut().map(Client::answer).filter(Option::is_none).count()
 }
 
-/// Connections at rest whose next requests come while the process is stopped: how many get no answer.
-fn at_rest(wire: Wire, wishes: Wishes, number: usize, lasts: Duration) -> usize {
+/// Sends requests on idle connections while the process is stopped; returns how many get no answer.
+fn idle_during_stop(wire: Wire, wishes: Wishes, number: usize, lasts: Duration) -> usize {
     let bed = bed(wire, wishes);
     let begun = Instant::now();
-    let mut clients = used(&bed, number);
-    stopped(&bed.node, lasts, || {
+    let mut clients = served_clients(&bed, number);
+    while_stopped(&bed.node, lasts, || {
         assert!(
             begun.elapsed() < Duration::from_millis(900),
-            "too slow a machine: some were closed before the stop"
+            "the machine is too slow: some connections were closed before the stop"
         );
         ask_all(&mut clients);
     });
     unanswered(&mut clients)
 }
 
-/// Connections on which half of a request came before the stop and the rest during it: how many get no answer.
-fn half_sent(wire: Wire, lasts: Duration) -> usize {
+/// Sends half of a request before the stop and the rest during it; returns how many clients get no answer.
+fn partly_sent_before_stop(wire: Wire, lasts: Duration) -> usize {
     let bed = bed(wire, Wishes::default());
-    let mut clients = used(&bed, FEW);
+    let mut clients = served_clients(&bed, FEW);
     let asks: Vec<Vec<u8>> = clients.iter().map(|_| Ask::new(Class::Read).bytes(wire, 2)).collect();
     for (client, ask) in clients.iter_mut().zip(&asks) {
         assert!(client.raw(&ask[..ask.len() / 2]));
     }
-    // A sweep sees it.
+    // Long enough for a sweep to see the partial request.
     thread::sleep(Duration::from_millis(250));
-    stopped(&bed.node, lasts, || {
+    while_stopped(&bed.node, lasts, || {
         for (client, ask) in clients.iter_mut().zip(&asks) {
             client.raw(&ask[ask.len() / 2..]);
         }
@@ -104,11 +104,11 @@
     unanswered(&mut clients)
 }
 
-/// Requests of which a part comes before the stop, one during it, and the last one 50 ms after it: what their clients hear.
-fn in_three_parts(wire: Wire, class: Class, body: usize, parts: (usize, usize)) -> Vec<Option<Answer>> {
+/// Sends each request in three pieces: before the stop, during it, and 50 ms after it. Returns the answers.
+fn sent_in_three_parts(wire: Wire, class: Class, body: usize, parts: (usize, usize)) -> Vec<Option<Answer>> {
     let bed = bed(wire, Wishes { cold: (1.0, 1_000), ..Wishes::default() });
-    // So few that a node that has just started turns none away.
-    let mut clients = used(&bed, 2);
+    // Few enough that a node that has just started rejects none.
+    let mut clients = served_clients(&bed, 2);
     let asks: Vec<Vec<u8>> = clients.iter().map(|_| Ask::new(class).carrying(body).bytes(wire, 2)).collect();
     let mut send = |part: std::ops::Range<usize>| {
         for (client, ask) in clients.iter_mut().zip(&asks) {
@@ -117,80 +117,90 @@
     };
     send(parts.0..asks[0].len());
     thread::sleep(Duration::from_millis(150));
-    stopped(&bed.node, STOP, || send(parts.1..parts.0));
+    while_stopped(&bed.node, STOP, || send(parts.1..parts.0));
     thread::sleep(Duration::from_millis(50));
     send(0..parts.1);
     clients.iter_mut().map(Client::answer).collect()
 }
 
-/// What is read after a stop does not have the stop counted against what is still to come.
+/// The time of a stop is not counted against the rest of a request that is read after it.
 #[test]
-fn a_stop_is_not_counted_against_the_rest_of_a_request() {
-    let body = in_three_parts(Wire::Http, Class::Write, 2_000, (1_000, 500));
-    let head = in_three_parts(Wire::Http, Class::Read, 0, (60, 30));
-    let call = in_three_parts(thrift(), Class::Read, 200, (100, 50));
-    for (what, heard) in [("body", body), ("head", head), ("call", call)] {
-        assert!(heard.iter().all(|a| a.as_ref().is_some_and(Answer::served)), "{what}: {heard:?}");
+fn stop_time_is_not_counted_against_the_rest_of_a_request() {
+    let body = sent_in_three_parts(Wire::Http, Class::Write, 2_000, (1_000, 500));
+    let head = sent_in_three_parts(Wire::Http, Class::Read, 0, (60, 30));
+    let call = sent_in_three_parts(thrift(), Class::Read, 200, (100, 50));
+    for (what, answers) in [("body", body), ("head", head), ("call", call)] {
+        assert!(answers.iter().all(|a| a.as_ref().is_some_and(Answer::served)), "{what}: {answers:?}");
     }
 }
 
-/// Connections that rested through a stop and ask 30 ms after it: how many get no answer.
-fn rested_through_a_stop(wire: Wire, wishes: Wishes, number: usize) -> usize {
+/// Sends requests 30 ms after a stop on connections that were idle during it; returns how many get no answer.
+fn idle_through_stop(wire: Wire, wishes: Wishes, number: usize) -> usize {
     let bed = bed(wire, wishes);
-    let mut clients = used(&bed, number);
+    let mut clients = served_clients(&bed, number);
     thread::sleep(Duration::from_millis(200));
-    stopped(&bed.node, STOP, || ());
+    while_stopped(&bed.node, STOP, || ());
     thread::sleep(Duration::from_millis(30));
     ask_all(&mut clients);
     unanswered(&mut clients)
 }
 
-/// A stop is no rest.
+/// The time of a stop is not counted as idle time.
 #[test]
-fn connections_that_rested_through_a_stop_are_open_after_it() {
-    assert_eq!(rested_through_a_stop(Wire::Http, Wishes::default(), CROWD), 0, "HTTP, of {CROWD}");
+fn connections_that_were_idle_during_a_stop_stay_open() {
+    assert_eq!(idle_through_stop(Wire::Http, Wishes::default(), CROWD), 0, "HTTP, of {CROWD}");
     let wishes = Wishes { thrift: "idle_ms = 2000".to_owned(), ..Wishes::default() };
-    assert_eq!(rested_through_a_stop(thrift(), wishes, FEW), 0, "Thrift, of {FEW}");
+    assert_eq!(idle_through_stop(thrift(), wishes, FEW), 0, "Thrift, of {FEW}");
 }
 
-/// The time in which the process was stopped is not held against connections at rest (`Client::sweep`: idle + HEAD).
+/// The time of a stop is not counted as idle time of connections on a crowded node (`Client::sweep`: idle + HEAD).
 #[test]
-fn a_stop_of_3_s_ends_no_connection_at_rest_in_a_crowd() {
-    assert_eq!(at_rest(Wire::Http, Wishes::default(), CROWD, STOP), 0, "of {CROWD} without an answer");
+fn a_stop_of_3_s_closes_no_idle_connection_of_a_crowded_node() {
+    assert_eq!(
+        idle_during_stop(Wire::Http, Wishes::default(), CROWD, STOP),
+        0,
+        "of {CROWD} without an answer"
+    );
 }
 
-/// The same where places are free, over the limit that holds there.
+/// The time of a stop is not counted as idle time where slots are free, with a stop beyond the limit that
+/// holds there.
 #[test]
-fn a_stop_of_4_7_s_ends_no_connection_at_rest_among_few() {
-    assert_eq!(at_rest(Wire::Http, Wishes::default(), FEW, LONG_STOP), 0, "of {FEW} without an answer");
+fn a_stop_of_4_7_s_closes_no_idle_connection_of_an_uncrowded_node() {
+    assert_eq!(
+        idle_during_stop(Wire::Http, Wishes::default(), FEW, LONG_STOP),
+        0,
+        "of {FEW} without an answer"
+    );
 }
 
-/// The same over Thrift, whose idle limit fires before the socket is read.
+/// The time of a stop is not counted as idle time over Thrift, whose idle limit fires before the socket is read.
 #[test]
-fn a_stop_ends_no_thrift_connection_at_rest() {
+fn a_stop_closes_no_idle_thrift_connection() {
     let wishes = Wishes { thrift: "idle_ms = 2000".to_owned(), ..Wishes::default() };
-    assert_eq!(at_rest(thrift(), wishes, FEW, STOP), 0, "of {FEW} without an answer");
+    assert_eq!(idle_during_stop(thrift(), wishes, FEW, STOP), 0, "of {FEW} without an answer");
 }
 
-/// Nor against half of a head whose rest lies in the socket (`Client::sweep`: HEAD).
+/// A partial head whose rest is in the socket buffer does not time out because of a stop (`Client::sweep`: HEAD).
 #[test]
-fn a_stop_ends_no_half_sent_head() {
-    assert_eq!(half_sent(Wire::Http, STOP), 0, "of {FEW} without an answer");
+fn a_stop_times_out_no_partial_head() {
+    assert_eq!(partly_sent_before_stop(Wire::Http, STOP), 0, "of {FEW} without an answer");
 }
 
-/// Nor against half of a Thrift call (MESSAGE, 2 s).
+/// A partial Thrift call does not time out because of a stop (MESSAGE, 2 s).
 #[test]
-fn a_stop_ends_no_half_sent_thrift_call() {
-    assert_eq!(half_sent(thrift(), STOP), 0, "of {FEW} without an answer");
+fn a_stop_times_out_no_partial_thrift_call() {
+    assert_eq!(partly_sent_before_stop(thrift(), STOP), 0, "of {FEW} without an answer");
 }
 
-/// Connections whose first request comes while the process is stopped: some accepted before it, some opened during it.
+/// Connections whose first request arrives during a stop are served: some accepted before it, some opened
+/// during it.
 #[test]
-fn a_stop_ends_no_connection_under_its_first_request() {
+fn a_stop_closes_no_connection_before_its_first_request() {
     let bed = bed(Wire::Http, Wishes::default());
     let mut accepted: Vec<Client> = (0..CROWD).map(|_| bed.node.connect(Wire::Http)).collect();
     thread::sleep(Duration::from_millis(50));
-    let mut queued = stopped(&bed.node, STOP, || {
+    let mut queued = while_stopped(&bed.node, STOP, || {
         ask_all(&mut accepted);
         let mut queued: Vec<Client> = (0..FEW).map(|_| bed.node.connect(Wire::Http)).collect();
         ask_all(&mut queued);
@@ -200,88 +210,89 @@
     assert_eq!(
         lost,
         (0, 0),
-        "without an answer: of {CROWD} accepted before, of {FEW} opened during the stop"
+        "without an answer: of {CROWD} accepted before the stop, of {FEW} opened during it"
     );
 }
 
-/// A body whose rest lies in the socket has come (pace of the intake).
+/// A body whose rest is in the socket buffer counts as received and is not refused as too slow.
 #[test]
-fn a_stop_refuses_no_body_that_has_come() {
+fn a_stop_refuses_no_body_that_has_arrived() {
     let bed = bed(Wire::Http, Wishes { cold: (1.0, 1_000), ..Wishes::default() });
-    // So few that a node that has just started turns none away.
-    let mut clients = used(&bed, 2);
+    // Few enough that a node that has just started rejects none.
+    let mut clients = served_clients(&bed, 2);
     let asks: Vec<Vec<u8>> =
         clients.iter().map(|_| Ask::new(Class::Write).carrying(BODY).bytes(Wire::Http, 2)).collect();
     for (client, ask) in clients.iter_mut().zip(&asks) {
         assert!(client.raw(&ask[..ask.len() - BODY / 2]));
     }
     thread::sleep(Duration::from_millis(100));
-    stopped(&bed.node, STOP, || {
+    while_stopped(&bed.node, STOP, || {
         for (client, ask) in clients.iter_mut().zip(&asks) {
             client.raw(&ask[ask.len() - BODY / 2..]);
         }
     });
-    let heard: Vec<Option<Answer>> = clients.iter_mut().map(Client::answer).collect();
-    assert!(heard.iter().all(|a| a.as_ref().is_some_and(Answer::served)), "{heard:?}");
+    let answers: Vec<Option<Answer>> = clients.iter_mut().map(Client::answer).collect();
+    assert!(answers.iter().all(|a| a.as_ref().is_some_and(Answer::served)), "{answers:?}");
 }
 
-/// Requests whose servers answer while the process is stopped: what their clients hear.
-fn answers_come(wire: Wire, act: Act, lasts: Duration) -> Vec<Option<Answer>> {
+/// Sends requests whose servers answer while the process is stopped; returns the answers of those that were
+/// executed.
+fn answered_during_stop(wire: Wire, act: Act, lasts: Duration) -> Vec<Option<Answer>> {
     let bed = bed(wire, Wishes { max_attempts: 1, cold: (1.0, 1_000), ..Wishes::default() });
-    let mut clients = used(&bed, 4);
+    let mut clients = served_clients(&bed, 4);
     bed.boxes.iter().for_each(|b| b.usually(act));
     let asks: Vec<Ask> = clients.iter().map(|_| Ask::new(Class::Write).carrying(100)).collect();
     for (client, ask) in clients.iter_mut().zip(&asks) {
         client.send(ask);
     }
     until("a server has one", || asks.iter().any(|ask| bed.arrivals(&ask.id) > 0));
-    // Where it comes in small pieces, some of it is there.
+    // Long enough for the first bytes of an answer that is sent in small pieces.
     thread::sleep(Duration::from_millis(10));
-    stopped(&bed.node, lasts, || ());
-    let heard = asks.iter().zip(&mut clients).map(|(ask, client)| (bed.runs(&ask.id), client.answer()));
-    // One that was turned away went to no server, and says nothing here.
-    let (ran, turned_away): (Vec<_>, Vec<_>) = heard.partition(|(runs, _)| *runs > 0);
+    while_stopped(&bed.node, lasts, || ());
+    let answers = asks.iter().zip(&mut clients).map(|(ask, client)| (bed.runs(&ask.id), client.answer()));
+    // A rejected request reached no server and does not count here.
+    let (ran, turned_away): (Vec<_>, Vec<_>) = answers.partition(|(runs, _)| *runs > 0);
     assert!(turned_away.iter().all(|(_, a)| matches!(a, Some(Answer::Refused(_)))), "{turned_away:?}");
-    assert!(ran.iter().all(|(runs, _)| *runs == 1), "none ran twice");
+    assert!(ran.iter().all(|(runs, _)| *runs == 1), "a request was executed more than once");
     ran.into_iter().map(|(_, answer)| answer).collect()
 }
 
-/// What is heard where servers act like this and the process is stopped for 1.2 s and for 3 s.
-fn all_served(wire: Wire, act: Act) {
+/// Checks that all requests are served if the process is stopped for 1.2 s and for 3 s while servers answer.
+fn all_are_served(wire: Wire, act: Act) {
     for lasts in [1_200, 3_000].map(Duration::from_millis) {
-        let heard = answers_come(wire, act, lasts);
-        println!("{lasts:?}: {heard:?}");
-        assert!(!heard.is_empty(), "one is under way");
-        assert!(heard.iter().all(|a| a.as_ref().is_some_and(Answer::served)), "{lasts:?}: {heard:?}");
+        let answers = answered_during_stop(wire, act, lasts);
+        println!("{lasts:?}: {answers:?}");
+        assert!(!answers.is_empty(), "at least one request is in flight");
+        assert!(answers.iter().all(|a| a.as_ref().is_some_and(Answer::served)), "{lasts:?}: {answers:?}");
     }
 }
 
-/// An answer that lies in the socket is given, whatever limit of the request or the attempt has passed meanwhile.
+/// An answer in the socket buffer is forwarded, whichever limit of the request or the attempt has passed meanwhile.
 #[test]
-fn a_stop_fails_no_unsafe_request_whose_answer_has_come() {
-    all_served(Wire::Http, Act::After(Duration::from_millis(400)));
+fn a_stop_fails_no_unsafe_request_whose_answer_has_arrived() {
+    all_are_served(Wire::Http, Act::After(Duration::from_millis(400)));
 }
 
-/// The same of one that had begun to come before the stop (HEAD_STALL, BODY_STALL).
+/// An answer that had begun to arrive before the stop is forwarded (HEAD_STALL, BODY_STALL).
 #[test]
 fn a_stop_fails_no_unsafe_request_whose_answer_had_begun() {
-    all_served(Wire::Http, Act::Trickle);
+    all_are_served(Wire::Http, Act::Trickle);
 }
 
-/// The same over Thrift.
+/// An answer in the socket buffer is forwarded over Thrift.
 #[test]
-fn a_stop_fails_no_unsafe_thrift_call_whose_answer_has_come() {
-    all_served(thrift(), Act::After(Duration::from_millis(400)));
+fn a_stop_fails_no_unsafe_thrift_call_whose_answer_has_arrived() {
+    all_are_served(thrift(), Act::After(Duration::from_millis(400)));
 }
 
-/// The same over Thrift.
+/// An answer that had begun to arrive before the stop is forwarded over Thrift.
 #[test]
 fn a_stop_fails_no_unsafe_thrift_call_whose_answer_had_begun() {
-    all_served(thrift(), Act::Trickle);
+    all_are_served(thrift(), Act::Trickle);
 }
 
-/// What of a load is lost, and how long it is, in words; none where all is well.
-fn lost(what: &str, tally: &Tally) -> Option<String> {
+/// A description of the requests of a load that were lost; none if there are none.
+fn lost_requests(what: &str, tally: &Tally) -> Option<String> {
     let (crossed, lost, mixed) = (tally.crossed.len(), tally.lost.len(), tally.mixed.len());
     println!(
         "{what}: {} served, {} refused, {} failed, {crossed} crossed, {lost} lost, {} unreached",
@@ -296,149 +307,154 @@
     (crossed + lost + mixed > 0).then(|| format!("{what}: {crossed} crossed, {lost} lost, {mixed} mixed"))
 }
 
-/// A node all of whose places are taken by clients that ask without a pause, and newcomers beside them.
-fn full(wire: Wire) -> (Tally, Came) {
+/// Runs a node whose slots are all taken by clients that send without a pause, and opens new connections meanwhile.
+fn full_node(wire: Wire) -> (Tally, Came) {
     let bed = bed(wire, Wishes { sockets: 48, managed: true, cold: (1.0, 1_000), ..Wishes::default() });
     bed.boxes.iter().for_each(|b| b.usually(Act::After(Duration::from_millis(2))));
-    // 12 descriptors beside the node's own ones: 5 to 7 places.
+    // 12 descriptors beside the node's own: 5 to 7 connection slots.
     let load = Load::start(wire, bed.node.address(wire), 8, Class::Read, 0);
     thread::sleep(Duration::from_millis(300));
     let newcomers = Newcomers::start(wire, bed.node.address(wire), 1, Duration::from_millis(5));
     thread::sleep(Duration::from_secs(2));
     let came = newcomers.finish();
-    counters(&bed.node);
+    print_counters(&bed.node);
     (load.finish(), came)
 }
 
-/// Room for new clients is not made under the next request of one that was just served (`Clients::make_room`).
+/// A full node does not close a connection under the next request of a client that it has just served, to
+/// make room for new clients (`Clients::make_room`).
 #[test]
-fn a_full_node_takes_newcomers_and_closes_on_no_client_at_work() {
-    let (tally, came) = full(Wire::Http);
-    let broken: Vec<String> = lost("kept", &tally).into_iter().chain(came.late()).collect();
-    assert!(broken.is_empty(), "{broken:#?}");
+fn a_full_node_accepts_new_clients_and_loses_no_request_of_active_ones() {
+    let (tally, came) = full_node(Wire::Http);
+    let violations: Vec<String> = lost_requests("kept", &tally).into_iter().chain(came.late()).collect();
+    assert!(violations.is_empty(), "{violations:#?}");
 }
 
-/// Clients over Thrift that ask without a pause do not keep newcomers out (`Front::make_room`). Nothing in Thrift tells a
-/// client of a close that is to come, so that one may cross its next call: what crossed is printed.
+/// Thrift clients that send without a pause do not keep new clients out (`Front::make_room`). Thrift cannot
+/// announce a close, which may therefore meet the next call on its way: the number of such calls is printed.
 #[test]
-fn a_full_node_takes_thrift_newcomers() {
-    let (tally, came) = full(thrift());
-    println!("{:?}", lost("kept", &tally));
+fn a_full_node_accepts_new_thrift_clients() {
+    let (tally, came) = full_node(thrift());
+    println!("{:?}", lost_requests("kept", &tally));
     assert!(tally.lost.is_empty() && tally.mixed.is_empty(), "{:?} {:?}", tally.lost, tally.mixed);
     assert_eq!(came.late(), None);
 }
 
-/// A takeover's load: what its kept clients lost, in words.
-struct Kept([(Class, Load); 2]);
+/// The load of a takeover test, from clients that keep their connections.
+struct KeptLoad([(Class, Load); 2]);
 
-impl Kept {
-    fn start(address: SocketAddr) -> Kept {
-        Kept(
+impl KeptLoad {
+    fn start(address: SocketAddr) -> KeptLoad {
+        KeptLoad(
             [(Class::Read, 5), (Class::Write, 3)]
                 .map(|(class, clients)| (class, Load::start(Wire::Http, address, clients, class, 100))),
         )
     }
 
     fn finish(self) -> Vec<String> {
-        self.0.into_iter().filter_map(|(class, load)| lost(class.name(), &load.finish())).collect()
+        self.0.into_iter().filter_map(|(class, load)| lost_requests(class.name(), &load.finish())).collect()
     }
 }
 
-fn takeover() -> Bed {
+fn takeover_bed() -> Bed {
     let bed = bed(Wire::Http, Wishes { managed: true, cold: (1.0, 1_000), ..Wishes::default() });
     bed.boxes.iter().for_each(|b| b.usually(Act::After(Duration::from_millis(2))));
     bed
 }
 
-/// The elder is told to end, and does; nothing goes wrong for a while after.
-fn end(mut elder: Program) {
-    elder.signal("TERM");
-    until("the elder ends", || !elder.running());
+/// Sends the predecessor SIGTERM and waits until it exits, and 200 ms longer.
+fn end(mut predecessor: Program) {
+    predecessor.signal("TERM");
+    until("the predecessor exits", || !predecessor.running());
     thread::sleep(Duration::from_millis(200));
 }
 
-/// The elder ends soon after its stop, and neither kept clients nor newcomers have lost anything.
-fn ends_well(bed: Bed, heir: &Program, kept: Kept, newcomers: Newcomers) {
-    counters(heir);
+/// Ends the predecessor soon after its stop and checks that neither kept clients nor new ones lost a request.
+fn end_without_loss(bed: Bed, successor: &Program, kept: KeptLoad, newcomers: Newcomers) {
+    print_counters(successor);
     thread::sleep(Duration::from_millis(50));
     end(bed.node);
     let came = newcomers.finish();
-    let broken: Vec<String> = kept.finish().into_iter().chain(came.late()).collect();
-    assert!(broken.is_empty(), "{broken:#?}");
+    let violations: Vec<String> = kept.finish().into_iter().chain(came.late()).collect();
+    assert!(violations.is_empty(), "{violations:#?}");
 }
 
-fn counters(program: &Program) {
+fn print_counters(program: &Program) {
     let text = program.call_for_text("GET", "/_counters").map(|(_, text)| text).unwrap_or_default();
-    let told = text.lines().filter(|l| l.starts_with("close") || l.starts_with("refused"));
-    println!("{}; {} descriptors", told.collect::<Vec<_>>().join(", "), program.descriptors());
+    let shown = text.lines().filter(|l| l.starts_with("close") || l.starts_with("refused"));
+    println!("{}; {} descriptors", shown.collect::<Vec<_>>().join(", "), program.descriptors());
 }
 
-/// An heir that is ready and whose elder is stopped then: neither kept clients nor newcomers lose anything.
+/// The predecessor is stopped as its successor becomes ready: neither kept clients nor new ones lose a request.
 #[test]
-fn an_elder_stopped_as_its_heir_is_ready_costs_no_request() {
-    let bed = takeover();
-    let kept = Kept::start(bed.node.http);
+fn a_predecessor_stopped_as_its_successor_is_ready_loses_no_request() {
+    let bed = takeover_bed();
+    let kept = KeptLoad::start(bed.node.http);
     thread::sleep(Duration::from_millis(200));
-    let heir = bed.node.ready_successor();
-    let newcomers =
-        stopped(&bed.node, STOP, || Newcomers::start(Wire::Http, bed.node.http, 2, Duration::from_millis(5)));
-    ends_well(bed, &heir, kept, newcomers);
+    let successor = bed.node.ready_successor();
+    let newcomers = while_stopped(&bed.node, STOP, || {
+        Newcomers::start(Wire::Http, bed.node.http, 2, Duration::from_millis(5))
+    });
+    end_without_loss(bed, &successor, kept, newcomers);
 }
 
-/// The same of clients that come to the heir while its elder is stopped, once its lease has fallen (`share::new_lease_expired`).
+/// Clients that connect to the successor while its predecessor is stopped lose no request once the
+/// successor's quota lease has expired (`share::new_lease_expired`).
 #[test]
-fn clients_that_come_to_an_heir_beside_a_stopped_elder_lose_no_request() {
-    let bed = takeover();
-    let heir = bed.node.ready_successor();
-    let (kept, newcomers) = stopped(&bed.node, STOP, || {
+fn new_clients_of_a_successor_beside_a_stopped_predecessor_lose_no_request() {
+    let bed = takeover_bed();
+    let successor = bed.node.ready_successor();
+    let (kept, newcomers) = while_stopped(&bed.node, STOP, || {
         thread::sleep(Duration::from_millis(500));
-        let kept = Kept::start(bed.node.http);
+        let kept = KeptLoad::start(bed.node.http);
         thread::sleep(Duration::from_millis(300));
         (kept, Newcomers::start(Wire::Http, bed.node.http, 2, Duration::from_millis(5)))
     });
-    ends_well(bed, &heir, kept, newcomers);
+    end_without_loss(bed, &successor, kept, newcomers);
 }
 
-/// An heir that is stopped once it is ready, while clients lie in the hand-over's socket and its elder is told to end.
+/// The successor is stopped once it is ready, while connections are queued in the handover socket and its
+/// predecessor receives SIGTERM: no kept client loses a request.
 #[test]
-fn an_heir_stopped_as_its_elder_ends_costs_no_kept_client_a_request() {
-    let bed = takeover();
-    let kept = Kept::start(bed.node.http);
+fn a_successor_stopped_as_its_predecessor_shuts_down_loses_no_request_of_kept_clients() {
+    let bed = takeover_bed();
+    let kept = KeptLoad::start(bed.node.http);
     thread::sleep(Duration::from_millis(200));
-    let heir = bed.node.ready_successor();
-    stopped(&heir, STOP, || bed.node.signal("TERM"));
+    let successor = bed.node.ready_successor();
+    while_stopped(&successor, STOP, || bed.node.signal("TERM"));
     end(bed.node);
-    counters(&heir);
-    let broken = kept.finish();
-    assert!(broken.is_empty(), "{broken:#?}");
+    print_counters(&successor);
+    let violations = kept.finish();
+    assert!(violations.is_empty(), "{violations:#?}");
 }
 
-/// Requests that come while the process is stopped, and with them the order to end: how many get no answer.
-fn told_to_end(wire: Wire) -> usize {
+/// Sends requests and SIGTERM while the process is stopped; returns how many requests get no answer.
+fn requests_with_sigterm_during_a_stop(wire: Wire) -> usize {
     let bed = bed(wire, Wishes::default());
-    let mut clients = used(&bed, FEW);
-    stopped(&bed.node, Duration::from_millis(1_000), || {
+    let mut clients = served_clients(&bed, FEW);
+    while_stopped(&bed.node, Duration::from_millis(1_000), || {
         ask_all(&mut clients);
         bed.node.signal("TERM");
     });
     unanswered(&mut clients)
 }
 
-/// A process that wakes with the order to end and requests in its sockets answers them (`close_idle`).
+/// A process that resumes with a pending SIGTERM and requests in its sockets answers them (`close_idle`).
 #[test]
-fn an_order_to_end_in_a_stop_costs_no_request() {
-    assert_eq!(told_to_end(Wire::Http), 0, "of {FEW} without an answer");
+fn sigterm_during_a_stop_loses_no_request() {
+    assert_eq!(requests_with_sigterm_during_a_stop(Wire::Http), 0, "of {FEW} without an answer");
 }
 
-/// The same over Thrift.
+/// A process that resumes with a pending SIGTERM and Thrift calls in its sockets answers them.
 #[test]
-fn an_order_to_end_in_a_stop_costs_no_thrift_call() {
-    assert_eq!(told_to_end(thrift()), 0, "of {FEW} without an answer");
+fn sigterm_during_a_stop_loses_no_thrift_call() {
+    assert_eq!(requests_with_sigterm_during_a_stop(thrift()), 0, "of {FEW} without an answer");
 }
 
-/// Clients that come and say nothing, for whom there is no place, do not hold up a process that is told to end (`accept`).
+/// Clients that connect and send nothing while there is no free slot do not delay the exit after SIGTERM
+/// (`accept`).
 #[test]
-fn an_order_to_end_is_carried_out_beside_silent_newcomers() {
+fn silent_new_clients_do_not_delay_an_exit() {
     let bed = bed(Wire::Http, Wishes { sockets: 48, ..Wishes::default() });
     let (address, mut node) = (bed.node.http, bed.node);
     let ends = Arc::new(AtomicBool::new(false));
@@ -456,19 +472,19 @@
     let threads: Vec<JoinHandle<()>> = (0..4).map(silent).collect();
     thread::sleep(Duration::from_secs(1));
     node.signal("TERM");
-    let told = Instant::now();
-    until("the process ends", || !node.running());
-    let took = told.elapsed();
+    let signalled = Instant::now();
+    until("the process exits", || !node.running());
+    let took = signalled.elapsed();
     ends.store(true, Ordering::SeqCst);
-    threads.into_iter().for_each(|t| t.join().expect("it ends"));
+    threads.into_iter().for_each(|t| t.join().expect("the thread ends"));
     assert!(took < LATEST_END, "after {took:?}");
 }
 
-/// A node that ends with no heir tells clients that ask every 0.2 s, with an answer, before it closes.
+/// A node that shuts down without a successor announces the close in an answer to clients that send every 0.2 s.
 #[test]
-fn an_end_crosses_no_client_that_asks_every_200_ms() {
+fn a_shutdown_closes_on_no_client_that_sends_every_200_ms() {
     let bed = bed(Wire::Http, Wishes::default());
-    let mut clients = used(&bed, FEW);
+    let mut clients = served_clients(&bed, FEW);
     let mut node = bed.node;
     let asking: Vec<JoinHandle<bool>> = clients
         .drain(..)
@@ -485,7 +501,8 @@
         .collect();
     thread::sleep(Duration::from_millis(300));
     node.signal("TERM");
-    let crossed = asking.into_iter().map(|t| t.join().expect("it ends")).filter(|told| !told).count();
-    until("the node ends", || !node.running());
-    assert_eq!(crossed, 0, "of {FEW} met a closed connection");
+    let crossed =
+        asking.into_iter().map(|t| t.join().expect("the thread ends")).filter(|announced| !announced).count();
+    until("the node exits", || !node.running());
+    assert_eq!(crossed, 0, "of {FEW} clients met a closed connection");
 }
