--- a/crates/node/tests/levels.rs
+++ b/crates/node/tests/levels.rs
@@ -1,4 +1,4 @@
-//! Forwarders and planners as processes: what the pure parts cannot show.
+//! Forwarders and planners as processes: outages, authentication, `explain` and errors in the site file.
 
 use laurelroute_testkit::boxes::{Plan, StandIn};
 use laurelroute_testkit::discovery::{Discovery, Entry};
@@ -17,24 +17,24 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_laurelroute");
 
-fn bed(levels: Levels, boxes: usize) -> Bed {
+fn bed(levels: Levels, servers: usize) -> Bed {
     let wishes = Wishes { levels: Some(levels), ..Wishes::default() };
-    Bed::wishing(Path::new(PROGRAM), Wire::Http, boxes, wishes)
+    Bed::wishing(Path::new(PROGRAM), Wire::Http, servers, wishes)
 }
 
 #[test]
-fn planners_killed_under_load_cost_nothing_and_are_followed_again() {
+fn planners_killed_under_load_lose_no_request_and_are_followed_again() {
     let size = Size { forwarders: 3, boxes: 6, part: Duration::from_millis(1_500) };
-    let seen = outage::run(Path::new(PROGRAM), seed(), size);
-    assert!(seen.broken.is_empty(), "{seen:?}");
-    assert!(seen.converged < Duration::from_secs(10), "{seen:?}");
+    let outcome = outage::run(Path::new(PROGRAM), seed(), size);
+    assert!(outcome.broken.is_empty(), "{outcome:?}");
+    assert!(outcome.converged < Duration::from_secs(10), "{outcome:?}");
 }
 
 #[test]
 fn a_forwarder_starts_where_no_planner_runs() {
-    let boxes: Vec<StandIn> =
+    let servers: Vec<StandIn> =
         (0..2).map(|k| StandIn::start(&format!("box-{k}"), FORMS[0].1, Arc::<Plan>::default())).collect();
-    let entries: Vec<Entry> = boxes.iter().map(Entry::of).collect();
+    let entries: Vec<Entry> = servers.iter().map(Entry::of).collect();
     let discovery = Discovery::start(&entries);
     let wishes = Wishes { levels: Some(Levels::Up), ..Wishes::default() };
     let authority = Authority::default();
@@ -49,18 +49,18 @@
     let served = || {
         node.ask(Wire::Http, &laurelroute_testkit::wire::Ask::new(Class::Read)).is_some_and(|a| a.served())
     };
-    until("it serves by the list alone", served);
+    until("it serves with the list alone", served);
     planner.start();
-    until("it is led", || planner.explain(&[]).is_ok_and(|t| t.contains("1 connected, 1 hold")));
+    until("it follows the planner", || planner.explain(&[]).is_ok_and(|t| t.contains("1 connected, 1 hold")));
     assert!(served());
 }
 
 #[test]
-fn explain_tells_what_the_plan_says_and_why() {
+fn explain_shows_the_plan_and_its_reasons() {
     let bed = bed(Levels::Up, 3);
     let planner = &bed.upper.as_ref().unwrap().planners[0];
-    let all = planner.explain(&[]).unwrap();
-    assert!(all.contains("boxes: 3 ready") && all.contains("forwarders: 1 connected"), "{all}");
+    let summary = planner.explain(&[]).unwrap();
+    assert!(summary.contains("boxes: 3 ready") && summary.contains("forwarders: 1 connected"), "{summary}");
     let one = planner.explain(&["--box", "box-1"]).unwrap();
     assert!(one.contains("box box-1: ready") && one.contains("in the subsets of 1: f0"), "{one}");
     assert!(planner.explain(&["--box", "who"]).unwrap().contains("no box is named `who`"));
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn who_cannot_prove_itself_gets_nothing() {
+fn an_unauthenticated_peer_gets_nothing() {
     let bed = bed(Levels::Up, 2);
     let planner = &bed.upper.as_ref().unwrap().planners[0];
     // Plain bytes are answered with a TLS alert at most.
@@ -86,7 +86,7 @@
     let mut answer = Vec::new();
     let _ = stream.read_to_end(&mut answer);
     assert!(answer.len() < 16, "{answer:?}");
-    // A certificate of another authority, as forwarder and as asker.
+    // A certificate of another authority, as a forwarder and as an operator.
     let stranger = Authority::default();
     let file = std::env::temp_dir().join(format!("laurelroute-stranger-{}.toml", std::process::id()));
     std::fs::write(&file, stranger.peers("suite", "f7")).unwrap();
@@ -96,25 +96,25 @@
         let output = command.output().unwrap();
         (output.status.success(), String::from_utf8_lossy(&output.stderr).into_owned(), output.stdout)
     };
-    let (ok, error, told) = ask(&file);
-    assert!(!ok && told.is_empty() && error.contains("planner 127."), "{error}");
-    // A good certificate of another site hears why it is not spoken to.
+    let (ok, error, output) = ask(&file);
+    assert!(!ok && output.is_empty() && error.contains("planner 127."), "{error}");
+    // A valid certificate of another site is refused with the reason.
     std::fs::write(&file, bed.upper.as_ref().unwrap().authority.peers("elsewhere", "f8")).unwrap();
-    let (ok, error, told) = ask(&file);
+    let (ok, error, output) = ask(&file);
     assert!(
-        !ok && told.is_empty() && error.contains("it refuses: to p0: it belongs to site `elsewhere`"),
+        !ok && output.is_empty() && error.contains("it refuses: to p0: it belongs to site `elsewhere`"),
         "{error}"
     );
     std::fs::remove_file(&file).unwrap();
-    assert!(planner.explain(&[]).unwrap().contains("1 connected"), "nobody else has joined");
+    assert!(planner.explain(&[]).unwrap().contains("1 connected"), "no other forwarder has joined");
 }
 
 #[test]
-fn a_role_without_its_part_of_the_file_says_which() {
+fn a_role_without_its_section_of_the_file_names_it() {
     let file = std::env::temp_dir().join(format!("laurelroute-role-{}.toml", std::process::id()));
-    let boxes = [StandIn::start("box-0", FORMS[0].1, Arc::<Plan>::default())];
-    let discovery = Discovery::start(&boxes.iter().map(Entry::of).collect::<Vec<_>>());
-    let bed = Planner::new(
+    let servers = [StandIn::start("box-0", FORMS[0].1, Arc::<Plan>::default())];
+    let discovery = Discovery::start(&servers.iter().map(Entry::of).collect::<Vec<_>>());
+    let planner = Planner::new(
         Path::new(PROGRAM),
         &Authority::default(),
         "p",
@@ -123,20 +123,20 @@
         "",
     );
     std::fs::write(&file, "").unwrap();
-    for (role, part) in [("plan", "peers"), ("forward", "peers")] {
+    for (role, section) in [("plan", "peers"), ("forward", "peers")] {
         let mut command = Command::new(PROGRAM);
         let output =
-            command.arg(role).arg("--site").arg(&file).env("GW_CONFIG", bed.config()).output().unwrap();
+            command.arg(role).arg("--site").arg(&file).env("GW_CONFIG", planner.config()).output().unwrap();
         let error = String::from_utf8_lossy(&output.stderr);
         assert!(
-            !output.status.success() && error.contains(&format!("this role needs `[{part}]`")),
+            !output.status.success() && error.contains(&format!("this role needs `[{section}]`")),
             "{error}"
         );
     }
     std::fs::write(&file, "[peers]\nsite = \"s\"\nname = \"n\"\nauthority = \"none.pem\"\ncertificate = \"c\"\nkey = \"k\"\n[plan]\nlisten = \"127.0.0.1:0\"\n").unwrap();
     let mut command = Command::new(PROGRAM);
     let output =
-        command.arg("plan").arg("--site").arg(&file).env("GW_CONFIG", bed.config()).output().unwrap();
+        command.arg("plan").arg("--site").arg(&file).env("GW_CONFIG", planner.config()).output().unwrap();
     assert!(String::from_utf8_lossy(&output.stderr).contains("none.pem"), "{output:?}");
     std::fs::remove_file(&file).unwrap();
 }
