--- a/crates/node/tests/config.rs
+++ b/crates/node/tests/config.rs
@@ -1,9 +1,9 @@
-//! Tenants in the configuration: what counts as one, and what is said where a share cannot be read.
+//! Tenants in the configuration: which values are accepted, and the errors for a quota that cannot be read.
 
 use laurelroute_node::config::Config;
 use serde_json::{json, Value};
 
-/// Reads a sound configuration with these tenants.
+/// Reads an otherwise valid configuration with these tenants.
 fn read(name: &str, tenants: Value) -> Result<Config, String> {
     let file = json!({
         "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "limits": {"memory_mb": 48, "sockets": 256},
@@ -16,16 +16,16 @@
         },
     });
     let path = std::env::temp_dir().join(format!("laurelroute-config-{}-{name}.json", std::process::id()));
-    std::fs::write(&path, file.to_string()).expect("a file of the test's own");
+    std::fs::write(&path, file.to_string()).expect("the file can be written");
     let read = Config::read(&path).map_err(|error| error.to_string());
-    std::fs::remove_file(&path).expect("the same file");
+    std::fs::remove_file(&path).expect("the file can be removed");
     read
 }
 
 #[test]
-fn tenants_have_their_place_and_their_share() {
+fn tenants_have_their_index_and_their_quota() {
     let tenants = json!([{"name": "swan", "quotaPerS": 1.5}, {"quotaPerS": "2"}, {"name": "swan", "quotaPerS": 3, "more": [1]}]);
-    let gateway = read("shares", tenants).expect("sound").gateway;
+    let gateway = read("shares", tenants).expect("a valid configuration").gateway;
     assert_eq!(gateway.settings.tenant_quota, [1.5, 2.0, 3.0]);
     assert_eq!(gateway.tenants.iter().collect::<Vec<_>>(), ["swan", "", "swan"]);
     assert_eq!(
@@ -35,28 +35,28 @@
 }
 
 #[test]
-fn names_alone_have_no_shares_and_what_is_no_list_names_nobody() {
-    let gateway = read("names", json!(["swan", "gull"])).expect("sound").gateway;
+fn names_alone_have_no_quotas_and_other_values_define_no_tenants() {
+    let gateway = read("names", json!(["swan", "gull"])).expect("a valid configuration").gateway;
     assert_eq!((gateway.settings.tenant_quota.len(), gateway.tenant_index(Some(b"gull"))), (0, 1));
-    for (k, nobody) in
+    for (k, tenants) in
         [json!([]), json!(null), json!({"a": 1}), json!("swan"), json!(3)].into_iter().enumerate()
     {
-        let gateway = read(&format!("none-{k}"), nobody).expect("sound").gateway;
+        let gateway = read(&format!("none-{k}"), tenants).expect("a valid configuration").gateway;
         assert!(gateway.tenants.is_empty() && gateway.settings.tenant_quota.is_empty());
     }
 }
 
 #[test]
-fn a_share_that_cannot_be_read_is_named() {
-    let tenant =
+fn an_unreadable_quota_is_named_in_the_error() {
+    let with_quota =
         |quota: Value| json!([{"name": "swan", "quotaPerS": 1}, {"name": "gull", "quotaPerS": quota}]);
-    for (name, tenants, said) in [
-        ("text", tenant("many".into()), "`tenants.1.quotaPerS` has the unreadable value `many`"),
-        ("null", tenant(Value::Null), "`tenants.1.quotaPerS` is missing"),
+    for (name, tenants, message) in [
+        ("text", with_quota("many".into()), "`tenants.1.quotaPerS` has the unreadable value `many`"),
+        ("null", with_quota(Value::Null), "`tenants.1.quotaPerS` is missing"),
         ("mixed", json!([{"name": "swan", "quotaPerS": 1}, "gull"]), "`tenants.1.quotaPerS` is missing"),
-        ("negative", tenant((-1).into()), "setting `tenant_quota` is out of range"),
+        ("negative", with_quota((-1).into()), "setting `tenant_quota` is out of range"),
     ] {
-        let error = read(name, tenants).expect_err(said);
-        assert!(error.contains(said) && !error.contains('\n'), "{error}");
+        let error = read(name, tenants).expect_err(message);
+        assert!(error.contains(message) && !error.contains('\n'), "{error}");
     }
 }
--- a/crates/node/tests/interrupted.rs
+++ b/crates/node/tests/interrupted.rs
@@ -1,5 +1,6 @@
-//! System calls of the real program that are interrupted or move fewer bytes (EINTR, short reads and writes): on every wire
-//! no request is lost, none runs twice, none fails for it, and signals do their work.
+//! The real program under system calls that are interrupted or transfer fewer bytes (EINTR, short reads and
+//! writes): on every wire no request is lost, executed twice or failed because of them, and signals are
+//! handled.
 
 use laurelroute_testkit::load::Load;
 use laurelroute_testkit::program::{Bed, Wishes};
@@ -11,22 +12,22 @@
 use std::time::Duration;
 
 const CLIENTS: usize = 6;
-/// How long the load lasts, and the shim's seed, where `LAURELROUTE_SECONDS` and `LAURELROUTE_SEED` say nothing else.
+/// The duration of the load and the seed of the shim, unless `LAURELROUTE_SECONDS` and `LAURELROUTE_SEED` are set.
 const SECONDS: u64 = 3;
 const SEED: u64 = 7;
 
-fn named(variable: &str, otherwise: u64) -> u64 {
-    std::env::var(variable).ok().and_then(|text| text.parse().ok()).unwrap_or(otherwise)
+fn variable_or(variable: &str, default: u64) -> u64 {
+    std::env::var(variable).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-fn library() -> &'static Path {
+fn shim_library() -> &'static Path {
     shim::shared(Path::new(env!("CARGO_TARGET_TMPDIR")))
 }
 
-fn interrupted(seed: u32) -> Wishes {
+fn interrupted_wishes(seed: u32) -> Wishes {
     let knobs = ["recv_eintr", "send_eintr", "recv_short", "send_short", "epoll_eintr"];
     let shim = knobs.into_iter().fold(Shim::default(), |shim, knob| shim.with(knob, 0.01));
-    let environment = shim.with("unix_eintr", 0.05).with("seed", seed.into()).environment(library());
+    let environment = shim.with("unix_eintr", 0.05).with("seed", seed.into()).environment(shim_library());
     Wishes { environment, ..Wishes::default() }
 }
 
@@ -35,11 +36,11 @@
         Path::new(env!("CARGO_BIN_EXE_laurelroute")),
         wire,
         4,
-        interrupted(named("LAURELROUTE_SEED", SEED) as u32),
+        interrupted_wishes(variable_or("LAURELROUTE_SEED", SEED) as u32),
     )
 }
 
-fn nothing_is_lost(wire: Wire) {
+fn expect_no_loss(wire: Wire) {
     let bed = bed(wire);
     let address = match wire {
         Wire::Http => bed.node.http,
@@ -47,17 +48,17 @@
     };
     let loads: Vec<_> =
         CLASSES.iter().map(|class| Load::start(wire, address, CLIENTS, *class, 200)).collect();
-    thread::sleep(Duration::from_secs(named("LAURELROUTE_SECONDS", SECONDS)));
+    thread::sleep(Duration::from_secs(variable_or("LAURELROUTE_SECONDS", SECONDS)));
     for (load, class) in loads.into_iter().zip(CLASSES) {
         let tally = load.finish();
         let ran = bed.ran();
         let crossed = tally.crossed.iter().filter(|id| ran.contains_key(*id)).count();
         let twice = if class == Class::Write { tally.twice(&ran) } else { 0 };
-        let seen = (tally.lost.len(), tally.mixed.len(), crossed, twice, tally.failed);
+        let counts = (tally.lost.len(), tally.mixed.len(), crossed, twice, tally.failed);
         assert_eq!(
-            seen,
+            counts,
             (0, 0, 0, 0, 0),
-            "{class:?}: lost, mixed, sent on and closed, twice, failed; {} served",
+            "{class:?}: lost, mixed, forwarded but closed, executed twice, failed; {} served",
             tally.served.len()
         );
         assert!(tally.served.len() > 500, "{class:?}: {} served", tally.served.len());
@@ -65,44 +66,44 @@
 }
 
 #[test]
-fn interrupted_calls_lose_nothing_http() {
-    nothing_is_lost(Wire::Http);
+fn interrupted_calls_lose_no_request_http() {
+    expect_no_loss(Wire::Http);
 }
 
 #[test]
-fn interrupted_calls_lose_nothing_thrift() {
-    nothing_is_lost(Wire::thrift("framed-binary"));
+fn interrupted_calls_lose_no_request_thrift() {
+    expect_no_loss(Wire::thrift("framed-binary"));
 }
 
-/// A list of which only a part is read at first counts as soon as it has been written: the rest is not waited for until
-/// discovery speaks again.
+/// A list that takes several reads is used as soon as it has been written, and not only when discovery sends more.
 #[test]
-fn short_reads_do_not_hold_up_a_list() {
+fn short_reads_do_not_delay_a_list() {
     let shim = Shim::default().with("recv_short", 0.9);
-    let wishes = Wishes { environment: shim.environment(library()), ..Wishes::default() };
+    let wishes = Wishes { environment: shim.environment(shim_library()), ..Wishes::default() };
     let bed = Bed::wishing(Path::new(env!("CARGO_BIN_EXE_laurelroute")), Wire::Http, 3, wishes);
     let load = Load::start(Wire::Http, bed.node.http, CLIENTS, Class::Read, 0);
     for round in 0..6 {
         let mut entries = bed.entries();
         entries[round % 2] = entries[round % 2].clone().leaving();
-        let told = bed.discovery.told(bed.discovery.tell(&entries));
+        let delivered_at = bed.discovery.told(bed.discovery.tell(&entries));
         thread::sleep(Duration::from_millis(600));
-        let late = bed.boxes[round % 2].since(told + Duration::from_millis(300));
-        assert_eq!(late, 0, "round {round}: sent to a server past its grace");
+        let late = bed.boxes[round % 2].since(delivered_at + Duration::from_millis(300));
+        assert_eq!(late, 0, "round {round}: sent to a draining server after the grace time");
     }
     load.finish();
 }
 
-/// The library's own way to hear of signals ended the process at the first interrupted read of its pipe.
+/// The runtime library's signal handling ended the process at the first interrupted read of its pipe; the
+/// program's own must not.
 #[test]
-fn interrupted_calls_spare_signals() {
+fn interrupted_calls_do_not_break_signal_handling() {
     let mut bed = bed(Wire::Http);
     let discovery = bed.discovery.address;
     for _ in 0..150 {
         bed.configure(discovery);
         thread::sleep(Duration::from_millis(5));
     }
-    assert!(bed.node.running(), "the program ended on SIGHUP");
+    assert!(bed.node.running(), "the program exited on SIGHUP");
     bed.node.signal("TERM");
-    until("the program ends on SIGTERM", || !bed.node.running());
+    until("the program exits on SIGTERM", || !bed.node.running());
 }
--- a/crates/node/tests/long.rs
+++ b/crates/node/tests/long.rs
@@ -1,4 +1,4 @@
-//! Long messages and slow peers: what is above 64 KiB passes through, and nobody is cut off for being slow.
+//! Long messages and slow peers: messages above 64 KiB are streamed, and slow peers are not disconnected.
 
 mod common;
 use common::*;
@@ -17,11 +17,11 @@
     let server = FakeServer::start(script);
     let discovery = Discovery::start(&[host("s1", server.address)]);
     let program = Program::start(&discovery);
-    until("the list has come", || !program.ask().starts_with("HTTP/1.1 503"));
+    until("the list has arrived", || !program.ask().starts_with("HTTP/1.1 503"));
     (server, program, discovery)
 }
 
-/// Bytes that tell where they stand.
+/// Bytes that depend on their position.
 fn pattern(length: usize) -> Vec<u8> {
     (0..length).map(|k| (k % 251) as u8).collect()
 }
@@ -52,9 +52,10 @@
     (id, request)
 }
 
-/// The client has the first bytes while the server still holds back the rest, and then all of it.
+/// A long answer is streamed: the client has its first bytes while the server still holds back the rest, and
+/// then all of it.
 #[test]
-fn a_long_answer_passes_as_it_comes() {
+fn a_long_answer_is_streamed() {
     for chunked in [false, true] {
         let (_server, program, _discovery) = one_server(move |_, stream| {
             let whole = pattern(3 * MB);
@@ -79,15 +80,15 @@
         assert!(begun.elapsed() < Duration::from_millis(600), "{:?}", begun.elapsed());
         let answer = read_message(&mut stream).unwrap();
         assert!(answer.body == pattern(3 * MB), "{} bytes", answer.body.len());
-        // The connection is of further use.
+        // The connection can be used again.
         stream.write_all(safe_request(&fresh_id()).as_bytes()).unwrap();
         assert_eq!(read_message(&mut stream).unwrap().body.len(), 3 * MB);
     }
 }
 
-/// One that breaks off is not whole, and the client sees that.
+/// A long answer that its server cuts off is visibly incomplete for the client.
 #[test]
-fn a_long_answer_that_breaks_off_is_seen_to() {
+fn a_long_answer_that_is_cut_off_is_visibly_incomplete() {
     let (_server, program, _discovery) = one_server(|_, stream| {
         let _ = stream.write_all(&answer_head(MB)).and_then(|()| stream.write_all(&pattern(MB / 2)));
         false
@@ -100,7 +101,7 @@
 }
 
 #[test]
-fn a_long_body_passes_through_once() {
+fn a_long_body_is_forwarded_once() {
     let (server, program, _discovery) =
         one_server(|_, stream| stream.write_all(&reply("200 OK", "fine")).is_ok());
     for (length, chunked) in [(70_000, false), (70_000, true), (4 * MB, false), (4 * MB, true), (0, true)] {
@@ -110,20 +111,20 @@
         let answer = read_message(&mut stream).unwrap();
         assert!(answer.head.starts_with("HTTP/1.1 200"), "{}", answer.head);
         let seen = server.seen.lock().unwrap();
-        let came: Vec<_> = seen.iter().filter(|s| s.head.contains(&id)).collect();
-        assert_eq!(came.len(), 1);
-        assert!(came[0].body == pattern(length), "{length} {chunked}: {}", came[0].body.len());
+        let received: Vec<_> = seen.iter().filter(|s| s.head.contains(&id)).collect();
+        assert_eq!(received.len(), 1);
+        assert!(received[0].body == pattern(length), "{length} {chunked}: {}", received[0].body.len());
     }
 }
 
-/// Fifteen bodies of 4 MB at once, with 48 MB for the node: they pass through and are never all held.
+/// Fifteen bodies of 4 MB at once are streamed by a node with 48 MB and are never all buffered.
 #[test]
-fn many_long_bodies_fit() {
+fn many_long_bodies_fit_into_memory() {
     let servers: Vec<_> = (0..15).map(|_| FakeServer::serving("fine")).collect();
-    let named = |(k, server): (usize, &FakeServer)| host(&format!("s{k}"), server.address);
-    let discovery = Discovery::start(&servers.iter().enumerate().map(named).collect::<Vec<_>>());
+    let entry = |(k, server): (usize, &FakeServer)| host(&format!("s{k}"), server.address);
+    let discovery = Discovery::start(&servers.iter().enumerate().map(entry).collect::<Vec<_>>());
     let program = Program::start(&discovery);
-    until("the list has come", || program.ask().starts_with("HTTP/1.1 200"));
+    until("the list has arrived", || program.ask().starts_with("HTTP/1.1 200"));
     let threads: Vec<_> = (0..15)
         .map(|_| {
             let mut stream = program.connect();
@@ -140,14 +141,14 @@
     }
     let peak = memory_kb(program.pid(), Memory::Peak);
     assert!(peak.unwrap() < 40_000, "{peak:?} kB");
-    let came =
+    let long_bodies =
         |server: &FakeServer| server.seen.lock().unwrap().iter().filter(|s| s.body.len() == 4 * MB).count();
-    assert_eq!(servers.iter().map(came).sum::<usize>(), 15);
+    assert_eq!(servers.iter().map(long_bodies).sum::<usize>(), 15);
 }
 
-/// A request that takes 2 s for its head, and a body that comes a little at a time, are as good as any.
+/// A request whose head takes 2 s, and one whose body arrives in small pieces, are served.
 #[test]
-fn slow_clients_are_waited_for() {
+fn slow_clients_are_served() {
     let (_server, program, _discovery) =
         one_server(|_, stream| stream.write_all(&reply("200 OK", "fine")).is_ok());
     let mut stream = program.connect();
@@ -166,9 +167,10 @@
     assert!(read_message(&mut stream).unwrap().head.starts_with("HTTP/1.1 200"));
 }
 
-/// Half a body and then nothing: told so, also where the first half has passed through, and it never ran.
+/// A body that stops halfway is answered with 408, also if its first half was already streamed, and is never
+/// executed.
 #[test]
-fn a_body_that_stops_is_given_up() {
+fn a_body_that_stops_is_answered_with_408() {
     let (server, program, _discovery) =
         one_server(|_, stream| stream.write_all(&reply("200 OK", "fine")).is_ok());
     for length in [1_000, 2 * MB] {
@@ -183,12 +185,12 @@
     }
 }
 
-/// A server that takes a part of a long body and closes: the request never ran, and is refused rather than failed. It takes
-/// in little, and the body is longer than all that the kernel holds between the two: were the last byte handed over, nobody
-/// could know.
+/// A server reads a part of a long body and closes: the request was not executed, and is refused rather than
+/// failed. The receive buffer is small and the body longer than the kernel's buffers together: once the last
+/// byte was written, it would be unknown whether the request was executed.
 #[test]
-fn a_long_body_that_its_server_drops_is_refused() {
-    let listener = listening_with_little_room();
+fn a_long_body_whose_server_closes_is_refused() {
+    let listener = listen_with_small_buffers();
     let address = listener.local_addr().unwrap();
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
@@ -210,8 +212,8 @@
     let _ = writer.join().unwrap();
 }
 
-/// A listener whose connections hold some 64 KB of what has not been read.
-fn listening_with_little_room() -> std::net::TcpListener {
+/// A listener whose connections buffer about 64 KB of unread bytes.
+fn listen_with_small_buffers() -> std::net::TcpListener {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(64 * 1024).unwrap();
     socket.bind(&std::net::SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -1,4 +1,5 @@
-//! The real program over loopback sockets: what failed there must not fail again.
+//! Regression tests of the real program over loopback sockets: reloads, invalid requests and answers, stalled
+//! clients.
 
 mod common;
 use common::*;
@@ -10,9 +11,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A new configuration under load: the program goes on and follows the discovery that the file now names.
+/// After SIGHUP the program follows the discovery that the new configuration names.
 #[test]
-fn a_hangup_moves_to_the_new_discovery() {
+fn sighup_moves_to_the_new_discovery() {
     let (first, second) = (FakeServer::serving("first"), FakeServer::serving("second"));
     let old = Discovery::start(&[host("s1", first.address)]);
     let new = Discovery::start(&[host("s2", second.address)]);
@@ -20,23 +21,23 @@
     until("the first server answers", || program.ask().ends_with("first"));
     program.configure(new.address);
     program.signal("HUP");
-    until("the new list counts", || program.ask().ends_with("second"));
-    // More than once, also back to where it was.
+    until("the new list is used", || program.ask().ends_with("second"));
+    // A second reload moves back to the first discovery.
     program.configure(old.address);
     program.signal("HUP");
-    until("the old list counts again", || program.ask().ends_with("first"));
+    until("the old list is used again", || program.ask().ends_with("first"));
     assert!(program.running());
 }
 
-/// A file that cannot be read leaves the old configuration in force.
+/// A configuration file that cannot be read leaves the old configuration in force.
 #[test]
-fn a_hangup_survives_a_broken_file() {
+fn sighup_with_an_invalid_file_keeps_the_configuration() {
     let server = FakeServer::serving("here");
     let discovery = Discovery::start(&[host("s1", server.address)]);
     let mut program = Program::start(&discovery);
     program.spoil_config();
     program.signal("HUP");
-    // The signal after it is handled too, so the first one has been by then.
+    // Signals are handled in order: once a later one has taken effect, the first was handled too.
     let other = Discovery::start(&[host("s1", server.address)]);
     until("the program has tried the file", || {
         program.configure(other.address);
@@ -46,9 +47,9 @@
     assert!(program.running() && program.ask().ends_with("here"));
 }
 
-/// A file that is still being written as the signal comes counts once it is there: no second signal is owed.
+/// A configuration file that is still being written at SIGHUP is read once it is complete, without a second signal.
 #[test]
-fn a_hangup_waits_for_a_file_that_is_still_being_written() {
+fn sighup_waits_for_a_file_that_is_still_being_written() {
     let (first, second) = (FakeServer::serving("first"), FakeServer::serving("second"));
     let old = Discovery::start(&[host("s1", first.address)]);
     let new = Discovery::start(&[host("s2", second.address)]);
@@ -56,11 +57,11 @@
     until("the first server answers", || program.ask().ends_with("first"));
     program.spoil_config();
     program.signal("HUP");
-    let told = Instant::now();
+    let signalled = Instant::now();
     thread::sleep(Duration::from_millis(2_000));
     program.configure(new.address);
-    until("the new list counts", || program.ask().ends_with("second"));
-    assert!(told.elapsed() < Duration::from_secs(4), "{:?}", told.elapsed());
+    until("the new list is used", || program.ask().ends_with("second"));
+    assert!(signalled.elapsed() < Duration::from_secs(4), "{:?}", signalled.elapsed());
 }
 
 fn one_server(
@@ -69,7 +70,7 @@
     let server = FakeServer::start(script);
     let discovery = Discovery::start(&[host("s1", server.address)]);
     let program = Program::start(&discovery);
-    until("the list has come", || program.ask().starts_with("HTTP/1.1 200"));
+    until("the list has arrived", || program.ask().starts_with("HTTP/1.1 200"));
     (server, program)
 }
 
@@ -77,47 +78,53 @@
     stream.write_all(&reply("200 OK", "fine")).is_ok()
 }
 
-/// What no server could use is answered with an error, closes its connection and goes nowhere.
+/// A request that no server could use is answered with an error and not forwarded, and its connection is closed.
 #[test]
-fn what_cannot_be_used_goes_nowhere() {
+fn invalid_requests_are_not_forwarded() {
     let (server, program) = one_server(serve);
     let before = server.requests();
     let line = |method: &str, path: &str, fields: &str| {
         format!("{method} {path} HTTP/1.1\r\nHost: app.svc\r\n{fields}\r\n")
     };
     let id = fresh_id();
-    let sound = format!("X-Request-ID: {id}\r\nX-Timeout-Ms: 4000\r\n");
-    let hidden = format!("0\r\n\r\n{}", safe_request(&fresh_id()));
-    let faults = [
+    let valid_fields = format!("X-Request-ID: {id}\r\nX-Timeout-Ms: 4000\r\n");
+    let smuggled = format!("0\r\n\r\n{}", safe_request(&fresh_id()));
+    let invalid_requests = [
         line("GET", "/read", "X-Timeout-Ms: 4000\r\n"),
         line("GET", "/read", &format!("X-Request-ID: {id}\r\nX-Request-ID: x\r\nX-Timeout-Ms: 4000\r\n")),
         line("GET", "/read", &format!("X-Request-ID: {id}\r\nX-Timeout-Ms: soon\r\n")),
         line("GET", "/read", &format!("X-Request-ID: {id}\r\nX-Timeout-Ms: -5\r\n")),
         line("GET", "/read", &format!("X-Request-ID: {id}\r\nX-Timeout-Ms: 99999999999999999999999\r\n")),
-        line("GET", "/other", &sound),
-        line("POST", "/read", &format!("{sound}Content-Length: 0\r\n")),
-        line("GET", "/write", &sound),
-        line("POST", "/write", &format!("{sound}Content-Length: -4\r\n")) + "abcd",
-        line("POST", "/write", &format!("{sound}Content-Length: 60000000\r\n")) + &"x".repeat(5000),
-        line("POST", "/write", &format!("{sound}Content-Length: 120\r\nTransfer-Encoding: chunked\r\n"))
-            + &hidden,
-        line("POST", "/write", &format!("{sound}Transfer-Encoding: chunked\r\nContent-Length: 120\r\n"))
-            + &hidden,
+        line("GET", "/other", &valid_fields),
+        line("POST", "/read", &format!("{valid_fields}Content-Length: 0\r\n")),
+        line("GET", "/write", &valid_fields),
+        line("POST", "/write", &format!("{valid_fields}Content-Length: -4\r\n")) + "abcd",
+        line("POST", "/write", &format!("{valid_fields}Content-Length: 60000000\r\n")) + &"x".repeat(5000),
+        line(
+            "POST",
+            "/write",
+            &format!("{valid_fields}Content-Length: 120\r\nTransfer-Encoding: chunked\r\n"),
+        ) + &smuggled,
+        line(
+            "POST",
+            "/write",
+            &format!("{valid_fields}Transfer-Encoding: chunked\r\nContent-Length: 120\r\n"),
+        ) + &smuggled,
     ];
-    for request in &faults {
+    for request in &invalid_requests {
         let answer = program.raw(request.as_bytes());
         let status = answer.get(9..12).unwrap_or_default();
         // A client that is still sending may see the close before the answer.
         assert!(answer.is_empty() || status.starts_with('4'), "{answer:?} to {request:.200}");
     }
-    // All that came to the server after these is what was sound.
+    // The server has received nothing but the valid request.
     assert!(program.ask().ends_with("fine"));
     assert_eq!(server.requests(), before + 1);
 }
 
-/// An id is one request's: while that one may be under way, another under it goes nowhere.
+/// A request id belongs to one request: while that one may be in flight, another with the same id is not forwarded.
 #[test]
-fn an_open_id_is_taken_once() {
+fn an_id_in_flight_is_rejected_for_another_request() {
     let (server, program) = one_server(|request, stream| {
         thread::sleep(Duration::from_millis(if request.head.starts_with("POST") { 300 } else { 0 }));
         serve(request, stream)
@@ -132,9 +139,10 @@
     assert_eq!(server.seen.lock().unwrap().iter().filter(|s| s.head.contains(&id)).count(), 1);
 }
 
-/// No client holds a descriptor for good: not by silence, nor by half a head or body, nor after a request.
+/// A stalled client is disconnected: one that sends nothing, half a head or half a body, or nothing after a
+/// request.
 #[test]
-fn those_that_stand_still_are_closed() {
+fn stalled_clients_are_disconnected() {
     let (_server, program) = one_server(serve);
     let half_body = unsafe_request(&fresh_id(), "abcd").replace("abcd", "ab");
     for (what, bytes) in [
@@ -147,31 +155,31 @@
         let mut stream = program.connect();
         stream.write_all(bytes.as_bytes()).unwrap();
         let mut rest = Vec::new();
-        // Bounded by the time-out of the connection; what counts is that the end comes at all.
+        // Bounded by the read timeout of the connection; only that the close happens is checked.
         stream.read_to_end(&mut rest).unwrap_or_else(|e| panic!("{what}: never closed: {e}"));
         assert_eq!(rest.starts_with(b"HTTP/1.1 200"), what.starts_with("a request"), "{what}");
     }
 }
 
-/// Connections that hold more than there are places do not keep others out.
+/// Silent connections that take all connection slots are evicted for other clients.
 #[test]
 fn silent_connections_make_room() {
     let server = FakeServer::start(serve);
     let discovery = Discovery::start(&[host("s1", server.address)]);
     let program = Program::with_sockets(&discovery, 64);
-    until("the list has come", || program.ask().ends_with("fine"));
+    until("the list has arrived", || program.ask().ends_with("fine"));
     let silent: Vec<_> = (0..100).map(|_| program.connect()).collect();
-    // At the first try: it is not for those that say nothing that another is told to come back.
+    // At the first attempt: a client must not be refused for the sake of silent connections.
     let answer = program.ask();
     assert!(answer.ends_with("fine"), "{answer:?}");
     drop(silent);
 }
 
-/// Spoilt answers: a request that is safe to repeat gets a good one, no client sees a spoilt one, and one that
-/// must not run twice fails.
+/// No client receives a malformed answer: a request that is safe to retry gets a valid one, and one that must
+/// not be executed more than once fails.
 #[test]
-fn spoilt_answers_are_nobodys() {
-    let spoilt: [&[u8]; 9] = [
+fn malformed_answers_reach_no_client() {
+    let malformed: [&[u8]; 9] = [
         b"HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\nfine",
         b"\x00\x01\x02 noise\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\nfine",
@@ -186,12 +194,12 @@
         .map(|_| {
             FakeServer::start(move |request, stream| {
                 let which = request.head.split("?v=").nth(1).and_then(|v| v.split(' ').next()?.parse().ok());
-                // The first attempt of each is spoilt.
-                static SPOILT: Mutex<Vec<usize>> = Mutex::new(Vec::new());
+                // The first attempt of each request gets a malformed answer.
+                static ANSWERED_MALFORMED: Mutex<Vec<usize>> = Mutex::new(Vec::new());
                 match which {
-                    Some(n) if !SPOILT.lock().unwrap().contains(&n) => {
-                        SPOILT.lock().unwrap().push(n);
-                        stream.write_all(spoilt[n % spoilt.len()]).is_ok()
+                    Some(n) if !ANSWERED_MALFORMED.lock().unwrap().contains(&n) => {
+                        ANSWERED_MALFORMED.lock().unwrap().push(n);
+                        stream.write_all(malformed[n % malformed.len()]).is_ok()
                     }
                     _ => serve(request, stream),
                 }
@@ -201,36 +209,37 @@
     let list: Vec<_> = servers.iter().enumerate().map(|(k, s)| host(&format!("s{k}"), s.address)).collect();
     let discovery = Discovery::start(&list);
     let program = Program::start(&discovery);
-    until("the list has come", || program.ask().starts_with("HTTP/1.1 200"));
-    for n in 0..spoilt.len() {
+    until("the list has arrived", || program.ask().starts_with("HTTP/1.1 200"));
+    for n in 0..malformed.len() {
         let read = safe_request(&fresh_id()).replace("/read", &format!("/read?v={n}"));
-        // Good answers in between: trust and the budget of repeats have to come back.
+        // Valid answers in between refill the retry budget and restore the servers' scores.
         for _ in 0..20 {
             program.ask();
             program.raw(unsafe_request(&fresh_id(), "x").as_bytes());
         }
         let answer = program.raw(read.as_bytes());
         assert!(answer.starts_with("HTTP/1.1 200") && answer.ends_with("fine"), "{n}: {answer:?}");
-        // Good answers in between: trust and the budget of repeats have to come back.
+        // Valid answers in between refill the retry budget and restore the servers' scores.
         for _ in 0..20 {
             program.ask();
             program.raw(unsafe_request(&fresh_id(), "x").as_bytes());
         }
         let write =
-            unsafe_request(&fresh_id(), "x").replace("/write", &format!("/write?v={}", n + spoilt.len()));
+            unsafe_request(&fresh_id(), "x").replace("/write", &format!("/write?v={}", n + malformed.len()));
         let answer = program.raw(write.as_bytes());
         assert!(answer.starts_with("HTTP/1.1 502"), "{n}: {answer:?}");
     }
 }
 
-/// A good answer with more behind or ahead is good, and the next request on that connection gets its own.
+/// A valid answer with other answers before or after it is forwarded, and the next request gets its own answer.
 #[test]
-fn what_comes_behind_an_answer_is_no_answer() {
+fn surplus_answers_are_discarded() {
     let (_server, program) = one_server(|request, stream| {
         let id = request.head.split("x-request-id: ").nth(1).and_then(|v| v.split("\r\n").next());
         let good = reply("200 OK", id.unwrap_or_default());
-        let all = [b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n".to_vec(), good.clone(), good].concat();
-        stream.write_all(&all).is_ok()
+        let answers =
+            [b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n".to_vec(), good.clone(), good].concat();
+        stream.write_all(&answers).is_ok()
     });
     for _ in 0..50 {
         let id = fresh_id();
@@ -239,54 +248,54 @@
     }
 }
 
-/// A new server at the address of one that the list still names: that address counts as one server, the newer.
+/// A new server at the address of one that the list still contains: the address counts as one server, the newer.
 #[test]
-fn a_successor_displaces_the_departed() {
+fn a_new_server_replaces_the_old_one_at_its_address() {
     let server = FakeServer::serving("here");
     let old = host("old", server.address);
     let discovery = Discovery::start(std::slice::from_ref(&old));
     let program = Program::start(&discovery);
-    until("the list has come", || program.ask().ends_with("here"));
-    let open = server.connections.load(Ordering::SeqCst);
+    until("the list has arrived", || program.ask().ends_with("here"));
+    let connections_before = server.connections.load(Ordering::SeqCst);
     let new = host("new", server.address).born(1000);
     discovery.tell(&[old, new]);
-    until("the successor is used", || {
-        program.ask().ends_with("here") && server.connections.load(Ordering::SeqCst) > open
+    until("the new server is used", || {
+        program.ask().ends_with("here") && server.connections.load(Ordering::SeqCst) > connections_before
     });
-    // What was connected to the departed one is not used again.
+    // The connections to the old server are not used again.
     let before = server.requests();
     for _ in 0..100 {
         assert!(program.ask().ends_with("here"));
     }
-    assert!(server.seen.lock().unwrap()[before..].iter().all(|s| s.connection >= open));
+    assert!(server.seen.lock().unwrap()[before..].iter().all(|s| s.connection >= connections_before));
 }
 
-/// Where many clients have asked once and stay, their connections are closed sooner than one that stands alone.
+/// Idle connections are closed sooner on a crowded node than on one with a single client.
 #[test]
-fn a_crowd_that_stays_is_sent_away_sooner() {
+fn idle_connections_of_a_crowded_node_are_closed_sooner() {
     let server = FakeServer::start(serve);
     let discovery = Discovery::start(&[host("s1", server.address)]);
     let program = || {
         let program = Program::with_sockets(&discovery, 64);
-        until("the list has come", || program.ask().ends_with("fine"));
+        until("the list has arrived", || program.ask().ends_with("fine"));
         program
     };
     let (calm, crowded) = (program(), program());
-    let asked = |program: &Program| {
+    let served_client = |program: &Program| {
         let mut stream = program.connect();
         stream.write_all(safe_request(&fresh_id()).as_bytes()).unwrap();
         read_message(&mut stream).expect("an answer");
         stream
     };
-    let mut alone = asked(&calm);
-    let crowd: Vec<_> = (0..14).map(|_| asked(&crowded)).collect();
+    let mut single = served_client(&calm);
+    let crowd: Vec<_> = (0..14).map(|_| served_client(&crowded)).collect();
     let closing = thread::spawn(move || {
-        alone.read_to_end(&mut Vec::new()).unwrap();
+        single.read_to_end(&mut Vec::new()).unwrap();
         Instant::now()
     });
     for mut stream in crowd.into_iter().take(3) {
         stream.read_to_end(&mut Vec::new()).unwrap();
     }
-    let crowd_gone = Instant::now();
-    assert!(crowd_gone < closing.join().unwrap());
+    let crowd_closed_at = Instant::now();
+    assert!(crowd_closed_at < closing.join().unwrap());
 }
--- a/crates/node/tests/rules.rs
+++ b/crates/node/tests/rules.rs
@@ -1,4 +1,5 @@
-//! The rule suite over every wire: the same bodies, the real program, sockets on loopback.
+//! Runs the rule suite against the real program over loopback sockets, with every wire, planner state and
+//! shift state.
 
 use laurelroute_testkit::levels::Levels;
 use laurelroute_testkit::suite::Shifted;
--- a/crates/node/tests/soak.rs
+++ b/crates/node/tests/soak.rs
@@ -1,4 +1,5 @@
-//! A short fault soak of the real program: a control run with no fault, and a few seeds with some. `rig soak` plays more.
+//! A short fault soak of the real program: control runs without faults, and a few seeds with faults. `rig
+//! soak` runs more.
 
 use laurelroute_testkit::soak::check::{check, Shares};
 use laurelroute_testkit::soak::plan::{Kind, Plan, Size, KINDS};
@@ -10,7 +11,7 @@
 fn soak(seed: u64, kinds: &[Kind]) -> Shares {
     let size = Size { nodes: 4, servers: 6, span: Duration::from_secs(6) };
     let folder = std::env::temp_dir().join(format!("laurelroute-soak-{}-{}", std::process::id(), fresh()));
-    let wanted = Wanted {
+    let run = Wanted {
         seed,
         size,
         asked: seed % 2 == 1,
@@ -19,16 +20,16 @@
         folder: folder.clone(),
     };
     let plan = Plan::draw(&mut Random::new(seed), size, kinds);
-    let history = play(&wanted, &plan).expect("the soak can be played");
+    let history = play(&run, &plan).expect("the soak can be run");
     let _ = std::fs::remove_dir_all(folder);
-    let broken: Vec<String> = check(&history).iter().map(ToString::to_string).collect();
+    let violations: Vec<String> = check(&history).iter().map(ToString::to_string).collect();
     let faults: Vec<String> = plan.faults.iter().map(ToString::to_string).collect();
-    assert!(broken.is_empty(), "seed {seed}, late by {} us, {faults:#?}: {broken:#?}", history.lag);
+    assert!(violations.is_empty(), "seed {seed}, late by {} us, {faults:#?}: {violations:#?}", history.lag);
     Shares::of(&history)
 }
 
 #[test]
-fn with_no_fault_all_is_served() {
+fn every_request_is_served_without_faults() {
     for seed in [1, 2] {
         let shares = soak(seed, &[]);
         assert!(shares.served > 200, "{shares:?}");
@@ -36,18 +37,18 @@
     }
 }
 
-/// All kinds but those that take capacity away: what is refused for want of warm servers is judged by `rig soak`.
-fn kinds() -> Vec<Kind> {
-    let capacity = [Kind::Replace, Kind::Crash, Kind::TurnAway];
-    KINDS.into_iter().filter(|kind| !capacity.contains(kind)).collect()
+/// All kinds of faults except those that reduce capacity: `rig soak` judges refusals for lack of warmed-up servers.
+fn kinds_that_keep_capacity() -> Vec<Kind> {
+    let reduce_capacity = [Kind::Replace, Kind::Crash, Kind::TurnAway];
+    KINDS.into_iter().filter(|kind| !reduce_capacity.contains(kind)).collect()
 }
 
 #[test]
-fn faults_that_overlap_break_nothing_pushed() {
-    soak(12, &kinds());
+fn overlapping_faults_violate_no_guarantee_pushed() {
+    soak(12, &kinds_that_keep_capacity());
 }
 
 #[test]
-fn faults_that_overlap_break_nothing_asked() {
-    soak(15, &kinds());
+fn overlapping_faults_violate_no_guarantee_polled() {
+    soak(15, &kinds_that_keep_capacity());
 }
--- a/crates/node/tests/thrift.rs
+++ b/crates/node/tests/thrift.rs
@@ -1,4 +1,5 @@
-//! What is Thrift's own: frames that are split, oversized or malformed, pipelines, oneway calls, names and headers.
+//! Behavior that is specific to Thrift: split, oversized and malformed frames, pipelining, oneway calls,
+//! methods and headers.
 
 use laurelroute_testkit::boxes::{Act, Plan, StandIn};
 use laurelroute_testkit::client::Client;
@@ -32,12 +33,13 @@
     "header-compact",
 ];
 
-fn bed(form: &str, boxes: usize) -> Bed {
-    Bed::new(Path::new(PROGRAM), Wire::thrift(form), boxes)
+fn bed(form: &str, servers: usize) -> Bed {
+    Bed::new(Path::new(PROGRAM), Wire::thrift(form), servers)
 }
 
-/// Calls that are answered at once: the module learns how quick the boxes are, and lets in more at a time.
-fn learn(bed: &Bed) {
+/// Makes 240 calls that are answered at once, so that the balancer measures fast servers and admits more
+/// calls at a time.
+fn warm_up(bed: &Bed) {
     let mut client = bed.node.connect(bed.wire);
     for k in 0..240 {
         let class = if k % 2 == 0 { Class::Read } else { Class::Write };
@@ -49,9 +51,9 @@
     Some(Answer::Served(ask.id.clone().into_bytes()))
 }
 
-/// Every form is told from its first bytes, one byte a write.
+/// Every wire form is detected from its first bytes, also if each byte is written by itself.
 #[test]
-fn calls_come_byte_by_byte() {
+fn calls_arrive_byte_by_byte() {
     let bed = bed("framed-binary", 1);
     for form in FORMS {
         let wire = Wire::mixed(form, "framed-binary");
@@ -66,8 +68,8 @@
     }
 }
 
-/// A frame that is said to hold 2 GB, or less than nothing, ends its connection, after the answers to what was read
-/// before, and no other connection notices.
+/// A frame with a length of 2 GB, or a negative one, closes its connection after the answers to earlier
+/// calls, and does not affect other connections.
 #[test]
 fn an_oversized_frame_fails_alone() {
     let bed = bed("framed-binary", 1);
@@ -76,13 +78,13 @@
         bed.plan.next(&[Act::After(Duration::from_millis(60)); 2]);
         let other = Ask::new(Class::Read);
         neighbour.send(&other);
-        until("the neighbour's call is out", || bed.arrivals(&other.id) == 1);
+        until("the neighbour's call is at the server", || bed.arrivals(&other.id) == 1);
         let mut client = bed.node.connect(bed.wire);
         let ask = Ask::new(Class::Write);
         client.send(&ask);
         client.raw(&size.to_be_bytes());
         client.raw(&[0x55; 100]);
-        assert_eq!(client.answer(), served(&ask), "what was read before is answered");
+        assert_eq!(client.answer(), served(&ask), "the earlier call is answered");
         assert!(matches!(client.answer(), Some(Answer::Failed { .. })));
         assert!(client.closed(), "{size:#x}");
         assert_eq!(neighbour.answer(), served(&other));
@@ -93,14 +95,14 @@
     [&(message.len() as u32).to_be_bytes(), message].concat()
 }
 
-/// A strict binary call of `read` with these bytes as its arguments.
+/// A framed strict binary call of `read` with these bytes as its arguments.
 fn call(seqid: i32, body: &[u8]) -> Vec<u8> {
     let mut out = Vec::new();
     Head { name: "read".into(), kind: Kind::Call, seqid }.write(Protocol::BinaryStrict, &mut out);
     framed(&[&out[..], body].concat())
 }
 
-/// Malformed frames fail alone: their neighbours on the same connection are answered, in order.
+/// A malformed frame fails alone: the calls before and after it on the same connection are answered, in order.
 #[test]
 fn malformed_frames_fail_alone() {
     let bed = bed("framed-binary", 1);
@@ -123,7 +125,7 @@
         assert_eq!(client.numbered(), Some((1000 + k as i32, Answer::Failed { late: false })), "{k}");
         assert_eq!(client.numbered(), served(&after).map(|a| (last, a)), "{k}");
     }
-    // One whose head can't be read is answered too, without its number.
+    // A call whose head cannot be read is answered too, with sequence id 0.
     let ask = Ask::new(Class::Read);
     client.raw(&framed(&[0x80, 1, 0, 77]));
     client.send(&ask);
@@ -131,9 +133,9 @@
     assert_eq!(client.answer(), served(&ask));
 }
 
-/// An unframed message that is unsound can't be stepped over: it is answered and its connection ends.
+/// A malformed unframed message has no known end: it is answered and its connection is closed.
 #[test]
-fn an_unsound_unframed_call_ends_its_connection() {
+fn a_malformed_unframed_call_closes_its_connection() {
     let bed = bed("unframed-binary", 1);
     let mut client = bed.node.connect(bed.wire);
     let ask = Ask::new(Class::Read);
@@ -145,13 +147,13 @@
     assert!(bed.one(Class::Read).is_some_and(|a| a.served()));
 }
 
-/// Pipelined calls are answered in their order, also where the first is the slowest and there are more than are let
-/// in at once.
+/// Pipelined calls are answered in order, also if the first is the slowest and there are more than are
+/// admitted at once.
 #[test]
 fn pipelined_calls_are_answered_in_order() {
     for form in FORMS {
         let bed = bed(form, 3);
-        learn(&bed);
+        warm_up(&bed);
         bed.plan.next(&[Act::After(Duration::from_millis(250))]);
         let mut client = bed.node.connect(bed.wire);
         let asks: Vec<_> = (0..40).map(|_| Ask::new(Class::Write)).collect();
@@ -163,9 +165,9 @@
     }
 }
 
-/// A client that goes away inside a frame leaves nothing behind, and one that stands still is closed.
+/// A client that disconnects inside a frame leaves no call behind, and one that stalls is disconnected.
 #[test]
-fn half_a_frame_goes_nowhere() {
+fn an_incomplete_frame_is_not_forwarded() {
     let bed = bed("framed-binary", 1);
     let ask = Ask::new(Class::Write).carrying(3000);
     let bytes = ask.bytes(bed.wire, 1);
@@ -174,40 +176,44 @@
         client.raw(&bytes[..cut]);
         drop(client);
     }
-    let mut still = bed.node.connect(bed.wire);
-    still.raw(&bytes[..bytes.len() - 1]);
-    assert!(still.closed(), "half a frame held its connection for good");
+    let mut stalled = bed.node.connect(bed.wire);
+    stalled.raw(&bytes[..bytes.len() - 1]);
+    assert!(stalled.closed(), "half a frame kept its connection open");
     assert!(bed.one(Class::Write).is_some_and(|a| a.served()));
     assert_eq!(bed.arrivals(&ask.id), 0);
 }
 
-/// An unsafe oneway call runs at most once, answered by nothing, also where its client leaves at once.
+/// An unsafe oneway call is executed once and not answered, also if its client disconnects at once.
 #[test]
-fn oneway_calls_run_once_and_are_not_answered() {
+fn oneway_calls_are_executed_once_and_not_answered() {
     let bed = bed("framed-compact", 2);
-    for leave in [false, true] {
+    for disconnect in [false, true] {
         let oneway = Ask { oneway: true, ..Ask::new(Class::Write) };
         let mut client = bed.node.connect(bed.wire);
         client.send(&oneway);
-        if leave {
+        if disconnect {
             drop(client);
         } else {
             let ask = Ask::new(Class::Read);
             let seqid = client.send(&ask);
-            assert_eq!(client.numbered(), served(&ask).map(|a| (seqid, a)), "only the call is answered");
+            assert_eq!(
+                client.numbered(),
+                served(&ask).map(|a| (seqid, a)),
+                "only the two-way call is answered"
+            );
             assert!(client.silent_for(Duration::from_millis(60)));
         }
-        until("it has run", || bed.runs(&oneway.id) == 1);
+        until("the oneway call is executed", || bed.runs(&oneway.id) == 1);
         assert!(bed.one(Class::Read).is_some_and(|a| a.served()));
         assert_eq!(bed.runs(&oneway.id), 1);
     }
 }
 
-/// A oneway call to a box that is not there has not run, and goes to another.
+/// A oneway call to a server that refuses connections was not executed and goes to another server.
 #[test]
-fn a_oneway_call_goes_round_a_dead_box() {
+fn a_oneway_call_avoids_a_dead_server() {
     let bed = bed("framed-binary", 2);
-    learn(&bed);
+    warm_up(&bed);
     let dead = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let entry = Entry { name: "dead".into(), http: dead, thrift: Some(dead), ..Entry::of(&bed.boxes[0]) };
     bed.discovery.told(bed.discovery.tell(&[bed.entries(), vec![entry]].concat()));
@@ -216,13 +222,13 @@
     for ask in &asks {
         client.send(ask);
     }
-    until("all have run", || asks.iter().all(|ask| bed.runs(&ask.id) == 1));
+    until("all calls are executed", || asks.iter().all(|ask| bed.runs(&ask.id) == 1));
 }
 
 #[test]
 fn an_unknown_method_and_a_reply_are_refused_by_type() {
     let bed = bed("framed-binary", 1);
-    let mut raw = Raw::connect(bed.node.thrift);
+    let mut raw = RawConnection::connect(bed.node.thrift);
     let ask = |name: &str, kind| {
         let mut out = Vec::new();
         Head { name: name.into(), kind, seqid: 3 }.write(Protocol::BinaryStrict, &mut out);
@@ -230,26 +236,26 @@
     };
     assert_eq!(application::decode(&raw.ask(&ask("nothing", Kind::Call))).0, application::UNKNOWN_METHOD);
     assert_eq!(application::decode(&raw.ask(&ask("read", Kind::Reply))).0, application::INVALID_MESSAGE_TYPE);
-    // A deadline that is no number.
+    // A negative timeout.
     let body = [8, 0, 2, 0xff, 0xff, 0xff, 0xff, 0];
     assert_eq!(application::decode(&raw.ask(&call(1, &body))).0, application::PROTOCOL_ERROR);
     assert!(bed.boxes[0].came().iter().all(|c| c.id.is_some()));
 }
 
-/// A connection on which whole messages are written and read.
-struct Raw {
+/// A connection for raw frames, with a decoder for the answers.
+struct RawConnection {
     stream: TcpStream,
     decoder: Decoder,
 }
 
-impl Raw {
-    fn connect(address: SocketAddr) -> Raw {
-        Raw::new(TcpStream::connect(address).expect("the program accepts"))
+impl RawConnection {
+    fn connect(address: SocketAddr) -> RawConnection {
+        RawConnection::new(TcpStream::connect(address).expect("the program accepts"))
     }
 
-    fn new(stream: TcpStream) -> Raw {
+    fn new(stream: TcpStream) -> RawConnection {
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        Raw { stream, decoder: Decoder::new(Accept::Detect, Limits::default()) }
+        RawConnection { stream, decoder: Decoder::new(Accept::Detect, Limits::default()) }
     }
 
     fn message(&mut self) -> Option<Message> {
@@ -259,9 +265,9 @@
                 Some(other) => panic!("{other:?}"),
                 None => {}
             }
-            let mut part = [0; 1024];
-            let n = self.stream.read(&mut part).ok().filter(|n| *n > 0)?;
-            self.decoder.buffer().extend_from_slice(&part[..n]);
+            let mut chunk = [0; 1024];
+            let n = self.stream.read(&mut chunk).ok().filter(|n| *n > 0)?;
+            self.decoder.buffer().extend_from_slice(&chunk[..n]);
         }
     }
 
@@ -273,19 +279,19 @@
 
 type Script = dyn Fn(&Message) -> Vec<u8> + Send + Sync;
 
-/// A box whose answers a test words itself; it keeps what it has read.
-fn scripted(script: Arc<Script>) -> (SocketAddr, Arc<Mutex<Vec<Message>>>) {
+/// Starts a server that answers with a script and records the messages that it has read.
+fn start_scripted_server(script: Arc<Script>) -> (SocketAddr, Arc<Mutex<Vec<Message>>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let seen: Arc<Mutex<Vec<Message>>> = Arc::default();
-    let list = seen.clone();
+    let recorded = seen.clone();
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let (script, list) = (script.clone(), list.clone());
+            let (script, recorded) = (script.clone(), recorded.clone());
             thread::spawn(move || {
-                let mut raw = Raw::new(stream);
+                let mut raw = RawConnection::new(stream);
                 while let Some(message) = raw.message() {
-                    list.lock().unwrap().push(message.clone());
+                    recorded.lock().unwrap().push(message.clone());
                     if raw.stream.write_all(&script(&message)).is_err() {
                         break;
                     }
@@ -296,15 +302,18 @@
     (address, seen)
 }
 
-/// A node before one scripted box that speaks `form`.
-fn before(form: &str, script: Arc<Script>) -> (Program, Arc<Mutex<Vec<Message>>>, Discovery) {
+/// Starts a node with one scripted server that speaks `form`.
+fn node_with_scripted_server(
+    form: &str,
+    script: Arc<Script>,
+) -> (Program, Arc<Mutex<Vec<Message>>>, Discovery) {
     let form = Form::named(form).unwrap();
-    let (address, seen) = scripted(script);
+    let (address, seen) = start_scripted_server(script);
     let other = StandIn::start("http", form, Arc::<Plan>::default());
     let entry = Entry { name: "box".into(), thrift: Some(address), ..Entry::of(&other) };
     let discovery = Discovery::start(&[entry]);
     let program = Program::start(Path::new(PROGRAM), discovery.address, form, Wishes::default());
-    until("the list has come", || {
+    until("the list has arrived", || {
         program.ask(Wire::Http, &Ask::new(Class::Read)).is_some_and(|a| a.served())
     });
     (program, seen, discovery)
@@ -329,23 +338,23 @@
     framed(&out)
 }
 
-/// A declared exception of the service is an answer like any other, byte for byte.
+/// A declared exception of the service is forwarded like any other answer, byte for byte.
 #[test]
 fn a_declared_exception_is_served() {
     let (program, _, _discovery) =
-        before("framed-binary", Arc::new(|call| reply(call, call.head.method(), 1)));
-    let mut raw = Raw::connect(program.thrift);
+        node_with_scripted_server("framed-binary", Arc::new(|call| reply(call, call.head.method(), 1)));
+    let mut raw = RawConnection::connect(program.thrift);
     let answer = raw.ask(&call(9, &[0]));
     assert_eq!((answer.head.kind, answer.head.seqid), (Kind::Reply, 9));
     assert_eq!(framed(answer.bytes()), reply(&answer, "read", 1));
 }
 
-/// An answer that names another method is none.
+/// An answer that names another method is invalid.
 #[test]
-fn an_answer_to_another_method_is_none() {
+fn an_answer_that_names_another_method_is_invalid() {
     let (program, seen, _discovery) =
-        before("framed-binary", Arc::new(|call| reply(call, "somebody_else", 0)));
-    let mut raw = Raw::connect(program.thrift);
+        node_with_scripted_server("framed-binary", Arc::new(|call| reply(call, "somebody_else", 0)));
+    let mut raw = RawConnection::connect(program.thrift);
     let ask = Ask::new(Class::Write).bytes(Wire::thrift("framed-binary"), 4);
     let answer = raw.ask(&ask);
     assert_eq!((answer.head.kind, answer.head.seqid), (Kind::Exception, 4));
@@ -353,10 +362,10 @@
     assert_eq!(seen.lock().unwrap().len(), 1, "an unsafe call was sent again");
 }
 
-/// A call passes unchanged where the forms agree; a THeader box is told the time that is left, and the client's own
-/// headers.
+/// A call between equal wire forms is forwarded unchanged; a THeader server receives the remaining time and
+/// the client's own headers.
 #[test]
-fn a_box_is_told_the_time_that_is_left() {
+fn a_theader_server_receives_the_remaining_time() {
     let script: Arc<Script> = Arc::new(|call| {
         let mut out = vec![0; 4];
         Header::default().write(call.form.protocol, &mut out);
@@ -365,8 +374,8 @@
         out[..4].copy_from_slice(&len.to_be_bytes());
         out
     });
-    let (program, seen, _discovery) = before("header-compact", script);
-    let mut raw = Raw::connect(program.thrift);
+    let (program, seen, _discovery) = node_with_scripted_server("header-compact", script);
+    let mut raw = RawConnection::connect(program.thrift);
     let mut message = Vec::new();
     Head { name: "read".into(), kind: Kind::Call, seqid: 6 }.write(Protocol::Compact, &mut message);
     message.push(0);
@@ -374,33 +383,37 @@
     let mut frame = Vec::new();
     Header { flags: 0, seqid: 41, pairs }.write(Protocol::Compact, &mut frame);
     let answer = raw.ask(&framed(&[&frame[..], &message].concat()));
-    assert_eq!(answer.header.as_ref().map(|h| h.seqid), Some(41), "the frame's own number goes back");
+    assert_eq!(
+        answer.header.as_ref().map(|h| h.seqid),
+        Some(41),
+        "the sequence id of the THeader frame is returned"
+    );
     let seen = seen.lock().unwrap();
     assert_eq!(&seen[0].bytes()[..], &message[..], "byte for byte");
     let header = seen[0].header.as_ref().unwrap();
     assert_eq!(header.get("shire"), Some("swan-valley"));
-    let left: u64 = header.get("x-timeout-ms").unwrap().parse().unwrap();
-    assert!((1..=5000).contains(&left), "{left} ms");
+    let remaining_ms: u64 = header.get("x-timeout-ms").unwrap().parse().unwrap();
+    assert!((1..=5000).contains(&remaining_ms), "{remaining_ms} ms");
 }
 
-/// Which exception says that a box turned a call away is the operator's to say: the same one ends an unsafe call, or
-/// sends it on.
+/// The operator configures which exception type is a rejection by the server: with that type an unsafe call
+/// is retried, with any other it fails.
 #[test]
-fn the_type_that_turns_away_is_configured() {
-    for (boxes, answered) in [("", false), ("turned_away = 6", true)] {
-        let wishes = Wishes { boxes: boxes.to_owned(), ..Wishes::default() };
+fn the_rejection_exception_type_is_configurable() {
+    for (boxes_table, served) in [("", false), ("turned_away = 6", true)] {
+        let wishes = Wishes { boxes: boxes_table.to_owned(), ..Wishes::default() };
         let bed = Bed::wishing(Path::new(PROGRAM), Wire::thrift("framed-binary"), 2, wishes);
         bed.plan.next(&[Act::Say(Say::Error)]);
         let ask = Ask::new(Class::Write);
         let answer = Client::connect(bed.wire, bed.node.thrift).unwrap().ask(&ask);
-        assert_eq!(answer.is_some_and(|a| a.served()), answered, "{boxes}");
-        assert_eq!(bed.arrivals(&ask.id), 1 + usize::from(answered), "{boxes}");
+        assert_eq!(answer.is_some_and(|a| a.served()), served, "{boxes_table}");
+        assert_eq!(bed.arrivals(&ask.id), 1 + usize::from(served), "{boxes_table}");
     }
 }
 
-/// An operator's file that is at fault stops the start, with one line that names key and line; `check` says the same.
+/// `check` reports an error in the operator's file in one line that names the key and the line.
 #[test]
-fn a_bad_site_file_is_named() {
+fn an_error_in_the_site_file_is_reported_with_key_and_line() {
     let path = std::env::temp_dir().join(format!("laurelroute-site-{}.toml", std::process::id()));
     let check = || {
         let out = std::process::Command::new(PROGRAM).arg("check").arg(&path).output().unwrap();
@@ -419,7 +432,7 @@
     assert_eq!(check().0, Some(1));
 }
 
-/// Silent Thrift connections that hold all places make room for clients of either wire.
+/// Silent Thrift connections that take all connection slots are evicted for clients of either wire.
 #[test]
 fn silent_connections_make_room_for_both_wires() {
     let wishes = Wishes { sockets: 64, ..Wishes::default() };
@@ -431,14 +444,14 @@
     drop(silent);
 }
 
-/// Boxes whose Thrift addresses fall together by a slip in the operator's file are still all there for HTTP.
+/// Servers that share a Thrift address by mistake in the discovery list are all still used for HTTP.
 #[test]
-fn one_thrift_address_for_two_boxes_takes_neither_from_http() {
+fn two_servers_with_one_thrift_address_both_serve_http() {
     let bed = bed("framed-binary", 2);
     let shared = Some(bed.boxes[0].thrift);
     let entries: Vec<_> = bed.entries().into_iter().map(|e| Entry { thrift: shared, ..e }).collect();
     bed.discovery.told(bed.discovery.tell(&entries));
-    until("Thrift is in use at one address", || {
+    until("Thrift calls go to one server only", || {
         let before = bed.boxes[1].came().len();
         (0..20).all(|_| bed.one(Class::Read).is_some_and(|a| a.served()))
             && bed.boxes[1].came().len() == before
@@ -446,6 +459,6 @@
     bed.boxes.iter().for_each(|b| b.usually(Act::After(Duration::from_millis(5))));
     let load = Load::start(Wire::Http, bed.node.http, 4, Class::Read, 0);
     let before: Vec<_> = bed.boxes.iter().map(|b| b.came().len()).collect();
-    until("both boxes serve HTTP", || bed.boxes.iter().zip(&before).all(|(b, n)| b.came().len() > n + 5));
+    until("both servers serve HTTP", || bed.boxes.iter().zip(&before).all(|(b, n)| b.came().len() > n + 5));
     assert!(load.finish().lost.is_empty());
 }
