--- a/crates/node/tests/endings.rs
+++ b/crates/node/tests/endings.rs
@@ -192,7 +192,7 @@
     assert_eq!(bed.discovery.watches.load(Ordering::SeqCst), watches, "the watch was given up");
 }
 
-/// How long all requests may go to the server that is not up, while the other one serves.
+/// The longest time for which all requests may go to the server that is not up; the other one is healthy.
 const LATE_SERVER_ONLY_LIMIT: Duration = Duration::from_secs(20);
 
 /// A keyed request that may have been executed is retried at another server, whose connection is established
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -82,8 +82,8 @@
 /// schedule of each kind of fault.
 #[test]
 fn membership_guarantees_hold_under_faults() {
-    let named = "500ms pause 1 2000ms\n3500ms cut 2 0,1,3,4\n3500ms cut 0,1,3,4 2\n8000ms mend\n";
-    let mut schedules = vec![(0, read(named).expect("a schedule"))];
+    let script = "500ms pause 1 2000ms\n3500ms cut 2 0,1,3,4\n3500ms cut 0,1,3,4 2\n8000ms mend\n";
+    let mut schedules = vec![(0, read(script).expect("a schedule"))];
     schedules.extend([3, 10, 12].map(|seed| (seed, strained(seed, 5))));
     run_without_violation(&schedules);
 }
@@ -126,9 +126,9 @@
 /// All replicas converge after bans on both sides of a partition, kills with and without the disk, and pauses.
 #[test]
 fn replicas_converge_under_faults() {
-    let named = "0ms ban 0 1\n600ms cut 0,1,2 3,4\n600ms cut 3,4 0,1,2\n1000ms back 0 1\n1100ms ban 1 1\n1300ms back 4 1\n\
+    let script = "0ms ban 0 1\n600ms cut 0,1,2 3,4\n600ms cut 3,4 0,1,2\n1000ms back 0 1\n1100ms ban 1 1\n1300ms back 4 1\n\
                  1500ms ban 3 0\n1600ms kill 2\n4000ms mend\n4200ms fresh 2\n5000ms pause 1 2000ms\n5500ms back 0 0\n8000ms mend\n";
-    let mut schedules = vec![(0, read(named).expect("a schedule"))];
+    let mut schedules = vec![(0, read(script).expect("a schedule"))];
     schedules.extend([2, 7].map(|seed| (seed, spoken(seed, 5, 2))));
     assert!(run_without_violation(&schedules).iter().all(|verdict| verdict.words.0 > 0));
 }
--- a/crates/node/tests/incidents.rs
+++ b/crates/node/tests/incidents.rs
@@ -103,10 +103,10 @@
     // The disk works from 3 s on.
     thread::sleep(Duration::from_millis(6_500));
     program.signal("KILL");
-    let again = program.successor();
-    until("the next process answers", || again.ask().ends_with("second"));
+    let successor = program.successor();
+    until("the next process answers", || successor.ask().ends_with("second"));
     for _ in 0..40 {
-        assert!(!again.ask().ends_with("first"), "a banned server was used");
+        assert!(!successor.ask().ends_with("first"), "a banned server was used");
     }
 }
 
--- a/crates/node/tests/interrupted.rs
+++ b/crates/node/tests/interrupted.rs
@@ -52,9 +52,10 @@
     for (load, class) in loads.into_iter().zip(CLASSES) {
         let tally = load.finish();
         let ran = bed.ran();
-        let crossed = tally.crossed.iter().filter(|id| ran.contains_key(*id)).count();
-        let twice = if class == Class::Write { tally.twice(&ran) } else { 0 };
-        let counts = (tally.lost.len(), tally.mixed.len(), crossed, twice, tally.failed);
+        let forwarded_but_closed = tally.crossed.iter().filter(|id| ran.contains_key(*id)).count();
+        let executed_twice = if class == Class::Write { tally.twice(&ran) } else { 0 };
+        let counts =
+            (tally.lost.len(), tally.mixed.len(), forwarded_but_closed, executed_twice, tally.failed);
         assert_eq!(
             counts,
             (0, 0, 0, 0, 0),
--- a/crates/node/tests/leaving.rs
+++ b/crates/node/tests/leaving.rs
@@ -38,16 +38,16 @@
 }
 
 /// The requests whose clients have disconnected at one waiting point.
-struct Tally {
+struct DisconnectTally {
     waiting_point: &'static str,
     wire: Wire,
     random: Random,
     abandoned: Vec<AbandonedRequest>,
 }
 
-impl Tally {
-    fn new(waiting_point: &'static str, wire: Wire) -> Tally {
-        Tally { waiting_point, wire, random: Random::new(seed()), abandoned: Vec::new() }
+impl DisconnectTally {
+    fn new(waiting_point: &'static str, wire: Wire) -> DisconnectTally {
+        DisconnectTally { waiting_point, wire, random: Random::new(seed()), abandoned: Vec::new() }
     }
 
     fn next_way(&self) -> Leaving {
@@ -102,7 +102,7 @@
 fn waiting_for_a_late_connection(wire: Wire) {
     let wishes = Wishes { cancelling: false, connect_timeout_ms: 4_000, ..Wishes::default() };
     let bed = bed(wire, 1, wishes);
-    let mut tally = Tally::new("a connection that is established late", wire);
+    let mut tally = DisconnectTally::new("a connection that is established late", wire);
     let mut late_servers = Vec::new();
     for round in 0..5 {
         let form = laurelroute_thrift::codec::FORMS[0].1;
@@ -149,7 +149,7 @@
 /// Requests wait in the kernel's queue for a connection slot or for a process that is stopped.
 fn waiting_in_the_kernel_queue(wire: Wire) {
     let bed = bed(wire, 2, Wishes::default());
-    let mut tally = Tally::new("the kernel's queue", wire);
+    let mut tally = DisconnectTally::new("the kernel's queue", wire);
     for round in 0..5 {
         // Half of the clients were served before and wait on their established connections.
         let mut established: Vec<_> = (0..CLIENTS / 2).map(|_| bed.node.connect(wire)).collect();
@@ -184,7 +184,7 @@
 /// accepts no further call before the answer.
 fn waiting_before_a_retry(wire: Wire, thrift_settings: &str) {
     let bed = bed(wire, 2, Wishes { thrift: thrift_settings.to_owned(), ..Wishes::default() });
-    let mut tally = Tally::new("before a retry", wire);
+    let mut tally = DisconnectTally::new("before a retry", wire);
     for _ in 0..5 {
         bed.plan.next(&[Act::TurnAwayWhenTold; CLIENTS]);
         let waiting = send(&bed, CLIENTS);
@@ -216,7 +216,7 @@
 fn waiting_before_a_hedge_attempt(wire: Wire) {
     let wishes = Wishes { hedging: true, aim_ms: 1_600, ..Wishes::default() };
     let bed = bed(wire, 2, wishes);
-    let mut tally = Tally::new("before a hedge attempt", wire);
+    let mut tally = DisconnectTally::new("before a hedge attempt", wire);
     for _ in 0..2 {
         bed.plan.next(&[Act::TurnAwayWhenTold; CLIENTS]);
         let waiting = send(&bed, CLIENTS);
--- a/crates/node/tests/long.rs
+++ b/crates/node/tests/long.rs
@@ -58,15 +58,15 @@
 fn a_long_answer_is_streamed() {
     for chunked in [false, true] {
         let (_server, program, _discovery) = one_server(move |_, stream| {
-            let whole = pattern(3 * MB);
-            let (first, rest) = whole.split_at(100_000);
+            let body = pattern(3 * MB);
+            let (first, rest) = body.split_at(100_000);
             let framed = |piece: &[u8]| match chunked {
                 true => [format!("{:x}\r\n", piece.len()).as_bytes(), piece, b"\r\n"].concat(),
                 false => piece.to_vec(),
             };
             let head = match chunked {
                 true => b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec(),
-                false => answer_head(whole.len()),
+                false => answer_head(body.len()),
             };
             let end = if chunked { &b"0\r\n\r\n"[..] } else { b"" };
             let begun = stream.write_all(&[head, framed(first)].concat()).is_ok();
--- a/crates/node/tests/operations.rs
+++ b/crates/node/tests/operations.rs
@@ -222,15 +222,15 @@
 /// Bytes in the kernel's queues between these two ends of a connection, from /proc/self/net/tcp.
 fn queued_bytes(from: std::net::SocketAddr, to: std::net::SocketAddr) -> usize {
     let table = std::fs::read_to_string("/proc/self/net/tcp").unwrap();
-    let end = |port: u16| format!("0100007F:{port:04X}");
-    let queue = |local: u16, remote: u16, which: usize| {
-        let wanted = [end(local), end(remote)];
+    let proc_address = |port: u16| format!("0100007F:{port:04X}");
+    let queue_length = |local: u16, remote: u16, column: usize| {
+        let connection_ends = [proc_address(local), proc_address(remote)];
         let mut rows = table.lines().map(|line| line.split_whitespace().collect::<Vec<_>>());
-        let row = rows.find(|row| row.get(1..3).is_some_and(|ends| ends == wanted));
-        let queues = row.and_then(|row| row.get(4)?.split(':').nth(which).map(str::to_owned));
+        let row = rows.find(|row| row.get(1..3).is_some_and(|ends| ends == connection_ends));
+        let queues = row.and_then(|row| row.get(4)?.split(':').nth(column).map(str::to_owned));
         queues.map_or(0, |q| usize::from_str_radix(&q, 16).unwrap())
     };
-    queue(from.port(), to.port(), 0) + queue(to.port(), from.port(), 1)
+    queue_length(from.port(), to.port(), 0) + queue_length(to.port(), from.port(), 1)
 }
 
 /// A client that does not read its answer until after a takeover receives all of it. The node has the whole
--- a/crates/node/tests/services.rs
+++ b/crates/node/tests/services.rs
@@ -22,7 +22,7 @@
 const GRACE: Duration = Duration::from_millis(250);
 
 /// Servers with their services, discovery, planners and forwarders.
-struct Scene {
+struct Cluster {
     servers: Vec<StandIn>,
     entries: Vec<Entry>,
     discovery: Discovery,
@@ -34,30 +34,30 @@
 /// A forwarder's settings that take the service name from the Host header.
 const BY_HOST: &str = "services = true\nservice = \"host\"\n";
 
-impl Scene {
-    fn without_nodes(planners: usize, services: &[&[&str]]) -> Scene {
-        let start = |k: usize| StandIn::start(&format!("box-{k}"), FORMS[0].1, Arc::<Plan>::default());
-        let servers: Vec<StandIn> = (0..services.len()).map(start).collect();
+impl Cluster {
+    fn without_nodes(planners: usize, services: &[&[&str]]) -> Cluster {
+        let start_server = |k: usize| StandIn::start(&format!("box-{k}"), FORMS[0].1, Arc::<Plan>::default());
+        let servers: Vec<StandIn> = (0..services.len()).map(start_server).collect();
         let entries: Vec<Entry> =
-            servers.iter().zip(services).map(|(b, names)| Entry::of(b).serving(names)).collect();
+            servers.iter().zip(services).map(|(server, names)| Entry::of(server).serving(names)).collect();
         let discovery = Discovery::start(&entries);
         let authority = Authority::default();
         let settings = format!("planners = {planners}\nservices = true\n");
-        let planner = |k: usize| {
+        let new_planner = |k: usize| {
             let (name, wishes) = (format!("p{k}"), Wishes::default());
             Planner::of(Path::new(PROGRAM), &authority, &name, discovery.address, &wishes, &settings)
         };
-        let mut planners: Vec<Planner> = (0..planners).map(planner).collect();
+        let mut planners: Vec<Planner> = (0..planners).map(new_planner).collect();
         planners.iter_mut().for_each(Planner::start);
-        let scene = Scene { servers, entries, discovery, authority, planners, nodes: Vec::new() };
-        scene.await_list();
-        scene
+        let cluster = Cluster { servers, entries, discovery, authority, planners, nodes: Vec::new() };
+        cluster.await_list();
+        cluster
     }
 
-    fn new(planners: usize, services: &[&[&str]]) -> Scene {
-        let mut scene = Scene::without_nodes(planners, services);
-        scene.forwarder("f0", BY_HOST, Wishes::default());
-        scene
+    fn new(planners: usize, services: &[&[&str]]) -> Cluster {
+        let mut cluster = Cluster::without_nodes(planners, services);
+        cluster.start_forwarder("f0", BY_HOST, Wishes::default());
+        cluster
     }
 
     fn await_list(&self) {
@@ -68,7 +68,7 @@
         }
     }
 
-    fn site(&self, name: &str, settings: &str) -> String {
+    fn forwarder_site(&self, name: &str, settings: &str) -> String {
         let planners: Vec<String> =
             self.planners.iter().map(|p| format!("{:?}", p.address.to_string())).collect();
         format!(
@@ -78,25 +78,25 @@
         )
     }
 
-    fn forwarder(&mut self, name: &str, settings: &str, wishes: Wishes) {
-        let site = self.site(name, settings) + &wishes.site;
+    fn start_forwarder(&mut self, name: &str, settings: &str, wishes: Wishes) {
+        let site = self.forwarder_site(name, settings) + &wishes.site;
         let wishes = Wishes { site, levels: Some(Levels::Up), ..wishes };
         let node = Program::start(Path::new(PROGRAM), self.discovery.address, FORMS[0].1, wishes);
         self.nodes.push(node);
     }
 
-    fn ask(&self, service: &str) -> Option<Answer> {
+    fn request(&self, service: &str) -> Option<Answer> {
         self.nodes[0].ask(Wire::Http, &Ask::new(Class::Read).of(service))
     }
 
     fn served(&self, service: &str) -> bool {
-        self.ask(service).is_some_and(|a| a.served())
+        self.request(service).is_some_and(|a| a.served())
     }
 
     /// Sends a load to a service until each of these servers has received requests of it; no other server may
     /// receive any.
     fn expect_routed_to(&self, service: &str, expected: &[usize]) {
-        let before: Vec<usize> = self.servers.iter().map(|b| b.came().len()).collect();
+        let before: Vec<usize> = self.servers.iter().map(|server| server.came().len()).collect();
         let used = |k: &usize| self.servers[*k].came().len() > before[*k];
         let load = Load::asking(Wire::Http, self.nodes[0].http, 6, &Ask::new(Class::Read).of(service));
         until("all servers of the service are used", || expected.iter().all(used));
@@ -116,45 +116,49 @@
 }
 
 /// Sends a request with these header lines; returns the status code and the whole response.
-fn status(node: SocketAddr, head: &str) -> Option<(u16, String)> {
+fn send_head(node: SocketAddr, head: &str) -> Option<(u16, String)> {
     let mut stream = TcpStream::connect(node).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(20))).ok()?;
     let id = Ask::new(Class::Read).id;
-    let fixed = format!("X-Request-ID: {id}\r\nX-Timeout-Ms: 4000\r\nConnection: close\r\n\r\n");
-    stream.write_all(format!("GET /read HTTP/1.1\r\n{head}{fixed}").as_bytes()).ok()?;
+    let common_fields = format!("X-Request-ID: {id}\r\nX-Timeout-Ms: 4000\r\nConnection: close\r\n\r\n");
+    stream.write_all(format!("GET /read HTTP/1.1\r\n{head}{common_fields}").as_bytes()).ok()?;
     let mut answer = String::new();
     stream.read_to_string(&mut answer).ok()?;
     Some((answer.get(9..12)?.parse().ok()?, answer))
 }
 
 fn status_of(node: &Program, head: &str) -> u16 {
-    status(node.http, head).expect("an answer").0
+    send_head(node.http, head).expect("an answer").0
 }
 
 #[test]
 fn services_are_routed_separately_and_the_first_request_waits_for_its_subscription() {
-    let scene = Scene::new(1, &[&["shop"], &["shop", "stock"], &["stock"]]);
+    let cluster = Cluster::new(1, &[&["shop"], &["shop", "stock"], &["stock"]]);
     // No service is subscribed yet: the first request waits for the subscription and is served.
-    assert!(scene.served("shop"));
-    scene.expect_routed_to("shop", &[0, 1]);
-    scene.expect_routed_to("stock", &[1, 2]);
+    assert!(cluster.served("shop"));
+    cluster.expect_routed_to("shop", &[0, 1]);
+    cluster.expect_routed_to("stock", &[1, 2]);
     // Host names are case-insensitive, and their ports are ignored.
-    scene.expect_routed_to("SHOP:8080", &[0, 1]);
-    let explained = scene.planners[0].explain(&["--service", "shop"]).unwrap();
+    cluster.expect_routed_to("SHOP:8080", &[0, 1]);
+    let explained = cluster.planners[0].explain(&["--service", "shop"]).unwrap();
     assert!(explained.contains("service `shop`: 2 servers"), "{explained}");
-    let explained = scene.planners[0].explain(&["--box", "box-1"]).unwrap();
+    let explained = cluster.planners[0].explain(&["--box", "box-1"]).unwrap();
     assert!(explained.contains("`shop`") && explained.contains("`stock`"), "{explained}");
 }
 
 #[test]
 fn the_service_may_come_from_a_header_and_thrift_calls_are_unnamed() {
-    let mut scene = Scene::without_nodes(1, &[&["shop"], &[]]);
-    scene.forwarder("f0", "services = true\nservice = { header = \"X-Service\" }\n", Wishes::default());
-    let node = &scene.nodes[0];
+    let mut cluster = Cluster::without_nodes(1, &[&["shop"], &[]]);
+    cluster.start_forwarder(
+        "f0",
+        "services = true\nservice = { header = \"X-Service\" }\n",
+        Wishes::default(),
+    );
+    let node = &cluster.nodes[0];
     let serving_index = |head: &str| {
-        let before: Vec<usize> = scene.servers.iter().map(|b| b.came().len()).collect();
+        let before: Vec<usize> = cluster.servers.iter().map(|server| server.came().len()).collect();
         assert_eq!(status_of(node, &format!("Host: any\r\n{head}")), 200, "{head}");
-        (0..2).find(|k| scene.servers[*k].came().len() > before[*k])
+        (0..2).find(|k| cluster.servers[*k].came().len() > before[*k])
     };
     assert_eq!(serving_index("X-Service: shop\r\n"), Some(0));
     assert_eq!(serving_index(""), Some(1), "the unnamed service");
@@ -164,28 +168,28 @@
     for _ in 0..5 {
         let ask = Ask::new(Class::Read);
         assert!(node.ask(thrift, &ask).is_some_and(|a| a.served()));
-        assert_eq!(scene.servers[1].runs(&ask.id), 1);
+        assert_eq!(cluster.servers[1].runs(&ask.id), 1);
     }
 }
 
 #[test]
 fn unknown_services_are_refused_and_evict_nothing() {
-    let mut scene = Scene::without_nodes(1, &[&["shop"], &["stock"]]);
-    scene.forwarder("f0", &format!("{BY_HOST}most_services = 2\n"), Wishes::default());
-    assert!(scene.served("shop") && scene.served("stock"));
-    let node = &scene.nodes[0];
+    let mut cluster = Cluster::without_nodes(1, &[&["shop"], &["stock"]]);
+    cluster.start_forwarder("f0", &format!("{BY_HOST}most_services = 2\n"), Wishes::default());
+    assert!(cluster.served("shop") && cluster.served("stock"));
+    let node = &cluster.nodes[0];
     let begun = Instant::now();
-    let (code, _) = status(node.http, "Host: nowhere\r\n").unwrap();
+    let (code, _) = send_head(node.http, "Host: nowhere\r\n").unwrap();
     assert_eq!(code, 404);
     assert!(begun.elapsed() < Duration::from_secs(3), "it waited for its timeout");
     // Many requests of unknown services cost the planner no snapshots and do not evict the services in use.
     for k in 0..300 {
         assert_eq!(status_of(node, &format!("Host: made-up-{k}\r\n")), 404);
     }
-    let before = scene.planners[0].explain(&[]).unwrap();
-    assert!(scene.served("shop") && scene.served("stock"));
+    let before = cluster.planners[0].explain(&[]).unwrap();
+    assert!(cluster.served("shop") && cluster.served("stock"));
     assert_eq!(
-        scene.planners[0].explain(&[]).unwrap().lines().last(),
+        cluster.planners[0].explain(&[]).unwrap().lines().last(),
         before.lines().last(),
         "no further snapshot"
     );
@@ -198,58 +202,58 @@
 
 #[test]
 fn a_drain_under_load_reaches_the_forwarder_in_time() {
-    let scene = Scene::new(2, &[&["shop"], &["shop"], &["shop"]]);
-    assert!(scene.served("shop"));
-    let load = Load::asking(Wire::Http, scene.nodes[0].http, 4, &Ask::new(Class::Read).of("shop"));
-    until("the server is in use", || scene.servers[0].came().len() > 3);
-    let change = scene.update_list(|k, e| if k == 0 { e.leaving() } else { e });
-    let delivered_at = scene.discovery.told(change);
+    let cluster = Cluster::new(2, &[&["shop"], &["shop"], &["shop"]]);
+    assert!(cluster.served("shop"));
+    let load = Load::asking(Wire::Http, cluster.nodes[0].http, 4, &Ask::new(Class::Read).of("shop"));
+    until("the server is in use", || cluster.servers[0].came().len() > 3);
+    let change = cluster.update_list(|k, e| if k == 0 { e.leaving() } else { e });
+    let delivered_at = cluster.discovery.told(change);
     thread::sleep(GRACE);
-    let others = scene.servers[1].came().len() + scene.servers[2].came().len();
+    let others = cluster.servers[1].came().len() + cluster.servers[2].came().len();
     until("the other servers go on", || {
-        scene.servers[1].came().len() + scene.servers[2].came().len() > others + 40
+        cluster.servers[1].came().len() + cluster.servers[2].came().len() > others + 40
     });
     let tally = load.finish();
-    assert_eq!(scene.servers[0].since(delivered_at + GRACE), 0, "sent to a draining server");
+    assert_eq!(cluster.servers[0].since(delivered_at + GRACE), 0, "sent to a draining server");
     assert_eq!((tally.failed, tally.refused), (0, 0), "{tally:?}");
 }
 
 #[test]
 fn subscribed_services_outlive_all_planners_and_new_ones_are_refused_until_one_is_back() {
-    let mut scene = Scene::new(2, &[&["shop"], &["stock"]]);
-    assert!(scene.served("shop"));
-    let mut waiting = Client::connect(Wire::Http, scene.nodes[0].http).unwrap();
-    scene.planners.iter_mut().for_each(Planner::kill);
-    assert!(scene.served("shop"));
+    let mut cluster = Cluster::new(2, &[&["shop"], &["stock"]]);
+    assert!(cluster.served("shop"));
+    let mut waiting = Client::connect(Wire::Http, cluster.nodes[0].http).unwrap();
+    cluster.planners.iter_mut().for_each(Planner::kill);
+    assert!(cluster.served("shop"));
     // It waits until its timeout and is refused with a retry delay; requests of other services are served
     // meanwhile.
     waiting.send(&Ask::new(Class::Read).of("stock").within(1_500));
-    assert!(scene.served("shop"));
+    assert!(cluster.served("shop"));
     let refused = waiting.answer();
     assert!(matches!(refused, Some(Answer::Refused(Some(seconds))) if seconds > 0.0), "{refused:?}");
     // A request whose client disconnects while it waits is not sent later.
     let abandoned = Ask::new(Class::Read).of("stock");
-    let mut client = Client::connect(Wire::Http, scene.nodes[0].http).unwrap();
+    let mut client = Client::connect(Wire::Http, cluster.nodes[0].http).unwrap();
     client.send(&abandoned);
     thread::sleep(Duration::from_millis(50));
     drop(client);
-    scene.planners.iter_mut().for_each(Planner::start);
-    until("a planner is back", || scene.served("stock"));
-    assert_eq!(scene.servers[1].arrivals(&abandoned.id), 0, "sent although its client had disconnected");
-    assert!(scene.served("shop"));
+    cluster.planners.iter_mut().for_each(Planner::start);
+    until("a planner is back", || cluster.served("stock"));
+    assert_eq!(cluster.servers[1].arrivals(&abandoned.id), 0, "sent although its client had disconnected");
+    assert!(cluster.served("shop"));
 }
 
 #[test]
 fn waiting_requests_leave_slots_for_those_of_known_services() {
-    let mut scene = Scene::without_nodes(1, &[&["shop"], &["stock"]]);
-    scene.forwarder("f0", BY_HOST, Wishes { sockets: 64, ..Wishes::default() });
-    assert!(scene.served("shop"));
-    scene.planners[0].kill();
+    let mut cluster = Cluster::without_nodes(1, &[&["shop"], &["stock"]]);
+    cluster.start_forwarder("f0", BY_HOST, Wishes { sockets: 64, ..Wishes::default() });
+    assert!(cluster.served("shop"));
+    cluster.planners[0].kill();
     let ask = || Ask::new(Class::Read).of("stock");
     let mut waiting: Vec<Client> = Vec::new();
     // The first request beyond the limit of waiting ones is refused at once, long before its own timeout.
     let refused = loop {
-        let mut client = Client::connect(Wire::Http, scene.nodes[0].http).unwrap();
+        let mut client = Client::connect(Wire::Http, cluster.nodes[0].http).unwrap();
         client.send(&ask());
         if !client.silent_for(Duration::from_millis(100)) {
             break client.answer();
@@ -260,9 +264,9 @@
     assert!(matches!(refused, Some(Answer::Refused(Some(_)))), "{refused:?}");
     assert!(!waiting.is_empty());
     for _ in 0..20 {
-        assert!(scene.served("shop"));
+        assert!(cluster.served("shop"));
     }
-    scene.planners[0].start();
+    cluster.planners[0].start();
     // The waiting requests are served when the planner is back, unless they were refused before.
     let answers: Vec<_> = waiting.iter_mut().map(Client::answer).collect();
     let answered = |a: &Option<Answer>| matches!(a, Some(Answer::Served(_) | Answer::Refused(_)));
@@ -271,98 +275,99 @@
 
 #[test]
 fn a_change_is_in_force_once_all_have_acknowledged_it_and_lagging_forwarders_are_named() {
-    let mut scene = Scene::new(1, &[&["shop"], &["shop"], &["stock"]]);
-    scene.forwarder("f1", BY_HOST, Wishes::default());
+    let mut cluster = Cluster::new(1, &[&["shop"], &["shop"], &["stock"]]);
+    cluster.start_forwarder("f1", BY_HOST, Wishes::default());
     let ask = |node: &Program, service: &str| {
         node.ask(Wire::Http, &Ask::new(Class::Read).of(service)).is_some_and(|a| a.served())
     };
-    assert!(scene.nodes.iter().all(|node| ask(node, "shop")));
+    assert!(cluster.nodes.iter().all(|node| ask(node, "shop")));
     let explain_has = |change: u64, text: &str| {
-        scene.planners[0].explain(&["--change", &change.to_string()]).is_ok_and(|t| t.contains(text))
+        cluster.planners[0].explain(&["--change", &change.to_string()]).is_ok_and(|t| t.contains(text))
     };
-    let drain = scene.update_list(|k, e| if k == 0 { e.leaving() } else { e });
+    let drain = cluster.update_list(|k, e| if k == 0 { e.leaving() } else { e });
     until("the change is in force at both forwarders", || explain_has(drain, "in force at 2 of 2 since"));
-    scene.nodes[1].signal("STOP");
-    let back = scene.update_list(|_, e| e);
+    cluster.nodes[1].signal("STOP");
+    let back = cluster.update_list(|_, e| e);
     until("the change is in force at one forwarder", || explain_has(back, "in force at 1 of 2"));
     assert!(
         explain_has(back, "f1 lags: "),
         "{:?}",
-        scene.planners[0].explain(&["--change", &back.to_string()])
+        cluster.planners[0].explain(&["--change", &back.to_string()])
     );
-    scene.nodes[1].signal("CONT");
+    cluster.nodes[1].signal("CONT");
     until("the change is in force at both forwarders", || explain_has(back, "in force at 2 of 2 since"));
     // A change to a service without subscribers concerns no forwarder.
-    let other = scene.update_list(|k, e| if k == 2 { e.leaving() } else { e });
+    let other = cluster.update_list(|k, e| if k == 2 { e.leaving() } else { e });
     until("the change concerns no forwarder", || explain_has(other, "in force at 0 of 0"));
-    assert!(!scene.planners[0].explain(&["--change", "4711"]).unwrap().contains("in force"));
+    assert!(!cluster.planners[0].explain(&["--change", "4711"]).unwrap().contains("in force"));
 }
 
 #[test]
 fn a_banned_server_is_out_in_every_service() {
-    let mut scene = Scene::without_nodes(1, &[&["shop", "stock"], &["shop"], &["stock"]]);
-    scene.forwarder("f0", BY_HOST, Wishes { managed: true, ..Wishes::default() });
-    scene.expect_routed_to("shop", &[0, 1]);
-    assert_eq!(scene.nodes[0].call("POST", "/_servers/detach/box-0"), Some(200));
-    scene.expect_routed_to("shop", &[1]);
+    let mut cluster = Cluster::without_nodes(1, &[&["shop", "stock"], &["shop"], &["stock"]]);
+    cluster.start_forwarder("f0", BY_HOST, Wishes { managed: true, ..Wishes::default() });
+    cluster.expect_routed_to("shop", &[0, 1]);
+    assert_eq!(cluster.nodes[0].call("POST", "/_servers/detach/box-0"), Some(200));
+    cluster.expect_routed_to("shop", &[1]);
     // The ban also applies to a service that is subscribed later.
-    scene.expect_routed_to("stock", &[2]);
-    assert_eq!(scene.nodes[0].call("POST", "/_servers/attach/box-0"), Some(200));
-    scene.expect_routed_to("shop", &[0, 1]);
-    scene.expect_routed_to("stock", &[0, 2]);
-    assert_eq!(scene.nodes[0].call("POST", "/_servers/detach/who"), Some(404));
+    cluster.expect_routed_to("stock", &[2]);
+    assert_eq!(cluster.nodes[0].call("POST", "/_servers/attach/box-0"), Some(200));
+    cluster.expect_routed_to("shop", &[0, 1]);
+    cluster.expect_routed_to("stock", &[0, 2]);
+    assert_eq!(cluster.nodes[0].call("POST", "/_servers/detach/who"), Some(404));
 }
 
 #[test]
 fn a_successor_follows_planners_beside_the_old_process_and_loses_no_request() {
-    let mut scene = Scene::without_nodes(1, &[&["shop"], &["shop"], &["shop"]]);
-    scene.forwarder("f0", BY_HOST, Wishes { managed: true, ..Wishes::default() });
-    scene.expect_routed_to("shop", &[0, 1, 2]);
-    let load = Load::asking(Wire::Http, scene.nodes[0].http, 3, &Ask::new(Class::Read).of("shop"));
-    let next = scene.nodes[0].successor();
+    let mut cluster = Cluster::without_nodes(1, &[&["shop"], &["shop"], &["shop"]]);
+    cluster.start_forwarder("f0", BY_HOST, Wishes { managed: true, ..Wishes::default() });
+    cluster.expect_routed_to("shop", &[0, 1, 2]);
+    let load = Load::asking(Wire::Http, cluster.nodes[0].http, 3, &Ask::new(Class::Read).of("shop"));
+    let next = cluster.nodes[0].successor();
     until("the new process accepts clients", || next.call("GET", "/_ready") == Some(200));
-    let received = |scene: &Scene| scene.servers.iter().map(|b| b.came().len()).sum::<usize>();
-    let before = received(&scene);
-    until("the load goes on", || received(&scene) > before + 50);
+    let received =
+        |cluster: &Cluster| cluster.servers.iter().map(|server| server.came().len()).sum::<usize>();
+    let before = received(&cluster);
+    until("the load goes on", || received(&cluster) > before + 50);
     // Both processes have requests of the service, and both must receive the change.
-    let change = scene.update_list(|k, e| if k == 0 { e.leaving() } else { e });
-    let delivered_at = scene.discovery.told(change);
+    let change = cluster.update_list(|k, e| if k == 0 { e.leaving() } else { e });
+    let delivered_at = cluster.discovery.told(change);
     thread::sleep(GRACE);
-    let before = received(&scene);
-    until("the load goes on", || received(&scene) > before + 50);
-    scene.nodes[0].signal("TERM");
-    until("the old process exits", || !scene.nodes[0].running());
-    let before = received(&scene);
-    until("the load goes on", || received(&scene) > before + 50);
-    assert_eq!(scene.servers[0].since(delivered_at + GRACE), 0, "sent to a draining server");
+    let before = received(&cluster);
+    until("the load goes on", || received(&cluster) > before + 50);
+    cluster.nodes[0].signal("TERM");
+    until("the old process exits", || !cluster.nodes[0].running());
+    let before = received(&cluster);
+    until("the load goes on", || received(&cluster) > before + 50);
+    assert_eq!(cluster.servers[0].since(delivered_at + GRACE), 0, "sent to a draining server");
     let tally = load.finish();
     assert_eq!((tally.failed, tally.lost.len()), (0, 0), "{tally:?}");
     // The process that has exited is not counted as lagging.
-    scene.nodes[0] = next;
-    let back = scene.update_list(|_, e| e);
+    cluster.nodes[0] = next;
+    let back = cluster.update_list(|_, e| e);
     until("the change is in force at the remaining process", || {
-        let explained = scene.planners[0].explain(&["--change", &back.to_string()]);
+        let explained = cluster.planners[0].explain(&["--change", &back.to_string()]);
         explained.is_ok_and(|t| t.contains("in force at 1 of 1 since"))
     });
 }
 
 #[test]
 fn the_connection_limit_of_a_server_spans_its_services() {
-    let mut scene = Scene::without_nodes(1, &[&["shop", "stock", "till"]]);
+    let mut cluster = Cluster::without_nodes(1, &[&["shop", "stock", "till"]]);
     let site = "[servers]\nmax_connections = 2\n".to_owned();
-    scene.forwarder("f0", BY_HOST, Wishes { site, ..Wishes::default() });
+    cluster.start_forwarder("f0", BY_HOST, Wishes { site, ..Wishes::default() });
     // Idle connections of the other services are closed to make room, so that no service is starved.
     for service in ["shop", "stock", "till", "shop", "stock"] {
-        assert!(scene.served(service), "{service}");
+        assert!(cluster.served(service), "{service}");
     }
     let loads: Vec<Load> = ["shop", "stock", "till"]
         .iter()
-        .map(|service| Load::asking(Wire::Http, scene.nodes[0].http, 3, &Ask::new(Class::Read).of(service)))
+        .map(|service| Load::asking(Wire::Http, cluster.nodes[0].http, 3, &Ask::new(Class::Read).of(service)))
         .collect();
     let mut max_open = 0;
     until("the server has received 1,000 requests", || {
-        max_open = max_open.max(connections_to(scene.servers[0].http));
-        scene.servers[0].came().len() > 1_000
+        max_open = max_open.max(connections_to(cluster.servers[0].http));
+        cluster.servers[0].came().len() > 1_000
     });
     let served: Vec<usize> = loads.into_iter().map(|load| load.finish().served.len()).collect();
     assert!(served.iter().all(|n| *n > 0), "{served:?}");
@@ -383,29 +388,29 @@
 
 #[test]
 fn a_node_without_the_forwarder_role_ignores_its_settings() {
-    let mut scene = Scene::without_nodes(1, &[&["shop"], &["stock"]]);
-    let site = scene.site("f0", BY_HOST);
+    let mut cluster = Cluster::without_nodes(1, &[&["shop"], &["stock"]]);
+    let site = cluster.forwarder_site("f0", BY_HOST);
     let wishes = Wishes { site, ..Wishes::default() };
-    scene.nodes.push(Program::start(Path::new(PROGRAM), scene.discovery.address, FORMS[0].1, wishes));
+    cluster.nodes.push(Program::start(Path::new(PROGRAM), cluster.discovery.address, FORMS[0].1, wishes));
     // All servers are in one list, whichever host is requested, and the node connects to no planner.
-    scene.expect_routed_to("nowhere", &[0, 1]);
-    assert_eq!(status_of(&scene.nodes[0], "Host: shop\r\n"), 200);
-    let explained = scene.planners[0].explain(&[]).unwrap();
+    cluster.expect_routed_to("nowhere", &[0, 1]);
+    assert_eq!(status_of(&cluster.nodes[0], "Host: shop\r\n"), 200);
+    let explained = cluster.planners[0].explain(&[]).unwrap();
     assert!(explained.contains("forwarders: 0 connected of 0 known"), "{explained}");
 }
 
 #[test]
 fn levels_with_and_without_services_do_not_mix() {
-    let mut scene = Scene::without_nodes(1, &[&[], &[]]);
+    let mut cluster = Cluster::without_nodes(1, &[&[], &[]]);
     let output = std::env::temp_dir().join(format!("laurelroute-mixed-{}", std::process::id()));
     let wishes = Wishes { output: Some(output.clone()), ..Wishes::default() };
-    scene.forwarder("f0", "", wishes);
+    cluster.start_forwarder("f0", "", wishes);
     until("the forwarder logs why it is refused", || {
         std::fs::read_to_string(&output).is_ok_and(|log| log.contains("this planner goes by services"))
     });
     // It continues with the list, as with no planner at all.
-    assert!(scene.served("any"));
-    let explained = scene.planners[0].explain(&[]).unwrap();
+    assert!(cluster.served("any"));
+    let explained = cluster.planners[0].explain(&[]).unwrap();
     assert!(explained.contains("forwarders: 0 connected of 0 known"), "{explained}");
     let _ = std::fs::remove_file(output);
 }
--- a/crates/node/tests/stopped.rs
+++ b/crates/node/tests/stopped.rs
@@ -18,14 +18,14 @@
 /// More than half of the connection slots with 256 descriptors: idle connections are closed after 1 s.
 const CROWD: usize = 80;
 const FEW: usize = 8;
-/// Longer than the idle limits of a crowded node.
+/// A stop that is longer than the idle limits of a crowded node.
 const STOP: Duration = Duration::from_millis(3_000);
-/// Longer than the idle limits of a node that is not crowded.
+/// A stop that is longer than the idle limits of a node that is not crowded.
 const LONG_STOP: Duration = Duration::from_millis(4_700);
 /// Bytes of a body that takes several reads.
-const BODY: usize = 60_000;
-/// SIGKILL may come 3.7 s after SIGTERM, and the process exits by itself 0.4 s later.
-const LATEST_END: Duration = Duration::from_millis(4_200);
+const BODY_BYTES: usize = 60_000;
+/// Time from SIGTERM to the exit: SIGKILL may come after 3.7 s, and the process exits by itself 0.4 s later.
+const SHUTDOWN_LIMIT: Duration = Duration::from_millis(4_200);
 
 fn thrift() -> Wire {
     Wire::thrift("framed-binary")
@@ -42,18 +42,18 @@
     Bed::wishing(Path::new(env!("CARGO_BIN_EXE_laurelroute")), wire, 4, wishes)
 }
 
-/// Stops a process for `lasts`, and runs `meanwhile` as soon as it has stopped.
-fn while_stopped<T>(process: &Program, lasts: Duration, meanwhile: impl FnOnce() -> T) -> T {
+/// Stops a process for `duration`, and runs `meanwhile` as soon as it has stopped.
+fn while_stopped<T>(process: &Program, duration: Duration, meanwhile: impl FnOnce() -> T) -> T {
     process.signal("STOP");
     let begun = Instant::now();
     until("the process has stopped", || {
         let status = std::fs::read_to_string(format!("/proc/{}/stat", process.pid())).unwrap_or_default();
         status.rsplit(')').next().is_some_and(|rest| rest.trim_start().starts_with('T'))
     });
-    let done = meanwhile();
-    thread::sleep(lasts.saturating_sub(begun.elapsed()));
+    let result = meanwhile();
+    thread::sleep(duration.saturating_sub(begun.elapsed()));
     process.signal("CONT");
-    done
+    result
 }
 
 /// Opens `number` connections and has one request served on each.
@@ -72,11 +72,11 @@
 }
 
 /// Sends requests on idle connections while the process is stopped; returns how many get no answer.
-fn idle_during_stop(wire: Wire, wishes: Wishes, number: usize, lasts: Duration) -> usize {
+fn idle_during_stop(wire: Wire, wishes: Wishes, number: usize, duration: Duration) -> usize {
     let bed = bed(wire, wishes);
     let begun = Instant::now();
     let mut clients = served_clients(&bed, number);
-    while_stopped(&bed.node, lasts, || {
+    while_stopped(&bed.node, duration, || {
         assert!(
             begun.elapsed() < Duration::from_millis(900),
             "the machine is too slow: some connections were closed before the stop"
@@ -87,7 +87,7 @@
 }
 
 /// Sends half of a request before the stop and the rest during it; returns how many clients get no answer.
-fn partly_sent_before_stop(wire: Wire, lasts: Duration) -> usize {
+fn partly_sent_before_stop(wire: Wire, duration: Duration) -> usize {
     let bed = bed(wire, Wishes::default());
     let mut clients = served_clients(&bed, FEW);
     let asks: Vec<Vec<u8>> = clients.iter().map(|_| Ask::new(Class::Read).bytes(wire, 2)).collect();
@@ -96,7 +96,7 @@
     }
     // Long enough for a sweep to see the partial request.
     thread::sleep(Duration::from_millis(250));
-    while_stopped(&bed.node, lasts, || {
+    while_stopped(&bed.node, duration, || {
         for (client, ask) in clients.iter_mut().zip(&asks) {
             client.raw(&ask[ask.len() / 2..]);
         }
@@ -153,7 +153,8 @@
     assert_eq!(idle_through_stop(thrift(), wishes, FEW), 0, "Thrift, of {FEW}");
 }
 
-/// The time of a stop is not counted as idle time of connections on a crowded node (`Client::sweep`: idle + HEAD).
+/// The time of a stop is not counted as idle time of connections on a crowded node (`Client::sweep`:
+/// IDLE_TIMEOUT, HEAD_TIMEOUT).
 #[test]
 fn a_stop_of_3_s_closes_no_idle_connection_of_a_crowded_node() {
     assert_eq!(
@@ -181,13 +182,14 @@
     assert_eq!(idle_during_stop(thrift(), wishes, FEW, STOP), 0, "of {FEW} without an answer");
 }
 
-/// A partial head whose rest is in the socket buffer does not time out because of a stop (`Client::sweep`: HEAD).
+/// A partial head whose rest is in the socket buffer does not time out because of a stop (`Client::sweep`:
+/// HEAD_TIMEOUT).
 #[test]
 fn a_stop_times_out_no_partial_head() {
     assert_eq!(partly_sent_before_stop(Wire::Http, STOP), 0, "of {FEW} without an answer");
 }
 
-/// A partial Thrift call does not time out because of a stop (MESSAGE, 2 s).
+/// A partial Thrift call does not time out because of a stop (limit 2 s).
 #[test]
 fn a_stop_times_out_no_partial_thrift_call() {
     assert_eq!(partly_sent_before_stop(thrift(), STOP), 0, "of {FEW} without an answer");
@@ -221,14 +223,14 @@
     // Few enough that a node that has just started rejects none.
     let mut clients = served_clients(&bed, 2);
     let asks: Vec<Vec<u8>> =
-        clients.iter().map(|_| Ask::new(Class::Write).carrying(BODY).bytes(Wire::Http, 2)).collect();
+        clients.iter().map(|_| Ask::new(Class::Write).carrying(BODY_BYTES).bytes(Wire::Http, 2)).collect();
     for (client, ask) in clients.iter_mut().zip(&asks) {
-        assert!(client.raw(&ask[..ask.len() - BODY / 2]));
+        assert!(client.raw(&ask[..ask.len() - BODY_BYTES / 2]));
     }
     thread::sleep(Duration::from_millis(100));
     while_stopped(&bed.node, STOP, || {
         for (client, ask) in clients.iter_mut().zip(&asks) {
-            client.raw(&ask[ask.len() - BODY / 2..]);
+            client.raw(&ask[ask.len() - BODY_BYTES / 2..]);
         }
     });
     let answers: Vec<Option<Answer>> = clients.iter_mut().map(Client::answer).collect();
@@ -237,7 +239,7 @@
 
 /// Sends requests whose servers answer while the process is stopped; returns the answers of those that were
 /// executed.
-fn answered_during_stop(wire: Wire, act: Act, lasts: Duration) -> Vec<Option<Answer>> {
+fn answered_during_stop(wire: Wire, act: Act, duration: Duration) -> Vec<Option<Answer>> {
     let bed = bed(wire, Wishes { max_attempts: 1, cold: (1.0, 1_000), ..Wishes::default() });
     let mut clients = served_clients(&bed, 4);
     bed.boxes.iter().for_each(|b| b.usually(act));
@@ -245,25 +247,25 @@
     for (client, ask) in clients.iter_mut().zip(&asks) {
         client.send(ask);
     }
-    until("a server has one", || asks.iter().any(|ask| bed.arrivals(&ask.id) > 0));
+    until("a server has a request", || asks.iter().any(|ask| bed.arrivals(&ask.id) > 0));
     // Long enough for the first bytes of an answer that is sent in small pieces.
     thread::sleep(Duration::from_millis(10));
-    while_stopped(&bed.node, lasts, || ());
+    while_stopped(&bed.node, duration, || ());
     let answers = asks.iter().zip(&mut clients).map(|(ask, client)| (bed.runs(&ask.id), client.answer()));
     // A rejected request reached no server and does not count here.
-    let (ran, turned_away): (Vec<_>, Vec<_>) = answers.partition(|(runs, _)| *runs > 0);
-    assert!(turned_away.iter().all(|(_, a)| matches!(a, Some(Answer::Refused(_)))), "{turned_away:?}");
-    assert!(ran.iter().all(|(runs, _)| *runs == 1), "a request was executed more than once");
-    ran.into_iter().map(|(_, answer)| answer).collect()
+    let (executed, rejected): (Vec<_>, Vec<_>) = answers.partition(|(runs, _)| *runs > 0);
+    assert!(rejected.iter().all(|(_, a)| matches!(a, Some(Answer::Refused(_)))), "{rejected:?}");
+    assert!(executed.iter().all(|(runs, _)| *runs == 1), "a request was executed more than once");
+    executed.into_iter().map(|(_, answer)| answer).collect()
 }
 
 /// Checks that all requests are served if the process is stopped for 1.2 s and for 3 s while servers answer.
 fn all_are_served(wire: Wire, act: Act) {
-    for lasts in [1_200, 3_000].map(Duration::from_millis) {
-        let answers = answered_during_stop(wire, act, lasts);
-        println!("{lasts:?}: {answers:?}");
+    for duration in [1_200, 3_000].map(Duration::from_millis) {
+        let answers = answered_during_stop(wire, act, duration);
+        println!("{duration:?}: {answers:?}");
         assert!(!answers.is_empty(), "at least one request is in flight");
-        assert!(answers.iter().all(|a| a.as_ref().is_some_and(Answer::served)), "{lasts:?}: {answers:?}");
+        assert!(answers.iter().all(|a| a.as_ref().is_some_and(Answer::served)), "{duration:?}: {answers:?}");
     }
 }
 
@@ -273,7 +275,8 @@
     all_are_served(Wire::Http, Act::After(Duration::from_millis(400)));
 }
 
-/// An answer that had begun to arrive before the stop is forwarded (HEAD_STALL, BODY_STALL).
+/// An answer that had begun to arrive before the stop is forwarded (HEAD_STALL_TIMEOUT,
+/// BODY_STALL_TIMEOUT).
 #[test]
 fn a_stop_fails_no_unsafe_request_whose_answer_had_begun() {
     all_are_served(Wire::Http, Act::Trickle);
@@ -457,12 +460,12 @@
 fn silent_new_clients_do_not_delay_an_exit() {
     let bed = bed(Wire::Http, Wishes { sockets: 48, ..Wishes::default() });
     let (address, mut node) = (bed.node.http, bed.node);
-    let ends = Arc::new(AtomicBool::new(false));
+    let stop = Arc::new(AtomicBool::new(false));
     let silent = |_| {
-        let ends = ends.clone();
+        let stop = stop.clone();
         thread::spawn(move || {
             let mut held = std::collections::VecDeque::new();
-            while !ends.load(Ordering::SeqCst) {
+            while !stop.load(Ordering::SeqCst) {
                 held.extend(TcpStream::connect_timeout(&address, PATIENT));
                 held.drain(..held.len().saturating_sub(100));
                 thread::sleep(Duration::from_millis(5));
@@ -474,10 +477,10 @@
     node.signal("TERM");
     let signalled = Instant::now();
     until("the process exits", || !node.running());
-    let took = signalled.elapsed();
-    ends.store(true, Ordering::SeqCst);
+    let exit_time = signalled.elapsed();
+    stop.store(true, Ordering::SeqCst);
     threads.into_iter().for_each(|t| t.join().expect("the thread ends"));
-    assert!(took < LATEST_END, "after {took:?}");
+    assert!(exit_time < SHUTDOWN_LIMIT, "after {exit_time:?}");
 }
 
 /// A node that shuts down without a successor announces the close in an answer to clients that send every 0.2 s.
@@ -486,7 +489,7 @@
     let bed = bed(Wire::Http, Wishes::default());
     let mut clients = served_clients(&bed, FEW);
     let mut node = bed.node;
-    let asking: Vec<JoinHandle<bool>> = clients
+    let senders: Vec<JoinHandle<bool>> = clients
         .drain(..)
         .map(|mut client| {
             thread::spawn(move || loop {
@@ -501,8 +504,11 @@
         .collect();
     thread::sleep(Duration::from_millis(300));
     node.signal("TERM");
-    let crossed =
-        asking.into_iter().map(|t| t.join().expect("the thread ends")).filter(|announced| !announced).count();
+    let crossed = senders
+        .into_iter()
+        .map(|t| t.join().expect("the thread ends"))
+        .filter(|announced| !announced)
+        .count();
     until("the node exits", || !node.running());
     assert_eq!(crossed, 0, "of {FEW} clients met a closed connection");
 }
