--- a/crates/core/src/gateway.rs
+++ b/crates/core/src/gateway.rs
@@ -19,9 +19,9 @@
     Server, ServerObservation, Settings, SettingsError,
 };
 use laurelroute_policy::Balancer;
-use laurelroute_shift::course::{Change, Refused, Word as ShiftWord};
-use laurelroute_shift::follow::{Follower, Look, Told};
-use laurelroute_shift::pool::Facts;
+use laurelroute_shift::controller::{Evaluation, ListedServer, ShiftController};
+use laurelroute_shift::pool::ServerLabels;
+use laurelroute_shift::rollout::{Change, Command as ShiftCommand, CommandError};
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
@@ -175,7 +175,7 @@
     next_id: RequestId,
     ids: Ids,
     /// The shift of traffic from one pool of servers to another, if the operator's file configures one.
-    shift: Option<Box<Follower>>,
+    shift: Option<Box<ShiftController>>,
 }
 
 /// A request to the discovery task, if discovery has to be asked for the list.
@@ -367,8 +367,8 @@
         let give_up_at = call.give_up_at.min(self.ends_at());
         let mut request = Request { id, deadline: give_up_at, ..call.request };
         if let Some(shift) = &mut state.shift {
-            request.split_position = shift.place(&request);
-            shift.came(&request);
+            request.split_position = shift.split_position(&request);
+            shift.request_received(&request);
         }
         state.in_flight.insert(
             id,
@@ -432,10 +432,10 @@
 
     fn report_servers(self: &Rc<Self>, state: &mut State, kind: ListKind, servers: Vec<Server>) {
         if let Some(shift) = &mut state.shift {
-            shift.phases(&servers);
+            shift.update_servers(&servers);
         }
         self.handle(state, Event::List { kind, servers });
-        if let Some(split) = state.shift.as_mut().and_then(|s| s.relisted()) {
+        if let Some(split) = state.shift.as_mut().and_then(|s| s.split_after_list_update()) {
             self.handle(state, Event::Split(split));
         }
         for server in state.fleet.take_restored() {
@@ -550,12 +550,12 @@
     }
 
     /// Sets the shift that this node follows; to be called before the first server list is applied.
-    pub fn set_shift(&self, follower: Follower) {
-        self.state.borrow_mut().shift = Some(Box::new(follower));
+    pub fn set_shift(&self, controller: ShiftController) {
+        self.state.borrow_mut().shift = Some(Box::new(controller));
     }
 
     /// Runs `f` on the shift, if there is one.
-    pub fn shift<T>(&self, f: impl FnOnce(&Follower) -> T) -> Option<T> {
+    pub fn shift<T>(&self, f: impl FnOnce(&ShiftController) -> T) -> Option<T> {
         self.state.borrow().shift.as_deref().map(f)
     }
 
@@ -564,23 +564,28 @@
     pub fn evaluate_shift(self: &Rc<Self>, no_planner: bool) -> Vec<Change> {
         let mut state = self.state.borrow_mut();
         let now = self.clock.now();
-        let Some(look) = state.shift.as_mut().map(|s| s.look(now, no_planner)) else { return Vec::new() };
-        self.apply_split(&mut state, look)
+        let Some(evaluation) = state.shift.as_mut().map(|s| s.evaluate(now, no_planner)) else {
+            return Vec::new();
+        };
+        self.apply_split(&mut state, evaluation)
     }
 
     /// Applies an operator's command to the shift; `None` if there is no shift.
-    pub fn apply_shift_command(self: &Rc<Self>, command: &ShiftWord) -> Option<Result<Vec<Change>, Refused>> {
+    pub fn apply_shift_command(
+        self: &Rc<Self>,
+        command: &ShiftCommand,
+    ) -> Option<Result<Vec<Change>, CommandError>> {
         let mut state = self.state.borrow_mut();
         let now = self.clock.now();
-        let look = state.shift.as_mut()?.say(now, command);
-        Some(look.map(|look| self.apply_split(&mut state, look)))
+        let evaluation = state.shift.as_mut()?.apply_command(now, command);
+        Some(evaluation.map(|evaluation| self.apply_split(&mut state, evaluation)))
     }
 
-    fn apply_split(self: &Rc<Self>, state: &mut State, look: Look) -> Vec<Change> {
-        if let Some(split) = look.split {
+    fn apply_split(self: &Rc<Self>, state: &mut State, evaluation: Evaluation) -> Vec<Change> {
+        if let Some(split) = evaluation.split {
             self.handle(state, Event::Split(split));
         }
-        look.changes
+        evaluation.changes
     }
 
     /// The decision module's observations of each server, by server name.
@@ -691,7 +696,7 @@
         let took = self.clock.now().saturating_sub(attempt.sent_at);
         if let Some(shift) = &mut state.shift {
             let at = (attempt.server, usize::from(id.number));
-            shift.ended(&entry.request, at, (attempt.sent_at, took), ending);
+            shift.attempt_ended(&entry.request, at, (attempt.sent_at, took), ending);
         }
         let event = Event::AttemptEnded {
             request: id.request,
@@ -793,7 +798,7 @@
         let wanted = decided.is_ok();
         if wanted {
             if let Some(shift) = &mut state.shift {
-                shift.sent(&entry.request, server, entry.attempts.len());
+                shift.attempt_sent(&entry.request, server, entry.attempts.len());
             }
             let (give_up_at, send_by) = (entry.give_up_at, self.send_by(entry));
             let attempt = Attempt {
@@ -854,18 +859,18 @@
 
 /// Passes the server list to the shift. `servers` are in the order of their entries.
 fn update_shift_servers(
-    shift: &mut Follower,
+    shift: &mut ShiftController,
     is_full_list: bool,
     entries: &[ServerEntry],
     servers: &[Server],
 ) {
     let no_attributes = ServerAttributes::default();
-    let zones = shift.course.settings.zones.clone();
+    let zones = shift.rollout.settings.zones.clone();
     let listed = entries.iter().zip(servers).map(|(entry, server)| {
         let attributes = entry.attributes.as_deref().unwrap_or(&no_attributes);
         let address = entry.addresses.iter().flatten().next().map(|a| a.ip());
         let zone = zones.get(usize::from(server.zone)).map_or("", String::as_str);
-        let facts = Facts {
+        let labels = ServerLabels {
             id: &entry.host,
             zone,
             kind: &attributes.kind,
@@ -873,7 +878,7 @@
             address,
             metadata: &attributes.metadata,
         };
-        Told { facts, server: *server }
+        ListedServer { labels, server: *server }
     });
-    shift.list(is_full_list, listed);
+    shift.update_list(is_full_list, listed);
 }
--- a/crates/node/src/management_client.rs
+++ b/crates/node/src/management_client.rs
@@ -11,7 +11,7 @@
 use hyper_util::rt::TokioIo;
 use laurelroute_core::connect::connect_with_retry;
 use laurelroute_core::retry_io::RetryingStream;
-use laurelroute_shift::course::Word;
+use laurelroute_shift::rollout::Command;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::timeout;
@@ -39,7 +39,7 @@
     /// Returns the status of the traffic shift.
     ShiftStatus,
     /// Sends an operator's command to the traffic shift.
-    ShiftCommand(Word),
+    ShiftCommand(Command),
 }
 
 impl ManagementRequest {
--- a/crates/node/src/shift/cli.rs
+++ b/crates/node/src/shift/cli.rs
@@ -2,8 +2,8 @@
 
 use crate::management_client::{request, ManagementError, ManagementRequest};
 use clap::{Args, Subcommand};
-use laurelroute_shift::course::{Verb, Word};
 use laurelroute_shift::explain::Status;
+use laurelroute_shift::rollout::{Command, Verb};
 use std::net::SocketAddr;
 
 /// Comparison rows in the text form of the status.
@@ -84,7 +84,7 @@
     };
     let default_who = || std::env::var("USER").unwrap_or_else(|_| "operator".to_owned());
     let who = options.who.clone().unwrap_or_else(default_who);
-    let command = Word { verb, who, why: options.why.clone(), insist: options.insist };
+    let command = Command { verb, who, why: options.why.clone(), insist: options.insist };
     println!("{}", request(&ManagementRequest::ShiftCommand(command), at)?);
     Ok(())
 }
--- a/crates/node/src/shift/mod.rs
+++ b/crates/node/src/shift/mod.rs
@@ -8,9 +8,9 @@
 use crate::config::Config;
 use laurelroute_core::gateway::Gateway;
 use laurelroute_shift::cells::CellsError;
-use laurelroute_shift::course::{Change, Course};
-use laurelroute_shift::follow::{Follower, LOOK};
+use laurelroute_shift::controller::{ShiftController, EVALUATION_INTERVAL};
 use laurelroute_shift::journal::{self, JournalError};
+use laurelroute_shift::rollout::{Change, Rollout};
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Write as _};
 use std::path::{Path, PathBuf};
@@ -47,37 +47,37 @@
 ) -> Result<(), ShiftStartError> {
     let mut settings = shift.settings.clone();
     settings.classes = config.gateway.classes.clone();
-    settings.behind.resize(settings.classes.len(), 0);
+    settings.class_delays.resize(settings.classes.len(), 0);
     settings.zones = config.zones.clone();
-    let mut course = Course::new(settings)?;
+    let mut course = Rollout::new(settings)?;
     let writes = match &shift.journal {
         Some(path) => Some(spawn_writer(path.clone(), open_journal(path, &mut course)?)),
         None => None,
     };
-    gateway.set_shift(Follower::new(course, &config.gateway.settings, config.gateway.tenants.iter()));
+    gateway.set_shift(ShiftController::new(course, &config.gateway.settings, config.gateway.tenants.iter()));
     tokio::task::spawn_local(run(gateway.clone(), writes));
     Ok(())
 }
 
 /// Replays a journal, truncates a half-written last record, and opens the file for appending.
-fn open_journal(path: &Path, course: &mut Course) -> Result<File, ShiftStartError> {
+fn open_journal(path: &Path, course: &mut Rollout) -> Result<File, ShiftStartError> {
     let io = |e| ShiftStartError::Io(path.to_owned(), e);
     let mut file =
         OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path).map_err(io)?;
     let mut bytes = Vec::new();
-    Read::by_ref(&mut file).take(journal::MOST_BYTES as u64 + 1).read_to_end(&mut bytes).map_err(io)?;
+    Read::by_ref(&mut file).take(journal::MAX_BYTES as u64 + 1).read_to_end(&mut bytes).map_err(io)?;
     let replayed =
         journal::replay(&bytes, course).map_err(|e| ShiftStartError::Journal(path.to_owned(), e))?;
-    if !replayed.whole {
+    if !replayed.complete {
         tracing::warn!(
             "{}: the last record was incomplete and has been removed; the shift is held",
             path.display()
         );
     }
-    file.set_len(replayed.sound as u64).map_err(io)?;
+    file.set_len(replayed.valid_bytes as u64).map_err(io)?;
     let mut file = OpenOptions::new().append(true).open(path).map_err(io)?;
     if replayed.lines == 0 {
-        file.write_all(journal::begin(course).as_bytes()).map_err(io)?;
+        file.write_all(journal::header(course).as_bytes()).map_err(io)?;
     } else {
         tracing::info!("shift {}: resumed as {}", course.settings.name, course.state_name());
     }
@@ -131,20 +131,21 @@
     let mut evaluations = 0;
     let (mut logged, mut bytes_since_compaction) = (0, 0);
     loop {
-        tokio::time::sleep(Duration::from_nanos(LOOK)).await;
+        tokio::time::sleep(Duration::from_nanos(EVALUATION_INTERVAL)).await;
         evaluations += 1;
         gateway.evaluate_shift(false);
         // Operators' commands change the shift as well: every new change is logged here, once and in order.
-        let Some(changes) = gateway.shift(|follower| new_changes(follower, &mut logged)) else { return };
+        let Some(changes) = gateway.shift(|controller| new_changes(controller, &mut logged)) else { return };
         for change in &changes {
             log_change(&gateway, change);
         }
         let Some(writes) = &writes else { continue };
-        let mut text: String = changes.iter().map(journal::change).collect();
+        let mut text: String = changes.iter().map(journal::change_line).collect();
         if (evaluations % EVIDENCE_EVERY == 0 && writes.capacity() > MAX_QUEUED_WRITES / 2)
             || !changes.is_empty()
         {
-            text += &gateway.shift(|follower| journal::evidence(&follower.course)).unwrap_or_default();
+            text +=
+                &gateway.shift(|controller| journal::evidence_line(&controller.rollout)).unwrap_or_default();
         }
         if text.is_empty() {
             continue;
@@ -153,7 +154,7 @@
         let write = if bytes_since_compaction > journal::COMPACT_AT {
             bytes_since_compaction = 0;
             JournalWrite::Replace(
-                gateway.shift(|follower| journal::compacted(&follower.course)).unwrap_or_default(),
+                gateway.shift(|controller| journal::compacted(&controller.rollout)).unwrap_or_default(),
             )
         } else {
             JournalWrite::Append(text)
@@ -167,25 +168,26 @@
 }
 
 /// Returns the changes after the first `logged` ones and advances `logged` past them.
-fn new_changes(follower: &Follower, logged: &mut u64) -> Vec<Change> {
-    let count = follower.course.changed();
+fn new_changes(controller: &ShiftController, logged: &mut u64) -> Vec<Change> {
+    let count = controller.rollout.change_count();
     let new_count = (count - *logged) as usize;
     *logged = count;
-    let retained = follower.course.changes().count();
-    follower.course.changes().skip(retained.saturating_sub(new_count)).cloned().collect()
+    let retained = controller.rollout.changes().count();
+    controller.rollout.changes().skip(retained.saturating_sub(new_count)).cloned().collect()
 }
 
 /// Logs a change of state as one structured line.
 fn log_change(gateway: &Gateway, change: &Change) {
     let blamed_servers = change.alarm.as_ref().and_then(|(_, alarm)| match &alarm.blame {
-        laurelroute_shift::judge::Blame::Boxes(servers) => gateway.shift(|follower| {
-            let names: Vec<&str> = servers.iter().filter_map(|server| follower.name(*server)).collect();
+        laurelroute_shift::analysis::Blame::Servers(servers) => gateway.shift(|controller| {
+            let names: Vec<&str> =
+                servers.iter().filter_map(|server| controller.server_name(*server)).collect();
             names.join(" ")
         }),
         _ => None,
     });
     tracing::info!(
-        rung = change.rung + 1,
+        rung = change.step + 1,
         shares = ?change.shares,
         who = %change.who,
         why = %change.why,
@@ -198,15 +200,15 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use laurelroute_shift::course::{State, Verb, Word};
     use laurelroute_shift::pool::{Pools, Predicate};
+    use laurelroute_shift::rollout::{Command, State, Verb};
     use laurelroute_shift::settings::ShiftSettings;
     use wildmatch::WildMatch;
 
-    fn course() -> Course {
+    fn course() -> Rollout {
         let ids = |id| Predicate { ids: vec![WildMatch::new(id)], ..Predicate::default() };
         let pools = Pools { old: ids("old"), new: ids("new") };
-        Course::new(ShiftSettings::new("x", pools, vec!["status".into()], vec!["a".into()])).unwrap()
+        Rollout::new(ShiftSettings::new("x", pools, vec!["status".into()], vec!["a".into()])).unwrap()
     }
 
     #[test]
@@ -216,10 +218,10 @@
         let path = folder.join("j");
         let mut course = course();
         let mut file = open_journal(&path, &mut course).unwrap();
-        let command = |verb| Word { verb, who: "kim".into(), why: "x".into(), insist: false };
-        let started = course.say(1, &command(Verb::Start)).unwrap();
+        let command = |verb| Command { verb, who: "kim".into(), why: "x".into(), insist: false };
+        let started = course.apply_command(1, &command(Verb::Start)).unwrap();
         for _ in 0..100 {
-            write_journal(&path, &mut file, &JournalWrite::Append(journal::evidence(&course))).unwrap();
+            write_journal(&path, &mut file, &JournalWrite::Append(journal::evidence_line(&course))).unwrap();
         }
         let length_before = std::fs::metadata(&path).unwrap().len();
         write_journal(&path, &mut file, &JournalWrite::Replace(journal::compacted(&course))).unwrap();
@@ -227,8 +229,8 @@
             std::fs::metadata(&path).unwrap().len() < length_before,
             "compaction did not shorten the journal"
         );
-        let ended = course.say(2, &command(Verb::Abandon)).unwrap();
-        write_journal(&path, &mut file, &JournalWrite::Append(journal::change(&ended))).unwrap();
+        let ended = course.apply_command(2, &command(Verb::Abandon)).unwrap();
+        write_journal(&path, &mut file, &JournalWrite::Append(journal::change_line(&ended))).unwrap();
         let mut resumed = self::course();
         open_journal(&path, &mut resumed).unwrap();
         assert_eq!(resumed.state(), &State::Abandoned);
--- a/crates/node/src/shift/table.rs
+++ b/crates/node/src/shift/table.rs
@@ -2,7 +2,7 @@
 
 use crate::site::{Classes, SiteError, Validator};
 use ipnet::IpNet;
-use laurelroute_shift::judge::Judge;
+use laurelroute_shift::analysis::CanaryAnalysis;
 use laurelroute_shift::pool::{Pools, Predicate};
 use laurelroute_shift::settings::{OnAlarm, ShiftError, ShiftSettings, Split};
 use serde::Deserialize;
@@ -85,14 +85,14 @@
         let steps: Vec<String> = settings.steps.iter().map(|s| format!("{}%", 100.0 * s)).collect();
         let mut text = format!("shift {}: {}", settings.name, steps.join(", "));
         if let Ok(cells) = settings.cells() {
-            let judge = Judge::new(cells, settings.bounds);
-            let requests = judge.needed(0, 0.001, settings.least_fault);
+            let analysis = CanaryAnalysis::new(cells, settings.bounds);
+            let requests = analysis.required_outcomes(0, 0.001, settings.min_detectable_fault);
             text += &format!(
                 "; {} cells, a healthy pool is halted with a probability of at most {}; to detect a fault of {}% a step needs \
                  about {requests} requests of the new pool",
-                judge.cells.len(),
-                settings.bounds.false_alarms,
-                100.0 * settings.least_fault,
+                analysis.cells.len(),
+                settings.bounds.false_alarm_rate,
+                100.0 * settings.min_detectable_fault,
             );
         }
         text
@@ -149,17 +149,17 @@
         }
         let percent =
             |v: &Option<Spanned<f64>>, default: f64| v.as_ref().map_or(default, |v| v.get_ref() / 100.0);
-        settings.keep_back = percent(&self.keep_back, settings.keep_back);
+        settings.holdback = percent(&self.keep_back, settings.holdback);
         settings.bounds.tolerance = percent(&self.tolerance, settings.bounds.tolerance);
-        settings.least_fault = percent(&self.least_fault, settings.least_fault);
-        settings.bounds.false_alarms =
-            self.false_halts.as_ref().map_or(settings.bounds.false_alarms, |v| *v.get_ref());
-        settings.box_rate = self.box_rate.as_ref().map(|v| *v.get_ref());
+        settings.min_detectable_fault = percent(&self.least_fault, settings.min_detectable_fault);
+        settings.bounds.false_alarm_rate =
+            self.false_halts.as_ref().map_or(settings.bounds.false_alarm_rate, |v| *v.get_ref());
+        settings.server_rate = self.box_rate.as_ref().map(|v| *v.get_ref());
         for (key, value, target) in [
-            ("least_seconds", &self.least_seconds, &mut settings.least_time),
-            ("watch_seconds", &self.watch_seconds, &mut settings.watch),
-            ("settle_seconds", &self.settle_seconds, &mut settings.settle),
-            ("rest_seconds", &self.rest_seconds, &mut settings.rest),
+            ("least_seconds", &self.least_seconds, &mut settings.min_step_time),
+            ("watch_seconds", &self.watch_seconds, &mut settings.final_step_time),
+            ("settle_seconds", &self.settle_seconds, &mut settings.settle_time),
+            ("rest_seconds", &self.rest_seconds, &mut settings.restart_cooldown),
         ] {
             let Some(value) = value else { continue };
             let seconds = *value.get_ref();
@@ -208,7 +208,7 @@
                 return Err(validator.error_at(&class.name, format!("`shift.class` lists `{name}` twice")));
             }
             seen.push(index);
-            settings.behind[index] = *class.behind.get_ref();
+            settings.class_delays[index] = *class.behind.get_ref();
         }
         Ok(())
     }
@@ -285,9 +285,9 @@
     fn a_shift_is_parsed_and_errors_name_the_key_and_the_line() {
         let shift = Site::parse("deploy/site.toml", VALID, None).unwrap().shift.unwrap();
         assert_eq!(shift.settings.steps, [0.01, 0.1, 1.0]);
-        assert_eq!(shift.settings.behind, [1]);
-        assert_eq!(shift.settings.splits[0].group("broome-town"), 0);
-        assert_eq!(shift.settings.splits[0].group("perth"), 2);
+        assert_eq!(shift.settings.class_delays, [1]);
+        assert_eq!(shift.settings.splits[0].group_index("broome-town"), 0);
+        assert_eq!(shift.settings.splits[0].group_index("perth"), 2);
         assert_eq!(shift.journal.unwrap().to_str(), Some("deploy/release-42.journal"));
         for (from, to, line, message) in [
             ("10.2.0.0/16", "10.2.0.0/99", 5, "`shift.new.network`: `10.2.0.0/99` is not a network"),
--- a/crates/node/src/shift/watch.rs
+++ b/crates/node/src/shift/watch.rs
@@ -66,8 +66,8 @@
             "{} {} step {}/{}: {}",
             status.state,
             shares.join(" "),
-            status.rung.0,
-            status.rung.1,
+            status.step.0,
+            status.step.1,
             status.why
         );
         if line != last {
@@ -97,10 +97,10 @@
         status.name,
         status.state,
         status.seconds,
-        status.rung.0,
-        status.rung.1,
-        status.boxes.0,
-        status.boxes.1,
+        status.step.0,
+        status.step.1,
+        status.servers.0,
+        status.servers.1,
         status.why
     );
     frame.render_widget(Paragraph::new(header).wrap(Wrap { trim: true }), areas[0]);
@@ -124,7 +124,7 @@
 
 /// The comparisons of the two pools, the most suspicious first.
 fn comparison_table(status: &Status) -> Table<'_> {
-    let ratio = |tally: laurelroute_shift::judge::Tally| format!("{}/{}", tally.bad, tally.of);
+    let ratio = |tally: laurelroute_shift::analysis::Tally| format!("{}/{}", tally.bad, tally.of);
     let line = |row: &Row| {
         let signal = format!("{:?}", row.signal).to_lowercase();
         let detectable = row.least_fault.map_or("-".to_owned(), |l| format!("{:.1}%", 100.0 * l));
@@ -147,7 +147,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use laurelroute_shift::judge::{Signal, Tally};
+    use laurelroute_shift::analysis::{Signal, Tally};
     use ratatui::backend::TestBackend;
     use ratatui::Terminal;
 
@@ -165,9 +165,9 @@
             name: "release-42".into(),
             state: "stepping".into(),
             seconds: 12.0,
-            rung: (2, 5),
+            step: (2, 5),
             shares: vec![("status".into(), 0.05, 0.05), ("acknowledge".into(), 0.01, 0.05)],
-            boxes: (40, 38),
+            servers: (40, 38),
             why: "the new pool carries 1.0% of acknowledge now, 5% is wanted".into(),
             stays: 0.0,
             rows: vec![row],
--- a/crates/rig/src/shift.rs
+++ b/crates/rig/src/shift.rs
@@ -7,7 +7,7 @@
 use crate::seeds::all;
 use crate::site::{can_count, Site, Used};
 use crate::Common;
-use laurelroute_shift::course::State;
+use laurelroute_shift::rollout::State;
 use laurelroute_simulation::draw::Draw;
 use laurelroute_simulation::shift::course::{play, New, Played};
 use laurelroute_simulation::shift::rivals::{self, Rival, CANARY, CLOCK};
--- a/crates/shift/src/judge.rs
+++ b/crates/shift/src/analysis.rs
@@ -79,7 +79,7 @@
 /// A cell is weighed again once it has shown this part more.
 const BATCHES: u64 = 32;
 /// Boxes that are told apart; those beyond count in the cells all the same.
-const MOST_BOXES: usize = 4096;
+const MAX_SERVERS: usize = 4096;
 /// A fault is of boxes where so few of them, as a part, hold so much of what is over the old pool's rate.
 const FEW_BOXES: f64 = 0.1;
 const MOST_OF_IT: f64 = 0.85;
@@ -88,11 +88,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
     /// Most probability that a sound new pool is ever halted in the whole of a shift.
-    pub false_alarms: f64,
+    pub false_alarm_rate: f64,
     /// What the new pool's rate may be above the old one's.
     pub tolerance: f64,
     /// Outcomes of the new pool below which a cell is called thin.
-    pub thin: u64,
+    pub min_outcomes: u64,
 }
 
 /// How many, and how many of them bad.
@@ -123,15 +123,17 @@
 
 /// One cell and signal: what came, and the e-process.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
-pub struct Duel {
+pub struct Comparison {
     /// All of the old pool's since the start of the shift.
     pub old: Tally,
     /// All of the new pool's.
     pub new: Tally,
     /// The new pool's in this step.
-    pub step: Tally,
+    #[serde(rename = "step")]
+    pub new_in_step: Tally,
     /// How many of the old pool's were there to compare in this step.
-    pub step_old: u64,
+    #[serde(rename = "step_old")]
+    pub old_in_step: u64,
     waiting: [Tally; 2],
     guess: (f64, f64),
     log_e: [f64; GRID.len()],
@@ -141,13 +143,13 @@
     excused: f64,
 }
 
-impl Default for Duel {
+impl Default for Comparison {
     fn default() -> Self {
-        Duel {
+        Comparison {
             old: Tally::default(),
             new: Tally::default(),
-            step: Tally::default(),
-            step_old: 0,
+            new_in_step: Tally::default(),
+            old_in_step: 0,
             waiting: [Tally::default(); 2],
             guess: (1.0, 0.5 * EDGE),
             log_e: [0.0; GRID.len()],
@@ -168,7 +170,7 @@
     most + (sum / logs.len() as f64).ln()
 }
 
-impl Duel {
+impl Comparison {
     fn guessed(&self) -> f64 {
         edged(self.guess.1 / self.guess.0)
     }
@@ -182,8 +184,8 @@
             self.waiting = [Tally::default(); 2];
             self.grow([old, new], tolerance);
             self.new.add(new);
-            self.step.add(new);
-            self.step_old += old.of;
+            self.new_in_step.add(new);
+            self.old_in_step += old.of;
         } else if new.of == 0 && old.of > 0 {
             // What has come of the old pool alone still says what is usual there.
             self.waiting[0] = Tally::default();
@@ -242,7 +244,8 @@
     /// The new pool's boxes alike.
     Release,
     /// These boxes, by the caller's numbers; the others are as the old pool.
-    Boxes(Vec<u32>),
+    #[serde(rename = "boxes")]
+    Servers(Vec<u32>),
     /// Too few boxes or outcomes to tell.
     Unclear,
 }
@@ -268,11 +271,11 @@
 
 /// Judges all cells of a shift.
 #[derive(Clone, Debug)]
-pub struct Judge {
+pub struct CanaryAnalysis {
     /// The cells.
     pub cells: Cells,
     bounds: Bounds,
-    duels: Vec<[Duel; SIGNALS.len()]>,
+    duels: Vec<[Comparison; SIGNALS.len()]>,
     boxes: BTreeMap<(u32, usize), [Tally; SIGNALS.len()]>,
     /// The most evidence of each cell's signals, as a part of its bound.
     doubts: Vec<f64>,
@@ -281,11 +284,11 @@
     marked: Vec<bool>,
 }
 
-impl Judge {
+impl CanaryAnalysis {
     /// A judge that has seen nothing.
-    pub fn new(cells: Cells, bounds: Bounds) -> Judge {
+    pub fn new(cells: Cells, bounds: Bounds) -> CanaryAnalysis {
         let count = cells.len();
-        Judge {
+        CanaryAnalysis {
             cells,
             bounds,
             duels: vec![Default::default(); count],
@@ -296,15 +299,15 @@
         }
     }
 
-    /// Counts an outcome. Nothing is weighed before [`Judge::weigh`]: this is on the path of every request.
-    pub fn count(&mut self, outcome: &Outcome<'_>) {
+    /// Counts an outcome. Nothing is weighed before [`CanaryAnalysis::update_evidence`]: this is on the path of every request.
+    pub fn record(&mut self, outcome: &Outcome<'_>) {
         let side = match outcome.pool {
             Pool::Old => 0,
             Pool::New => 1,
             Pool::Outside => return,
         };
-        let Judge { cells, duels, dirty, marked, .. } = self;
-        for cell in cells.of(outcome.values) {
+        let CanaryAnalysis { cells, duels, dirty, marked, .. } = self;
+        for cell in cells.cells_of(outcome.values) {
             if !std::mem::replace(&mut marked[cell], true) {
                 dirty.push(cell);
             }
@@ -315,7 +318,7 @@
         }
         let class = outcome.values.first().copied().unwrap_or(0);
         let at = (outcome.server, class);
-        if side == 1 && (self.boxes.len() < MOST_BOXES || self.boxes.contains_key(&at)) {
+        if side == 1 && (self.boxes.len() < MAX_SERVERS || self.boxes.contains_key(&at)) {
             let tallies = self.boxes.entry(at).or_default();
             for signal in SIGNALS.into_iter().filter(|s| outcome.judged.has(*s)) {
                 tallies[signal as usize].count(outcome.bad.has(signal));
@@ -324,7 +327,7 @@
     }
 
     /// Weighs what has come since the last time.
-    pub fn weigh(&mut self) {
+    pub fn update_evidence(&mut self) {
         for cell in std::mem::take(&mut self.dirty) {
             self.marked[cell] = false;
             for duel in &mut self.duels[cell] {
@@ -338,22 +341,22 @@
     }
 
     fn doubted(&self, cell: usize) -> f64 {
-        let most = self.duels[cell].iter().map(Duel::evidence).fold(f64::NEG_INFINITY, f64::max);
-        most / self.bound(cell)
+        let most = self.duels[cell].iter().map(Comparison::evidence).fold(f64::NEG_INFINITY, f64::max);
+        most / self.alarm_threshold(cell)
     }
 
     /// The evidence against a cell as a part of what alarms, of the signal that has most.
-    pub fn doubt(&self, cell: usize) -> f64 {
+    pub fn evidence_ratio(&self, cell: usize) -> f64 {
         self.doubts[cell]
     }
 
     /// The evidence at which a cell alarms, as a logarithm.
-    pub fn bound(&self, cell: usize) -> f64 {
-        -(self.bounds.false_alarms * self.cells.weight(cell) / SIGNALS.len() as f64).ln()
+    pub fn alarm_threshold(&self, cell: usize) -> f64 {
+        -(self.bounds.false_alarm_rate * self.cells.weight(cell) / SIGNALS.len() as f64).ln()
     }
 
     /// One cell's comparison for a signal.
-    pub fn duel(&self, cell: usize, signal: Signal) -> &Duel {
+    pub fn comparison(&self, cell: usize, signal: Signal) -> &Comparison {
         &self.duels[cell][signal as usize]
     }
 
@@ -361,9 +364,9 @@
     pub fn alarms(&self) -> Vec<Alarm> {
         let mut alarms = Vec::new();
         for cell in (0..self.cells.len()).filter(|&c| self.doubts[c] >= 1.0) {
-            let bound = self.bound(cell);
+            let bound = self.alarm_threshold(cell);
             for signal in SIGNALS {
-                let duel = self.duel(cell, signal);
+                let duel = self.comparison(cell, signal);
                 if duel.evidence() >= bound {
                     let (old, new, evidence) = (duel.old, duel.new, duel.evidence());
                     let blame = self.blame(cell, signal);
@@ -376,7 +379,7 @@
     }
 
     /// An operator goes on in spite of what was seen: from here on as much again has to be seen.
-    pub fn excuse(&mut self) {
+    pub fn excuse_evidence(&mut self) {
         for duel in self.duels.iter_mut().flatten() {
             duel.excused += duel.evidence().max(0.0);
         }
@@ -384,17 +387,17 @@
     }
 
     /// A new step begins.
-    pub fn step(&mut self) {
+    pub fn begin_step(&mut self) {
         for duel in self.duels.iter_mut().flatten() {
-            (duel.step, duel.step_old) = (Tally::default(), 0);
+            (duel.new_in_step, duel.old_in_step) = (Tally::default(), 0);
         }
     }
 
     /// The cells with fewer outcomes of the new pool in this step than makes sense to judge, of those seen at all.
-    pub fn thin(&self) -> impl Iterator<Item = usize> + '_ {
+    pub fn sparse_cells(&self) -> impl Iterator<Item = usize> + '_ {
         (0..self.cells.len()).filter(|&c| {
             let [failed, ..] = &self.duels[c];
-            failed.old.of + failed.new.of > 0 && failed.step.of < self.bounds.thin
+            failed.old.of + failed.new.of > 0 && failed.new_in_step.of < self.bounds.min_outcomes
         })
     }
 
@@ -407,7 +410,7 @@
                 boxes.entry(*server).or_default().add(tallies[signal as usize]);
             }
         }
-        let usual = self.duel(cell, signal).old.rate() + self.bounds.tolerance;
+        let usual = self.comparison(cell, signal).old.rate() + self.bounds.tolerance;
         let over = |t: &Tally| t.bad as f64 - usual * t.of as f64;
         let all: f64 = boxes.values().map(over).sum();
         let few = ((FEW_BOXES * boxes.len() as f64).ceil() as usize).min(boxes.len() / 3);
@@ -425,7 +428,7 @@
             });
             let chance = 3.0 * (usual * rest.of as f64).sqrt() + 1.0;
             if held >= MOST_OF_IT * all && over(&rest) <= chance {
-                return Blame::Boxes(worst[..=k].iter().map(|(server, _)| *server).collect());
+                return Blame::Servers(worst[..=k].iter().map(|(server, _)| *server).collect());
             }
         }
         Blame::Release
@@ -447,14 +450,16 @@
 
     /// Whether so many outcomes of the old and the new pool are expected to put a fault of this size beyond a cell's bound,
     /// where the old pool fails at `rate`.
-    pub fn shows(&self, cell: usize, rate: f64, fault: f64, (old, new): (u64, u64)) -> bool {
-        old > 0 && new > 0 && self.expected(rate, fault, (old as f64, new as f64)) >= self.bound(cell)
+    pub fn would_detect(&self, cell: usize, rate: f64, fault: f64, (old, new): (u64, u64)) -> bool {
+        old > 0
+            && new > 0
+            && self.expected(rate, fault, (old as f64, new as f64)) >= self.alarm_threshold(cell)
     }
 
     /// Outcomes of the new pool after which that is so, where the old one answers eight times as many.
-    pub fn needed(&self, cell: usize, rate: f64, fault: f64) -> u64 {
+    pub fn required_outcomes(&self, cell: usize, rate: f64, fault: f64) -> u64 {
         let (mut low, mut high) = (0u64, 1u64);
-        while !self.shows(cell, rate, fault, (8 * high, high)) {
+        while !self.would_detect(cell, rate, fault, (8 * high, high)) {
             if high > 1 << 40 {
                 return u64::MAX;
             }
@@ -462,7 +467,7 @@
         }
         while high - low > 1 {
             let middle = low + (high - low) / 2;
-            let shown = self.shows(cell, rate, fault, (8 * middle, middle));
+            let shown = self.would_detect(cell, rate, fault, (8 * middle, middle));
             (low, high) = if shown { (low, middle) } else { (middle, high) };
         }
         high
@@ -470,14 +475,14 @@
 
     /// The least fault that is expected to be seen in a cell by so many outcomes of the old and the new pool; `None` where
     /// not even one of all is.
-    pub fn least_fault(&self, cell: usize, rate: f64, outcomes: (u64, u64)) -> Option<f64> {
-        if !self.shows(cell, rate, 1.0, outcomes) {
+    pub fn detectable_fault(&self, cell: usize, rate: f64, outcomes: (u64, u64)) -> Option<f64> {
+        if !self.would_detect(cell, rate, 1.0, outcomes) {
             return None;
         }
         let (mut low, mut high) = (0.0, 1.0);
         for _ in 0..30 {
             let middle = (low + high) / 2.0;
-            if self.shows(cell, rate, middle, outcomes) {
+            if self.would_detect(cell, rate, middle, outcomes) {
                 high = middle;
             } else {
                 low = middle;
@@ -487,7 +492,7 @@
     }
 
     /// What other nodes have counted and not weighed is added here: the sum over all forwarders is judged as one.
-    pub fn merge(&mut self, cell: usize, signal: Signal, old: Tally, new: Tally) {
+    pub fn merge_pending(&mut self, cell: usize, signal: Signal, old: Tally, new: Tally) {
         let Some(duels) = self.duels.get_mut(cell) else { return };
         let duel = &mut duels[signal as usize];
         duel.waiting[0].add(old);
@@ -498,7 +503,7 @@
     }
 
     /// What waits to be weighed, by cell and signal, taken out: a forwarder hands it to its planner.
-    pub fn take_waiting(&mut self) -> Vec<(usize, Signal, Tally, Tally)> {
+    pub fn take_pending(&mut self) -> Vec<(usize, Signal, Tally, Tally)> {
         let mut taken = Vec::new();
         for cell in std::mem::take(&mut self.dirty) {
             self.marked[cell] = false;
@@ -513,15 +518,15 @@
     }
 
     /// All comparisons, for the journal.
-    pub fn kept(&self) -> Vec<(usize, [Duel; SIGNALS.len()])> {
-        let seen = |d: &[Duel; SIGNALS.len()]| d[0].old.of + d[0].new.of > 0;
+    pub fn export(&self) -> Vec<(usize, [Comparison; SIGNALS.len()])> {
+        let seen = |d: &[Comparison; SIGNALS.len()]| d[0].old.of + d[0].new.of > 0;
         self.duels.iter().enumerate().filter(|(_, d)| seen(d)).map(|(c, d)| (c, d.clone())).collect()
     }
 
     /// Takes over comparisons from a journal; false where they are of other cells or make no sense.
-    pub fn restore(&mut self, kept: Vec<(usize, [Duel; SIGNALS.len()])>) -> bool {
-        let sound = |d: &Duel| {
-            let tallies = [d.old, d.new, d.step];
+    pub fn restore(&mut self, kept: Vec<(usize, [Comparison; SIGNALS.len()])>) -> bool {
+        let sound = |d: &Comparison| {
+            let tallies = [d.old, d.new, d.new_in_step];
             tallies.iter().all(|t| t.bad <= t.of)
                 && d.log_e.iter().all(|l| l.is_finite())
                 && d.mean.is_finite()
@@ -541,7 +546,7 @@
 /// What is slow in a class: the time that nine in ten of the old pool's answers keep, followed by a step up or down at each
 /// (Robbins, Monro: A stochastic approximation method, 1951). It is read before it is told of an answer.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Usual {
+pub struct LatencyBaseline {
     at: f64,
     seen: u32,
 }
@@ -551,14 +556,14 @@
 const STEP: f64 = 0.05;
 const FIRST: u32 = 50;
 
-impl Usual {
+impl LatencyBaseline {
     /// Whether an answer that took so long is slow.
     pub fn slow(&self, took: u64) -> bool {
         self.seen >= FIRST && took as f64 > self.at
     }
 
     /// The old pool has answered.
-    pub fn met(&mut self, took: u64) {
+    pub fn observe(&mut self, took: u64) {
         self.seen = self.seen.saturating_add(1);
         if self.seen == 1 {
             self.at = took as f64;
--- a/crates/shift/src/capacity.rs
+++ b/crates/shift/src/capacity.rs
@@ -7,7 +7,7 @@
 use good_lp::{constraint, microlp, variable, variables, Expression, Solution, SolverModel, Variable};
 
 /// Zones that are solved for; more are summed up in the last.
-pub const MOST_ZONES: usize = 12;
+pub const MAX_ZONES: usize = 12;
 /// Part of its warm capacity that a pool is given.
 const HEADROOM: f64 = 0.95;
 /// A cold box is given this part of what it can take now: all nodes hear of it at once, and each sees its own part only.
@@ -19,14 +19,14 @@
 
 /// What a pool can do in a zone, in units of work a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Strength {
+pub struct PoolCapacity {
     /// Its warm boxes.
     pub warm: f64,
     /// What its cold boxes can take at present.
     pub cold: f64,
 }
 
-impl Strength {
+impl PoolCapacity {
     fn given(&self) -> f64 {
         HEADROOM * self.warm + COLD_HEADROOM * self.cold
     }
@@ -38,14 +38,14 @@
     /// Work that comes in, by class, in units a second.
     pub load: Vec<f64>,
     /// The pool that traffic leaves.
-    pub old: Strength,
+    pub old: PoolCapacity,
     /// The pool that traffic goes to.
-    pub new: Strength,
+    pub new: PoolCapacity,
 }
 
 /// What is possible.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize)]
-pub struct Room {
+pub struct CapacityPlan {
     /// The share of each class that the new pool can carry, at most what was wanted.
     pub shares: Vec<f64>,
     /// The part of all work that the old pool cannot take back at once: an undo leaves so much with the new one.
@@ -54,9 +54,9 @@
     pub lost: f64,
 }
 
-impl Room {
+impl CapacityPlan {
     /// Whether all that was wanted fits.
-    pub fn fits(&self, wanted: &[f64]) -> bool {
+    pub fn covers(&self, wanted: &[f64]) -> bool {
         self.shares.iter().zip(wanted).all(|(s, w)| *s >= w - 1e-6)
     }
 }
@@ -64,7 +64,7 @@
 fn folded(zones: &[Zone], classes: usize) -> Vec<Zone> {
     let mut kept: Vec<Zone> = Vec::new();
     for zone in zones {
-        if kept.len() < MOST_ZONES {
+        if kept.len() < MAX_ZONES {
             let mut load = zone.load.clone();
             load.resize(classes, 0.0);
             kept.push(Zone { load, ..zone.clone() });
@@ -82,7 +82,7 @@
 }
 
 /// Solves for the shares, each at most what is wanted of its class.
-pub fn solve(zones: &[Zone], wanted: &[f64]) -> Room {
+pub fn solve(zones: &[Zone], wanted: &[f64]) -> CapacityPlan {
     let zones = folded(zones, wanted.len());
     let load: f64 = zones.iter().flat_map(|z| &z.load).sum();
     let old: f64 = zones.iter().map(|z| z.old.given()).sum();
@@ -90,15 +90,15 @@
     let strong = zones.iter().map(|z| z.new.given()).sum::<f64>() > 0.0;
     if load <= 0.0 || !strong {
         let shares = wanted.iter().map(|w| if strong { *w } else { 0.0 }).collect();
-        return Room { shares, stays: if strong { stays } else { 0.0 }, lost: 0.0 };
+        return CapacityPlan { shares, stays: if strong { stays } else { 0.0 }, lost: 0.0 };
     }
     if plain(&zones, wanted) {
-        return Room { shares: wanted.to_vec(), stays, lost: 0.0 };
+        return CapacityPlan { shares: wanted.to_vec(), stays, lost: 0.0 };
     }
     match program(&zones, wanted, load) {
-        Some((shares, lost)) => Room { shares, stays, lost: lost / load },
+        Some((shares, lost)) => CapacityPlan { shares, stays, lost: lost / load },
         // The program always has a solution (all work lost); where the solver stops short, nothing moves.
-        None => Room { shares: vec![0.0; wanted.len()], stays, lost: 0.0 },
+        None => CapacityPlan { shares: vec![0.0; wanted.len()], stays, lost: 0.0 },
     }
 }
 
@@ -153,14 +153,14 @@
 
 /// The part of its capacity that a pool of so many boxes can be given with like waiting: with fewer to choose from more has
 /// to stay free, by the square root of their number (square-root staffing; Halfin, Whitt 1981).
-pub fn staffed(boxes: usize) -> f64 {
+pub fn usable_fraction(boxes: usize) -> f64 {
     1.0 - 0.5 / (boxes.max(1) as f64).sqrt()
 }
 
 /// What a unit of size has been seen to carry, where operators do not say: the most work a second that the old pool has
 /// done for each unit while nearly all of its answers were in time. It fades, so that a burst long ago promises nothing.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Carried {
+pub struct ObservedCapacity {
     most: f64,
 }
 
@@ -169,9 +169,9 @@
 /// Part of answers that may be late while the old pool counts as carrying its load.
 const LATE_ENOUGH: f64 = 0.05;
 
-impl Carried {
+impl ObservedCapacity {
     /// The old pool does so much work a second with so many units of size, of which this part comes late.
-    pub fn met(&mut self, work: f64, size: f64, late: f64) {
+    pub fn observe(&mut self, work: f64, size: f64, late: f64) {
         if size <= 0.0 || !work.is_finite() {
             return;
         }
--- a/crates/shift/src/cells.rs
+++ b/crates/shift/src/cells.rs
@@ -15,9 +15,9 @@
 }
 
 /// Cells at most: each takes some 600 bytes.
-pub const MOST_CELLS: usize = 4096;
+pub const MAX_CELLS: usize = 4096;
 /// Dimensions at most.
-pub const MOST_DIMENSIONS: usize = 6;
+pub const MAX_DIMENSIONS: usize = 6;
 
 /// Why there are no such cells.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -26,10 +26,10 @@
     #[error("the dimension `{0}` has no values")]
     Empty(String),
     /// Too many dimensions.
-    #[error("{0} dimensions; at most {MOST_DIMENSIONS}")]
+    #[error("{0} dimensions; at most {MAX_DIMENSIONS}")]
     Dimensions(usize),
     /// Too many cells.
-    #[error("{0} cells; at most {MOST_CELLS}: name fewer splits or larger groups")]
+    #[error("{0} cells; at most {MAX_CELLS}: name fewer splits or larger groups")]
     Cells(usize),
 }
 
@@ -55,7 +55,7 @@
         if let Some(empty) = dimensions.iter().find(|d| d.values.is_empty()) {
             return Err(CellsError::Empty(empty.name.clone()));
         }
-        if dimensions.len() > MOST_DIMENSIONS {
+        if dimensions.len() > MAX_DIMENSIONS {
             return Err(CellsError::Dimensions(dimensions.len()));
         }
         let several = |d: &usize| dimensions[*d].values.len() > 1;
@@ -77,7 +77,7 @@
             levels.push(Level { by, first: count, cells });
             count = count.saturating_add(cells);
         }
-        if count > MOST_CELLS {
+        if count > MAX_CELLS {
             return Err(CellsError::Cells(count));
         }
         Ok(Cells { dimensions, levels, count })
@@ -100,7 +100,7 @@
 
     /// The cells that an outcome counts in, one a level, by its value in each dimension. A value that a dimension does
     /// not have counts as its last.
-    pub fn of<'a>(&'a self, values: &'a [usize]) -> impl Iterator<Item = usize> + 'a {
+    pub fn cells_of<'a>(&'a self, values: &'a [usize]) -> impl Iterator<Item = usize> + 'a {
         self.levels.iter().map(move |level| {
             let within = level.by.iter().fold(0, |at, &d| {
                 let most = self.dimensions[d].values.len();
@@ -122,7 +122,7 @@
 
     /// Whether a step waits for evidence here: in the cell of all and in those of a class. Finer ones may be too thin for
     /// ever, and are named.
-    pub fn owed(&self, cell: usize) -> bool {
+    pub fn requires_evidence(&self, cell: usize) -> bool {
         self.level(cell).by.iter().all(|&d| d == 0)
     }
 
@@ -153,7 +153,7 @@
     }
 
     /// A cell by its name.
-    pub fn named(&self, name: &str) -> Option<usize> {
+    pub fn find(&self, name: &str) -> Option<usize> {
         (0..self.count).find(|&c| self.name(c) == name)
     }
 }
--- a/crates/shift/src/follow.rs
+++ b/crates/shift/src/controller.rs
@@ -1,10 +1,10 @@
 //! Between a shift and the decision module of one node: what the list says becomes pools, what attempts come to becomes
 //! evidence, and shares become the module's [`TrafficSplit`].
 
-use crate::capacity::{staffed, Carried, Strength, Zone};
-use crate::course::{Change, Course, End, Met, Refused, Sight, Word};
-use crate::place;
-use crate::pool::{Facts, Found, Pool, Roster};
+use crate::capacity::{usable_fraction, ObservedCapacity, PoolCapacity, Zone};
+use crate::pool::{Pool, PoolMatch, PoolMembership, ServerLabels};
+use crate::position;
+use crate::rollout::{AttemptResult, Change, Command, CommandError, EndedAttempt, PoolStatus, Rollout};
 use crate::Nanos;
 use laurelroute_policy::interface::{
     AttemptOutcome, Endpoint, Phase, Request, Server, Settings, TrafficSplit,
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 
 /// How often a shift is looked at.
-pub const LOOK: Nanos = 250_000_000;
+pub const EVALUATION_INTERVAL: Nanos = 250_000_000;
 /// Rates are averaged over this many looks.
 const AVERAGE: f64 = 16.0;
 /// A zone counts as cut off with so many attempts on the old pool's boxes there in the last looks, of which this part met
@@ -27,9 +27,9 @@
 
 /// One entry of the list.
 #[derive(Clone, Copy, Debug)]
-pub struct Told<'a> {
+pub struct ListedServer<'a> {
     /// What the predicates go by.
-    pub facts: Facts<'a>,
+    pub labels: ServerLabels<'a>,
     /// What the module is told of it.
     pub server: Server,
 }
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Member {
     number: u32,
-    found: Found,
+    found: PoolMatch,
     server: Server,
 }
 
@@ -50,14 +50,14 @@
 
 impl Flow {
     fn look(&mut self) {
-        let now = std::mem::take(&mut self.counted) * 1e9 / LOOK as f64;
+        let now = std::mem::take(&mut self.counted) * 1e9 / EVALUATION_INTERVAL as f64;
         self.rate += (now - self.rate) / AVERAGE;
     }
 }
 
 /// What a look has brought.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Look {
+pub struct Evaluation {
     /// Changes of state, in order.
     pub changes: Vec<Change>,
     /// What the module is to be told, where that differs from what it was told last.
@@ -66,11 +66,11 @@
 
 /// One node's side of a shift.
 #[derive(Clone, Debug)]
-pub struct Follower {
+pub struct ShiftController {
     /// The shift.
-    pub course: Course,
+    pub rollout: Rollout,
     /// Which box is of which pool.
-    pub roster: Roster,
+    pub roster: PoolMembership,
     names: BTreeMap<String, Endpoint>,
     members: BTreeMap<Endpoint, Member>,
     next: u32,
@@ -89,26 +89,26 @@
     late: [Flow; 2],
     /// Attempts on the old pool by zone, and those that met nobody.
     tried: Vec<[Flow; 2]>,
-    carried: Carried,
+    carried: ObservedCapacity,
     /// The old pool's size when the shift was started.
     whole: f64,
     told: Option<TrafficSplit>,
 }
 
-impl Follower {
+impl ShiftController {
     /// A follower with nobody listed. `tenants` are their names in the order of the settings.
     pub fn new<'a>(
-        course: Course,
+        rollout: Rollout,
         settings: &Settings,
         tenants: impl IntoIterator<Item = &'a str>,
-    ) -> Follower {
-        let splits = &course.settings.splits;
-        let groups = |name: &str| splits.iter().map(|s| s.group(name)).collect::<Vec<_>>();
+    ) -> ShiftController {
+        let splits = &rollout.settings.splits;
+        let groups = |name: &str| splits.iter().map(|s| s.group_index(name)).collect::<Vec<_>>();
         // A tenant that nobody has named is of no group.
         let known = tenants.into_iter().map(groups);
         let unknown = splits.iter().map(|s| s.groups.len()).collect();
-        let zones = course.settings.zones.len();
-        Follower {
+        let zones = rollout.settings.zones.len();
+        ShiftController {
             groups: known.chain([unknown]).collect(),
             names: BTreeMap::new(),
             members: BTreeMap::new(),
@@ -119,31 +119,31 @@
             cold: (settings.initial_capacity, settings.ramp),
             aims: settings.classes.iter().map(|c| c.latency_target).collect(),
             nodes: f64::from(settings.group_size),
-            salt: course.settings.salt(),
+            salt: rollout.settings.salt(),
             load: vec![Flow::default(); settings.classes.len()],
             took: settings.classes.iter().map(|c| c.latency_target as f64 / 3.0).collect(),
             served: [Flow::default(); 2],
             late: [Flow::default(); 2],
             tried: vec![[Flow::default(); 2]; zones],
-            carried: Carried::default(),
+            carried: ObservedCapacity::default(),
             whole: 0.0,
             told: None,
-            roster: Roster::default(),
-            course,
+            roster: PoolMembership::default(),
+            rollout,
         }
     }
 
     /// The list has spoken; a whole one names all that there are.
-    pub fn list<'a>(&mut self, whole: bool, told: impl Iterator<Item = Told<'a>>) {
+    pub fn update_list<'a>(&mut self, whole: bool, told: impl Iterator<Item = ListedServer<'a>>) {
         let mut seen = Vec::new();
         for told in told {
-            let id = told.facts.id;
+            let id = told.labels.id;
             seen.push(told.server.endpoint);
             if told.server.phase == Phase::Removed {
                 self.forget(id);
                 continue;
             }
-            let found = self.roster.enter(&self.course.settings.pools, &told.facts);
+            let found = self.roster.insert(&self.rollout.settings.pools, &told.labels);
             let next = self.next;
             let member = self.members.entry(told.server.endpoint).or_insert_with(|| {
                 self.next += 1;
@@ -160,7 +160,7 @@
     }
 
     /// What counts of servers has changed without news of what they are, as when operators take one out.
-    pub fn phases(&mut self, servers: &[Server]) {
+    pub fn update_servers(&mut self, servers: &[Server]) {
         for server in servers {
             if let Some(member) = self.members.get_mut(&server.endpoint) {
                 member.server = *server;
@@ -169,23 +169,23 @@
     }
 
     fn forget(&mut self, id: &str) {
-        self.roster.leave(id);
+        self.roster.remove(id);
         if let Some(endpoint) = self.names.remove(id) {
             self.members.remove(&endpoint);
         }
     }
 
     /// The name of a box by its number in alarms, while it is listed.
-    pub fn name(&self, number: u32) -> Option<&str> {
+    pub fn server_name(&self, number: u32) -> Option<&str> {
         let of = |e: &Endpoint| self.members.get(e).is_some_and(|m| m.number == number);
         self.names.iter().find(|(_, e)| of(e)).map(|(name, _)| name.as_str())
     }
 
     /// A request's place on the hash: its session's, or one of its own.
-    pub fn place(&self, request: &Request) -> u32 {
+    pub fn split_position(&self, request: &Request) -> u32 {
         let key =
             if request.key == 0 { u64::from(request.id) ^ self.salt.rotate_left(32) } else { request.key };
-        place::of_key(self.salt, key)
+        position::of_key(self.salt, key)
     }
 
     fn warmth(&self, now: Nanos, server: &Server) -> f64 {
@@ -202,23 +202,23 @@
     }
 
     /// A request has come in.
-    pub fn came(&mut self, request: &Request) {
+    pub fn request_received(&mut self, request: &Request) {
         if let Some(flow) = self.load.get_mut(usize::from(request.class)) {
             flow.counted += 1.0;
         }
     }
 
     /// An attempt goes out, the first of its request being number 0: whether what is meant for the new pool goes there.
-    pub fn sent(&mut self, request: &Request, server: Endpoint, number: usize) {
-        let share = self.course.shares().get(usize::from(request.class)).copied().unwrap_or(0.0);
+    pub fn attempt_sent(&mut self, request: &Request, server: Endpoint, number: usize) {
+        let share = self.rollout.shares().get(usize::from(request.class)).copied().unwrap_or(0.0);
         if number == 0 && request.in_split_share(share) {
             let old = self.members.get(&server).is_some_and(|m| m.found.pool == Pool::Old);
-            self.course.meant_for_new(old);
+            self.rollout.record_new_pool_request(old);
         }
     }
 
     /// An attempt has ended: the number-th of its request, sent then.
-    pub fn ended(
+    pub fn attempt_ended(
         &mut self,
         request: &Request,
         (server, number): (Endpoint, usize),
@@ -227,11 +227,13 @@
     ) {
         let Some(member) = self.members.get(&server).copied() else { return };
         let end = match ending {
-            AttemptOutcome::Ok => End::Served,
-            AttemptOutcome::Error | AttemptOutcome::Reset | AttemptOutcome::ConnectFailed => End::Failed,
-            AttemptOutcome::TimedOut => End::TimedOut,
-            AttemptOutcome::Rejected => End::Full,
-            AttemptOutcome::Cancelled | AttemptOutcome::NotSent => End::CalledOff,
+            AttemptOutcome::Ok => AttemptResult::Served,
+            AttemptOutcome::Error | AttemptOutcome::Reset | AttemptOutcome::ConnectFailed => {
+                AttemptResult::Failed
+            }
+            AttemptOutcome::TimedOut => AttemptResult::TimedOut,
+            AttemptOutcome::Rejected => AttemptResult::Rejected,
+            AttemptOutcome::Cancelled | AttemptOutcome::NotSent => AttemptResult::Cancelled,
         };
         let (class, zone) = (usize::from(request.class), usize::from(member.server.zone));
         let aim = self.aims.get(class).copied().unwrap_or(0);
@@ -239,21 +241,35 @@
         let cold = self.warmth(sent_at, &member.server) < 1.0;
         let again = number > 0 || request.is_retry;
         let at = (request.tenant as usize).min(self.groups.len() - 1);
-        let Found { pool, twice } = member.found;
+        let PoolMatch { pool, ambiguous } = member.found;
         let groups = &self.groups[at];
         let server = member.number;
-        self.course.met(&Met { pool, twice, server, class, zone, again, groups, end, took, aim, cold });
+        self.rollout.record_attempt(&EndedAttempt {
+            pool,
+            ambiguous,
+            server,
+            class,
+            zone,
+            again,
+            groups,
+            end,
+            took,
+            aim,
+            cold,
+        });
     }
 
-    fn tally(&mut self, pool: Pool, class: usize, zone: usize, end: End, took: Nanos, aim: Nanos) {
+    fn tally(&mut self, pool: Pool, class: usize, zone: usize, end: AttemptResult, took: Nanos, aim: Nanos) {
         if pool == Pool::Old {
             if let Some([all, nobody]) = self.tried.get_mut(zone) {
                 all.counted += 1.0;
-                nobody.counted += f64::from(u8::from(matches!(end, End::TimedOut | End::Failed)));
+                nobody.counted +=
+                    f64::from(u8::from(matches!(end, AttemptResult::TimedOut | AttemptResult::Failed)));
             }
         }
         let side = match (pool, end) {
-            (Pool::Outside, _) | (_, End::Full | End::Failed | End::CalledOff) => return,
+            (Pool::Outside, _)
+            | (_, AttemptResult::Rejected | AttemptResult::Failed | AttemptResult::Cancelled) => return,
             (Pool::Old, _) => 0,
             (Pool::New, _) => 1,
         };
@@ -271,21 +287,21 @@
     }
 
     /// An operator has spoken.
-    pub fn say(&mut self, now: Nanos, word: &Word) -> Result<Look, Refused> {
-        let change = self.course.say(now, word)?;
-        Ok(Look { changes: vec![change], split: self.split() })
+    pub fn apply_command(&mut self, now: Nanos, word: &Command) -> Result<Evaluation, CommandError> {
+        let change = self.rollout.apply_command(now, word)?;
+        Ok(Evaluation { changes: vec![change], split: self.split() })
     }
 
-    /// Looks at pools and evidence; every [`LOOK`]. `no_planner` says that planners are followed and none is heard.
-    pub fn look(&mut self, now: Nanos, no_planner: bool) -> Look {
+    /// Looks at pools and evidence; every [`EVALUATION_INTERVAL`]. `no_planner` says that planners are followed and none is heard.
+    pub fn evaluate(&mut self, now: Nanos, no_planner: bool) -> Evaluation {
         let flows = self.load.iter_mut().chain(&mut self.served).chain(&mut self.late);
         flows.chain(self.tried.iter_mut().flatten()).for_each(Flow::look);
-        let sight = Sight { no_planner, ..self.sight(now) };
-        let changes = self.course.tick(now, sight);
-        Look { changes, split: self.split() }
+        let sight = PoolStatus { no_planner, ..self.sight(now) };
+        let changes = self.rollout.tick(now, sight);
+        Evaluation { changes, split: self.split() }
     }
 
-    fn sight(&mut self, now: Nanos) -> Sight {
+    fn sight(&mut self, now: Nanos) -> PoolStatus {
         let mut zones = vec![Zone::default(); self.zones.max(1)];
         let mut sizes = [0.0; 2];
         let mut counts = [0; 2];
@@ -310,15 +326,15 @@
         let comparable = 2 * counts[1] >= counts[0];
         for (side, size) in sizes.into_iter().enumerate().filter(|(side, _)| *side == 0 || comparable) {
             let (served, late) = (self.served[side].rate, self.late[side].rate);
-            self.carried.met(served, size, late / served.max(1e-9));
+            self.carried.observe(served, size, late / served.max(1e-9));
         }
         // After a restart the old pool is taken for whole as it is found.
-        if !self.course.state().on() || self.whole == 0.0 {
+        if !self.rollout.state().on() || self.whole == 0.0 {
             self.whole = sizes[0];
         }
         let rates: Vec<f64> = self.load.iter().enumerate().map(|(c, f)| f.rate * self.work(c)).collect();
         let load: f64 = rates.iter().sum();
-        let each = match self.course.settings.box_rate {
+        let each = match self.rollout.settings.server_rate {
             Some(rate) => rate / self.nodes,
             None if self.carried.each() > 0.0 => EXPLORED * self.carried.each(),
             None => UNKNOWN,
@@ -326,8 +342,8 @@
         // A pool that carried all at the start can take all back, as far as it is still whole.
         let held = if self.whole > 0.0 { load / self.whole / 0.9 } else { 0.0 };
         // What a box of the old pool has been seen to carry it carried with all the others beside it.
-        let apart = (staffed(counts[1]) / staffed(counts[0])).min(1.0);
-        let scale = |s: Strength, by: f64| Strength { warm: s.warm * by, cold: s.cold * by };
+        let apart = (usable_fraction(counts[1]) / usable_fraction(counts[0])).min(1.0);
+        let scale = |s: PoolCapacity, by: f64| PoolCapacity { warm: s.warm * by, cold: s.cold * by };
         for zone in &mut zones {
             zone.old = scale(zone.old, each.max(held));
             zone.new = scale(zone.new, each * apart);
@@ -336,9 +352,10 @@
         let home = self.home.min(zones.len() - 1);
         zones[home].load = rates;
         let cut = |[all, nobody]: &[Flow; 2]| {
-            all.rate * AVERAGE * LOOK as f64 / 1e9 >= CUT_LEAST && nobody.rate >= CUT_PART * all.rate
+            all.rate * AVERAGE * EVALUATION_INTERVAL as f64 / 1e9 >= CUT_LEAST
+                && nobody.rate >= CUT_PART * all.rate
         };
-        Sight {
+        PoolStatus {
             zones,
             old: counts[0],
             new: counts[1],
@@ -349,8 +366,8 @@
 
     /// What the module is to be told, if it has not been.
     fn split(&mut self) -> Option<Option<TrafficSplit>> {
-        let split = self.course.state().on().then(|| TrafficSplit {
-            shares: self.course.shares().to_vec(),
+        let split = self.rollout.state().on().then(|| TrafficSplit {
+            shares: self.rollout.shares().to_vec(),
             pools: self
                 .members
                 .iter()
@@ -365,7 +382,7 @@
     }
 
     /// The list has changed: what the module is to be told of pools before it sends anything.
-    pub fn relisted(&mut self) -> Option<Option<TrafficSplit>> {
+    pub fn split_after_list_update(&mut self) -> Option<Option<TrafficSplit>> {
         // The module takes a server that it is told of for one of no pool.
         self.told.is_some().then(|| {
             self.told = None;
--- a/crates/shift/src/explain.rs
+++ b/crates/shift/src/explain.rs
@@ -1,13 +1,13 @@
 //! A shift in words for people, and as data for their tools.
 
-use crate::course::{Change, Course, State};
-use crate::judge::{Signal, Tally, SIGNALS};
+use crate::analysis::{Signal, Tally, SIGNALS};
+use crate::rollout::{Change, Rollout, State};
 use crate::Nanos;
 use serde::{Deserialize, Serialize};
 use std::fmt::Write;
 
 /// Cells that a status names, the most doubtful first.
-pub const MOST_ROWS: usize = 64;
+pub const MAX_ROWS: usize = 64;
 
 /// One comparison.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -35,65 +35,72 @@
     pub state: String,
     /// Since so many seconds.
     pub seconds: f64,
-    /// The rung, from 1, and how many there are.
-    pub rung: (usize, usize),
-    /// Classes with the share that goes to the new pool now, and that of the rung.
+    /// The step, from 1, and how many there are.
+    #[serde(rename = "rung")]
+    pub step: (usize, usize),
+    /// Classes with the share that goes to the new pool now, and that of the step.
     pub shares: Vec<(String, f64, f64)>,
     /// Boxes that take work, old and new.
-    pub boxes: (usize, usize),
+    #[serde(rename = "boxes")]
+    pub servers: (usize, usize),
     /// Why it stands where it stands.
     pub why: String,
     /// The part of the work that the old pool could not take back.
     pub stays: f64,
     /// Comparisons, the most doubtful first.
     pub rows: Vec<Row>,
-    /// Cells too thin to judge on this rung.
+    /// Cells too thin to judge on this step.
     pub thin: Vec<String>,
     /// The last changes of state.
     pub changes: Vec<Change>,
 }
 
 /// What is to be said of a shift now.
-pub fn status(course: &Course, now: Nanos) -> Status {
-    let wanted = match course.state() {
-        State::Step { .. } | State::Held { .. } => course.kept_back(course.settings.shares(course.rung())),
-        State::Finished => course.settings.shares(course.rung()),
-        _ => vec![0.0; course.shares().len()],
+pub fn status(rollout: &Rollout, now: Nanos) -> Status {
+    let wanted = match rollout.state() {
+        State::Step { .. } | State::Held { .. } => rollout.kept_back(rollout.settings.shares(rollout.step())),
+        State::Finished => rollout.settings.shares(rollout.step()),
+        _ => vec![0.0; rollout.shares().len()],
     };
-    let names = course.settings.classes.iter().cloned();
-    let shares = names.zip(course.shares()).zip(wanted).map(|((n, s), w)| (n, *s, w)).collect();
+    let names = rollout.settings.classes.iter().cloned();
+    let shares = names.zip(rollout.shares()).zip(wanted).map(|((n, s), w)| (n, *s, w)).collect();
     Status {
-        name: course.settings.name.clone(),
-        state: course.state_name().to_owned(),
-        seconds: now.saturating_sub(course.since()) as f64 / 1e9,
-        rung: (course.rung() + 1, course.settings.rungs()),
+        name: rollout.settings.name.clone(),
+        state: rollout.state_name().to_owned(),
+        seconds: now.saturating_sub(rollout.state_since()) as f64 / 1e9,
+        step: (rollout.step() + 1, rollout.settings.step_count()),
         shares,
-        boxes: (course.sight().old, course.sight().new),
-        why: course.why_still(now),
-        stays: course.room().stays,
-        rows: rows(course),
-        thin: course.judge.thin().take(MOST_ROWS).map(|c| course.judge.cells.name(c)).collect(),
-        changes: course.changes().cloned().collect(),
+        servers: (rollout.pool_status().old, rollout.pool_status().new),
+        why: rollout.explain_state(now),
+        stays: rollout.capacity_plan().stays,
+        rows: rows(rollout),
+        thin: rollout
+            .analysis
+            .sparse_cells()
+            .take(MAX_ROWS)
+            .map(|c| rollout.analysis.cells.name(c))
+            .collect(),
+        changes: rollout.changes().cloned().collect(),
     }
 }
 
-fn rows(course: &Course) -> Vec<Row> {
-    let judge = &course.judge;
+fn rows(rollout: &Rollout) -> Vec<Row> {
+    let analysis = &rollout.analysis;
     let mut rows: Vec<Row> = Vec::new();
-    for cell in 0..judge.cells.len() {
+    for cell in 0..analysis.cells.len() {
         for signal in SIGNALS {
-            let duel = judge.duel(cell, signal);
+            let duel = analysis.comparison(cell, signal);
             if duel.new.of == 0 {
                 continue;
             }
-            let least_fault = judge.least_fault(cell, duel.old.rate(), (duel.old.of, duel.new.of));
-            let doubt = duel.evidence() / judge.bound(cell);
-            let (cell, old, new) = (judge.cells.name(cell), duel.old, duel.new);
+            let least_fault = analysis.detectable_fault(cell, duel.old.rate(), (duel.old.of, duel.new.of));
+            let doubt = duel.evidence() / analysis.alarm_threshold(cell);
+            let (cell, old, new) = (analysis.cells.name(cell), duel.old, duel.new);
             rows.push(Row { cell, signal, old, new, doubt, least_fault });
         }
     }
     rows.sort_by(|a, b| b.doubt.total_cmp(&a.doubt));
-    rows.truncate(MOST_ROWS);
+    rows.truncate(MAX_ROWS);
     rows
 }
 
@@ -105,7 +112,7 @@
         let _ = writeln!(
             text,
             "shift {}: {} for {:.0} s, rung {} of {}",
-            self.name, self.state, self.seconds, self.rung.0, self.rung.1
+            self.name, self.state, self.seconds, self.step.0, self.step.1
         );
         let shares = self.shares.iter().map(|(name, now, wanted)| {
             let aim = if (now - wanted).abs() > 1e-6 {
@@ -116,7 +123,7 @@
             format!("{name} {:.1}%{aim}", 100.0 * now)
         });
         let _ = writeln!(text, "to the new pool: {}", shares.collect::<Vec<_>>().join(", "));
-        let _ = writeln!(text, "boxes that take work: {} old, {} new", self.boxes.0, self.boxes.1);
+        let _ = writeln!(text, "boxes that take work: {} old, {} new", self.servers.0, self.servers.1);
         let _ = writeln!(text, "why: {}", self.why);
         if self.stays > 0.0 {
             let _ = writeln!(text, "an undo would leave {:.0}% with the new pool", 100.0 * self.stays);
@@ -144,7 +151,7 @@
             } else {
                 String::new()
             };
-            let _ = writeln!(text, "too thin to judge on this rung: {names}{more}");
+            let _ = writeln!(text, "too thin to judge on this step: {names}{more}");
         }
         text
     }
--- a/crates/shift/src/journal.rs
+++ b/crates/shift/src/journal.rs
@@ -4,8 +4,8 @@
 //! and the shift. A line that is cut short at the end was being written when the process ended: what stood before it
 //! holds, the shift is held, and that is said. A broken line anywhere else makes all that follows it unsound.
 
-use crate::course::{Change, Course, State};
-use crate::judge::{Duel, SIGNALS};
+use crate::analysis::{Comparison, SIGNALS};
+use crate::rollout::{Change, Rollout, State};
 use serde::{Deserialize, Serialize};
 
 /// The format's number.
@@ -13,14 +13,14 @@
 /// A journal above this is written anew from what it comes to.
 pub const COMPACT_AT: usize = 1 << 20;
 /// A journal above this is not read.
-pub const MOST_BYTES: usize = 64 << 20;
+pub const MAX_BYTES: usize = 64 << 20;
 
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 enum Record {
     Journal { format: u32, shift: String, classes: Vec<String>, cells: usize },
     Change(Change),
-    Evidence(Vec<(usize, [Duel; SIGNALS.len()])>),
+    Evidence(Vec<(usize, [Comparison; SIGNALS.len()])>),
 }
 
 /// Why a journal is not gone on from.
@@ -28,30 +28,30 @@
 pub enum JournalError {
     /// Not a journal, or of a later version.
     #[error("its first line is not that of a shift's journal in format {FORMAT}")]
-    Foreign,
+    InvalidHeader,
     /// Of another shift.
     #[error("it is the journal of the shift `{0}`")]
-    Other(String),
+    OtherShift(String),
     /// The file has changed what is told apart.
     #[error("it was written for other classes or cells; remove it, or give the shift another name")]
-    Changed,
+    LayoutChanged,
     /// Broken in the middle.
     #[error("line {0} is damaged and others follow it")]
     Damaged(usize),
     /// Too large to be one.
-    #[error("it has more than {MOST_BYTES} bytes")]
-    Large,
+    #[error("it has more than {MAX_BYTES} bytes")]
+    TooLarge,
 }
 
 /// What was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Read {
+pub struct ReplaySummary {
     /// Sound lines.
     pub lines: usize,
     /// Bytes of them: what follows is to be cut off before anything is added.
-    pub sound: usize,
+    pub valid_bytes: usize,
     /// Nothing was cut short.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 fn line(record: &Record) -> String {
@@ -67,64 +67,64 @@
     sound.then(|| serde_json::from_str(json).ok())?
 }
 
-fn head(course: &Course) -> Record {
+fn head(rollout: &Rollout) -> Record {
     Record::Journal {
         format: FORMAT,
-        shift: course.settings.name.clone(),
-        classes: course.settings.classes.clone(),
-        cells: course.judge.cells.len(),
+        shift: rollout.settings.name.clone(),
+        classes: rollout.settings.classes.clone(),
+        cells: rollout.analysis.cells.len(),
     }
 }
 
 /// The first line.
-pub fn begin(course: &Course) -> String {
-    line(&head(course))
+pub fn header(rollout: &Rollout) -> String {
+    line(&head(rollout))
 }
 
 /// A change's line.
-pub fn change(change: &Change) -> String {
+pub fn change_line(change: &Change) -> String {
     line(&Record::Change(change.clone()))
 }
 
 /// The evidence as it stands.
-pub fn evidence(course: &Course) -> String {
-    line(&Record::Evidence(course.judge.kept()))
+pub fn evidence_line(rollout: &Rollout) -> String {
+    line(&Record::Evidence(rollout.analysis.export()))
 }
 
 /// A whole journal that comes to the same as all that was written.
-pub fn compacted(course: &Course) -> String {
-    let changes: String = course.changes().map(change).collect();
-    begin(course) + &changes + &evidence(course)
+pub fn compacted(rollout: &Rollout) -> String {
+    let changes: String = rollout.changes().map(change_line).collect();
+    header(rollout) + &changes + &evidence_line(rollout)
 }
 
 /// Has a shift that was not started go on where its journal ends. An empty one changes nothing.
-pub fn replay(bytes: &[u8], course: &mut Course) -> Result<Read, JournalError> {
-    if bytes.len() > MOST_BYTES {
-        return Err(JournalError::Large);
+pub fn replay(bytes: &[u8], rollout: &mut Rollout) -> Result<ReplaySummary, JournalError> {
+    if bytes.len() > MAX_BYTES {
+        return Err(JournalError::TooLarge);
     }
-    let mut read = Read { lines: 0, sound: 0, whole: true };
+    let mut read = ReplaySummary { lines: 0, valid_bytes: 0, complete: true };
     let mut changes: Vec<Change> = Vec::new();
     let mut kept = None;
     for (number, text) in bytes.split_inclusive(|b| *b == b'\n').enumerate() {
         let complete = text.ends_with(b"\n");
         let found = record(text.trim_ascii_end()).filter(|_| complete);
         let Some(found) = found else {
-            if read.sound + text.len() < bytes.len() {
+            if read.valid_bytes + text.len() < bytes.len() {
                 return Err(JournalError::Damaged(number + 1));
             }
-            read.whole = false;
+            read.complete = false;
             break;
         };
         match (number, found) {
             (0, Record::Journal { format: FORMAT, shift, classes, cells }) => {
-                if shift != course.settings.name {
-                    return Err(JournalError::Other(shift));
+                if shift != rollout.settings.name {
+                    return Err(JournalError::OtherShift(shift));
                 }
-                if classes != course.settings.classes || cells != course.judge.cells.len() {
-                    return Err(JournalError::Changed);
+                if classes != rollout.settings.classes || cells != rollout.analysis.cells.len() {
+                    return Err(JournalError::LayoutChanged);
                 }
             }
-            (0, _) | (_, Record::Journal { .. }) => return Err(JournalError::Foreign),
+            (0, _) | (_, Record::Journal { .. }) => return Err(JournalError::InvalidHeader),
             (_, Record::Change(change)) => {
                 if change.state == State::Waiting {
                     // A start, or a start anew: what was seen before it does not count.
@@ -135,15 +135,15 @@
             (_, Record::Evidence(evidence)) => kept = Some(evidence),
         }
         read.lines += 1;
-        read.sound += text.len();
+        read.valid_bytes += text.len();
     }
-    if kept.is_some_and(|k| !course.judge.restore(k)) {
-        return Err(JournalError::Changed);
+    if kept.is_some_and(|k| !rollout.analysis.restore(k)) {
+        return Err(JournalError::LayoutChanged);
     }
-    course.judge.step();
+    rollout.analysis.begin_step();
     if let Some(last) = changes.pop() {
-        changes.into_iter().for_each(|c| course.remember(c));
-        course.resume(last, read.whole);
+        changes.into_iter().for_each(|c| rollout.remember(c));
+        rollout.resume(last, read.complete);
     }
     Ok(read)
 }
--- a/crates/shift/src/lib.rs
+++ b/crates/shift/src/lib.rs
@@ -1,29 +1,29 @@
 //! Traffic moved step by step from an old pool of boxes to a new one, halted and undone by measured service.
 //!
-//! Pure: no sockets, no clock, no randomness. A [`course::Course`] is told what each attempt came to, what the pools can
+//! Pure: no sockets, no clock, no randomness. A [`rollout::Rollout`] is told what each attempt came to, what the pools can
 //! carry and what operators say, each with its time; it answers with the share of every class that goes to the new pool.
 //! Which server of a pool takes a request stays with the decision module, which is told shares and pools as an event.
 //!
 //! - [`pool`]: which box belongs to which pool.
 //! - [`settings`]: a shift as the operator's file words it, checked.
-//! - [`place`]: where a request stands on the hash, so that sessions stay with their pool.
+//! - [`position`]: where a request stands on the hash, so that sessions stay with their pool.
 //! - [`cells`]: what is judged apart: class, zone, first try or repeat, and groups of tenants.
-//! - [`judge`]: old against new in each cell, by a test that may be looked at at any time.
+//! - [`analysis`]: old against new in each cell, by a test that may be looked at at any time.
 //! - [`capacity`]: what share the new pool can carry, and what the old one could take back.
-//! - [`course`]: the steps, and what halts, holds and undoes them.
-//! - [`follow`]: a shift at one node, between the list, the endings and the decision module.
+//! - [`rollout`]: the steps, and what halts, holds and undoes them.
+//! - [`controller`]: a shift at one node, between the list, the endings and the decision module.
 //! - [`journal`]: what outlives the process.
 //! - [`explain`]: all of this in words and as data.
 
+pub mod analysis;
 pub mod capacity;
 pub mod cells;
-pub mod course;
+pub mod controller;
 pub mod explain;
-pub mod follow;
 pub mod journal;
-pub mod judge;
-pub mod place;
 pub mod pool;
+pub mod position;
+pub mod rollout;
 pub mod settings;
 
 /// A point in time or a duration, in nanoseconds.
--- a/crates/shift/src/pool.rs
+++ b/crates/shift/src/pool.rs
@@ -19,7 +19,7 @@
 
 /// What is said of a box.
 #[derive(Clone, Copy, Debug)]
-pub struct Facts<'a> {
+pub struct ServerLabels<'a> {
     /// Its name.
     pub id: &'a str,
     /// Its zone.
@@ -59,20 +59,20 @@
     }
 
     /// Whether all of its conditions hold.
-    pub fn holds(&self, facts: &Facts<'_>) -> bool {
+    pub fn matches(&self, labels: &ServerLabels<'_>) -> bool {
         let any = |patterns: &[WildMatch], text: &str| {
             patterns.is_empty() || patterns.iter().any(|p| p.matches(text))
         };
         let inside = |a: IpAddr| self.networks.iter().any(|n| n.contains(&a));
-        any(&self.ids, facts.id)
-            && any(&self.zones, facts.zone)
-            && any(&self.kinds, facts.kind)
-            && any(&self.versions, facts.version)
-            && (self.networks.is_empty() || facts.address.is_some_and(inside))
+        any(&self.ids, labels.id)
+            && any(&self.zones, labels.zone)
+            && any(&self.kinds, labels.kind)
+            && any(&self.versions, labels.version)
+            && (self.networks.is_empty() || labels.address.is_some_and(inside))
             && self
                 .metadata
                 .iter()
-                .all(|(key, patterns)| facts.metadata.get(key).is_some_and(|text| any(patterns, text)))
+                .all(|(key, patterns)| labels.metadata.get(key).is_some_and(|text| any(patterns, text)))
     }
 }
 
@@ -87,73 +87,73 @@
 
 /// Where a box was found, and whether both predicates hold for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Found {
+pub struct PoolMatch {
     /// Its pool.
     pub pool: Pool,
     /// Both hold: it is taken for an old one, which is known to serve, but nothing that it does counts as evidence.
-    pub twice: bool,
+    pub ambiguous: bool,
 }
 
 impl Pools {
     /// The pool of a box. One that changes its pool under way is of its new pool for all that is sent from then on; what
     /// was sent before counts for the pool it had then.
-    pub fn find(&self, facts: &Facts<'_>) -> Found {
-        match (self.old.holds(facts), self.new.holds(facts)) {
-            (true, true) => Found { pool: Pool::Old, twice: true },
-            (true, false) => Found { pool: Pool::Old, twice: false },
-            (false, true) => Found { pool: Pool::New, twice: false },
-            (false, false) => Found { pool: Pool::Outside, twice: false },
+    pub fn classify(&self, labels: &ServerLabels<'_>) -> PoolMatch {
+        match (self.old.matches(labels), self.new.matches(labels)) {
+            (true, true) => PoolMatch { pool: Pool::Old, ambiguous: true },
+            (true, false) => PoolMatch { pool: Pool::Old, ambiguous: false },
+            (false, true) => PoolMatch { pool: Pool::New, ambiguous: false },
+            (false, false) => PoolMatch { pool: Pool::Outside, ambiguous: false },
         }
     }
 }
 
 /// The pools of all boxes that the list names, kept as it changes. Bounded by the list.
 #[derive(Clone, Debug, Default)]
-pub struct Roster {
-    boxes: BTreeMap<String, Found>,
+pub struct PoolMembership {
+    boxes: BTreeMap<String, PoolMatch>,
     /// Boxes that changed their pool under way.
-    pub changed: u64,
+    pub pool_changes: u64,
 }
 
-impl Roster {
+impl PoolMembership {
     /// A box is listed, or listed anew; its pool.
-    pub fn enter(&mut self, pools: &Pools, facts: &Facts<'_>) -> Found {
-        let found = pools.find(facts);
-        match self.boxes.get_mut(facts.id) {
+    pub fn insert(&mut self, pools: &Pools, labels: &ServerLabels<'_>) -> PoolMatch {
+        let found = pools.classify(labels);
+        match self.boxes.get_mut(labels.id) {
             Some(before) => {
-                self.changed += u64::from(before.pool != found.pool);
+                self.pool_changes += u64::from(before.pool != found.pool);
                 *before = found;
             }
-            None => drop(self.boxes.insert(facts.id.to_owned(), found)),
+            None => drop(self.boxes.insert(labels.id.to_owned(), found)),
         }
         found
     }
 
     /// A box has left the list.
-    pub fn leave(&mut self, id: &str) {
+    pub fn remove(&mut self, id: &str) {
         self.boxes.remove(id);
     }
 
     /// Where a box stands; one that is not listed stands outside.
-    pub fn find(&self, id: &str) -> Found {
-        self.boxes.get(id).copied().unwrap_or(Found { pool: Pool::Outside, twice: false })
+    pub fn find(&self, id: &str) -> PoolMatch {
+        self.boxes.get(id).copied().unwrap_or(PoolMatch { pool: Pool::Outside, ambiguous: false })
     }
 
     /// The boxes of a pool.
-    pub fn of(&self, pool: Pool) -> impl Iterator<Item = &str> {
+    pub fn servers_in(&self, pool: Pool) -> impl Iterator<Item = &str> {
         self.boxes.iter().filter(move |(_, f)| f.pool == pool).map(|(id, _)| id.as_str())
     }
 
     /// Boxes that both predicates hold for, by name.
-    pub fn twice(&self) -> impl Iterator<Item = &str> {
-        self.boxes.iter().filter(|(_, f)| f.twice).map(|(id, _)| id.as_str())
+    pub fn ambiguous_servers(&self) -> impl Iterator<Item = &str> {
+        self.boxes.iter().filter(|(_, f)| f.ambiguous).map(|(id, _)| id.as_str())
     }
 
     /// The first box that two shifts would both move: such shifts may not be on at once. Boxes outside either are no
     /// matter.
-    pub fn overlap<'a>(&'a self, other: &Roster) -> Option<&'a str> {
-        let moved = |f: &Found| f.pool != Pool::Outside;
-        let both = |(id, f): &(&String, &Found)| moved(f) && other.boxes.get(*id).is_some_and(moved);
+    pub fn shared_server<'a>(&'a self, other: &PoolMembership) -> Option<&'a str> {
+        let moved = |f: &PoolMatch| f.pool != Pool::Outside;
+        let both = |(id, f): &(&String, &PoolMatch)| moved(f) && other.boxes.get(*id).is_some_and(moved);
         self.boxes.iter().find(both).map(|(id, _)| id.as_str())
     }
 }
--- a/crates/shift/src/course.rs
+++ b/crates/shift/src/rollout.rs
@@ -3,9 +3,9 @@
 //! Time alone moves nothing. A step is left upwards when each class has shown as much as [`ShiftSettings::least_fault`]
 //! asks, no cell is in doubt, and the new pool can carry the next share; it is left downwards as soon as one cell alarms.
 
-use crate::capacity::{self, Room, Zone};
+use crate::analysis::{Alarm, Blame, CanaryAnalysis, LatencyBaseline, Outcome, Signal, Signals};
+use crate::capacity::{self, CapacityPlan, Zone};
 use crate::cells::CellsError;
-use crate::judge::{Alarm, Blame, Judge, Outcome, Signal, Signals, Usual};
 use crate::pool::Pool;
 use crate::settings::{OnAlarm, ShiftSettings};
 use crate::Nanos;
@@ -13,14 +13,14 @@
 use std::collections::VecDeque;
 
 /// Changes of state that are remembered.
-const MOST_CHANGES: usize = 64;
+const MAX_CHANGES: usize = 64;
 /// A cell is in doubt, and no step is climbed, with this part of the evidence that alarms.
 const DOUBT: f64 = 0.5;
 /// Without a planner, a forwarder undoes on its own evidence with so many times of what alarms.
 const BEYOND_DOUBT: f64 = 2.0;
 /// A share shrinks within a step only when less than this part of it can be carried: a ramp must not flap.
 const SHRINK: f64 = 0.9;
-/// No step is climbed while more than this part of what was meant for the new pool on the rung goes to the old one.
+/// No step is climbed while more than this part of what was meant for the new pool on the step goes to the old one.
 const MOST_GIVEN_BACK: f64 = 0.2;
 /// Shares nearer than this are equal.
 const NEAR: f64 = 1e-6;
@@ -28,17 +28,20 @@
 /// Why a shift stands still.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Hold {
+pub enum HoldReason {
     /// An operator's word.
     Operator,
     /// Cells are worse in the new pool.
     Alarm,
     /// A depot is cut off: what is worse now may be the network's doing.
-    CutOff,
+    #[serde(rename = "cut-off")]
+    ZoneUnreachable,
     /// The old pool is gone: nothing is left to compare with or to go back to.
-    OldGone,
+    #[serde(rename = "old-gone")]
+    OldPoolEmpty,
     /// The journal ends in the middle of a record.
-    HalfWritten,
+    #[serde(rename = "half-written")]
+    JournalTruncated,
 }
 
 /// Where a shift is.
@@ -49,17 +52,19 @@
     Ready,
     /// Started; the new pool has no box yet.
     Waiting,
-    /// On a rung, and judged.
+    /// On a step, and judged.
     Step {
         /// From 0.
-        rung: usize,
+        #[serde(rename = "rung")]
+        step: usize,
     },
-    /// Standing still on a rung; what alarms there is taken back all the same.
+    /// Standing still on a step; what alarms there is taken back all the same.
     Held {
-        /// The rung.
-        rung: usize,
+        /// The step.
+        #[serde(rename = "rung")]
+        step: usize,
         /// Why.
-        why: Hold,
+        why: HoldReason,
     },
     /// Going back, as far as the old pool can carry.
     Undoing,
@@ -86,7 +91,7 @@
     Start,
     /// Stand still.
     Hold,
-    /// Go on where it was held, or climb a rung whatever the evidence.
+    /// Go on where it was held, or climb a step whatever the evidence.
     Advance,
     /// Take all back.
     Undo,
@@ -98,7 +103,7 @@
 
 /// An operator's word.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
+pub struct Command {
     /// What.
     pub verb: Verb,
     /// Who.
@@ -111,16 +116,16 @@
 
 /// Why a word is not followed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
+pub enum CommandError {
     /// It means nothing in this state.
     #[error("the shift is {0}: `{1}` changes nothing there")]
-    Senseless(String, String),
+    InvalidState(String, String),
     /// It was undone a short time ago.
     #[error("it was undone {0} s ago and rests for {1} s: insist to begin again")]
-    Resting(u64, u64),
+    CoolingDown(u64, u64),
     /// Nobody is there to go to, or to go back to.
     #[error("the {0} pool has no box")]
-    Empty(&'static str),
+    EmptyPool(&'static str),
 }
 
 /// A change of state.
@@ -130,8 +135,9 @@
     pub at: Nanos,
     /// The state from then on.
     pub state: State,
-    /// The rung from then on.
-    pub rung: usize,
+    /// The step from then on.
+    #[serde(rename = "rung")]
+    pub step: usize,
     /// Who: an operator, or `laurelroute`.
     pub who: String,
     /// Why.
@@ -144,7 +150,7 @@
 
 /// What is seen of the pools beside the endings.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Sight {
+pub struct PoolStatus {
     /// Work and strength, by zone.
     pub zones: Vec<Zone>,
     /// Boxes that take work.
@@ -159,7 +165,7 @@
 
 /// How an attempt ended, for the shift.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptResult {
     /// Served.
     Served,
     /// An error, a reset, no connection, or a spoilt answer.
@@ -167,18 +173,18 @@
     /// No answer in time.
     TimedOut,
     /// Turned away unseen.
-    Full,
+    Rejected,
     /// Called off, or its client has left: says nothing.
-    CalledOff,
+    Cancelled,
 }
 
 /// An attempt that has ended.
 #[derive(Clone, Copy, Debug)]
-pub struct Met<'a> {
+pub struct EndedAttempt<'a> {
     /// The box's pool when it was sent.
     pub pool: Pool,
     /// The box is of both pools: it serves as an old one, and is no evidence.
-    pub twice: bool,
+    pub ambiguous: bool,
     /// The box, by a number that the caller keeps.
     pub server: u32,
     /// The request's class.
@@ -190,7 +196,7 @@
     /// The group of its tenant in each split.
     pub groups: &'a [usize],
     /// How it ended.
-    pub end: End,
+    pub end: AttemptResult,
     /// Time until its answer, or until it ended.
     pub took: Nanos,
     /// The class's aim.
@@ -201,44 +207,44 @@
 
 /// One shift under way. See the module's documentation.
 #[derive(Clone, Debug)]
-pub struct Course {
+pub struct Rollout {
     /// What it was told.
     pub settings: ShiftSettings,
     /// Its evidence.
-    pub judge: Judge,
+    pub analysis: CanaryAnalysis,
     state: State,
-    rung: usize,
+    step: usize,
     shares: Vec<f64>,
-    room: Room,
+    room: CapacityPlan,
     entered: Nanos,
     cause_left: Option<Nanos>,
     undone_at: Option<Nanos>,
-    usual: Vec<Usual>,
+    usual: Vec<LatencyBaseline>,
     changes: VecDeque<Change>,
     changed: u64,
-    sight: Sight,
-    /// Requests meant for the new pool on this rung, and those of them that had to go to the old one.
+    sight: PoolStatus,
+    /// Requests meant for the new pool on this step, and those of them that had to go to the old one.
     given_back: (u64, u64),
 }
 
-impl Course {
+impl Rollout {
     /// A shift that nobody has started.
-    pub fn new(settings: ShiftSettings) -> Result<Course, CellsError> {
-        let judge = Judge::new(settings.cells()?, settings.bounds);
+    pub fn new(settings: ShiftSettings) -> Result<Rollout, CellsError> {
+        let analysis = CanaryAnalysis::new(settings.cells()?, settings.bounds);
         let classes = settings.classes.len();
-        Ok(Course {
-            judge,
+        Ok(Rollout {
+            analysis,
             state: State::Ready,
-            rung: 0,
+            step: 0,
             shares: vec![0.0; classes],
-            room: Room::default(),
+            room: CapacityPlan::default(),
             entered: 0,
             cause_left: None,
             undone_at: None,
-            usual: vec![Usual::default(); classes],
+            usual: vec![LatencyBaseline::default(); classes],
             changes: VecDeque::new(),
             changed: 0,
-            sight: Sight::default(),
+            sight: PoolStatus::default(),
             given_back: (0, 0),
             settings,
         })
@@ -249,9 +255,9 @@
         &self.state
     }
 
-    /// The rung that it is on, was on last, or goes to next.
-    pub fn rung(&self) -> usize {
-        self.rung
+    /// The step that it is on, was on last, or goes to next.
+    pub fn step(&self) -> usize {
+        self.step
     }
 
     /// The share of each class that goes to the new pool now.
@@ -260,17 +266,17 @@
     }
 
     /// What the pools could carry when it was last looked at.
-    pub fn room(&self) -> &Room {
+    pub fn capacity_plan(&self) -> &CapacityPlan {
         &self.room
     }
 
     /// What was seen of the pools then.
-    pub fn sight(&self) -> &Sight {
+    pub fn pool_status(&self) -> &PoolStatus {
         &self.sight
     }
 
     /// When it came to its state.
-    pub fn since(&self) -> Nanos {
+    pub fn state_since(&self) -> Nanos {
         self.entered
     }
 
@@ -279,55 +285,59 @@
         self.changes.iter()
     }
 
-    /// How many changes there were since this course was made, those forgotten among them.
-    pub fn changed(&self) -> u64 {
+    /// How many changes there were since this rollout was made, those forgotten among them.
+    pub fn change_count(&self) -> u64 {
         self.changed
     }
 
     /// Counts an attempt that has ended.
-    pub fn met(&mut self, met: &Met<'_>) {
-        if !self.state.on() || met.twice || met.pool == Pool::Outside || met.end == End::CalledOff {
+    pub fn record_attempt(&mut self, attempt: &EndedAttempt<'_>) {
+        if !self.state.on()
+            || attempt.ambiguous
+            || attempt.pool == Pool::Outside
+            || attempt.end == AttemptResult::Cancelled
+        {
             return;
         }
-        let Some(usual) = self.usual.get_mut(met.class) else { return };
+        let Some(usual) = self.usual.get_mut(attempt.class) else { return };
         let mut bad = Signals::default();
-        match met.end {
-            End::Failed => bad = bad.with(Signal::Failed),
-            End::TimedOut => bad = bad.with(Signal::Late).with(Signal::Slow),
-            End::Full => bad = bad.with(Signal::Refused),
-            End::Served => {
-                if met.took > met.aim {
+        match attempt.end {
+            AttemptResult::Failed => bad = bad.with(Signal::Failed),
+            AttemptResult::TimedOut => bad = bad.with(Signal::Late).with(Signal::Slow),
+            AttemptResult::Rejected => bad = bad.with(Signal::Refused),
+            AttemptResult::Served => {
+                if attempt.took > attempt.aim {
                     bad = bad.with(Signal::Late);
                 }
-                if usual.slow(met.took) {
+                if usual.slow(attempt.took) {
                     bad = bad.with(Signal::Slow);
                 }
-                if met.pool == Pool::Old {
-                    usual.met(met.took);
+                if attempt.pool == Pool::Old {
+                    usual.observe(attempt.took);
                 }
             }
-            End::CalledOff => {}
+            AttemptResult::Cancelled => {}
         }
-        let mut judged = match met.end {
+        let mut judged = match attempt.end {
             // What never ran has no time; what failed has none that says anything.
-            End::Full => Signals::default().with(Signal::Refused),
-            End::Failed => Signals::ALL.without(Signal::Late).without(Signal::Slow),
+            AttemptResult::Rejected => Signals::default().with(Signal::Refused),
+            AttemptResult::Failed => Signals::ALL.without(Signal::Late).without(Signal::Slow),
             _ => Signals::ALL,
         };
-        if met.cold {
+        if attempt.cold {
             judged = judged.without(Signal::Late).without(Signal::Slow).without(Signal::Refused);
         }
-        let mut values = [0usize; crate::cells::MOST_DIMENSIONS];
-        values[..3].copy_from_slice(&[met.class, met.zone, usize::from(met.again)]);
-        let groups = met.groups.len().min(values.len() - 3);
-        values[3..3 + groups].copy_from_slice(&met.groups[..groups]);
+        let mut values = [0usize; crate::cells::MAX_DIMENSIONS];
+        values[..3].copy_from_slice(&[attempt.class, attempt.zone, usize::from(attempt.again)]);
+        let groups = attempt.groups.len().min(values.len() - 3);
+        values[3..3 + groups].copy_from_slice(&attempt.groups[..groups]);
         let values = &values[..3 + groups];
-        self.judge.count(&Outcome { pool: met.pool, server: met.server, values, bad, judged });
+        self.analysis.record(&Outcome { pool: attempt.pool, server: attempt.server, values, bad, judged });
     }
 
     /// A request that was meant for the new pool goes there, or to the old one: the new one has nobody to take it, or would
     /// be late. That is no evidence of a fault, which shows in what was sent there, but nothing climbs on it.
-    pub fn meant_for_new(&mut self, given_back: bool) {
+    pub fn record_new_pool_request(&mut self, given_back: bool) {
         self.given_back.0 += 1;
         self.given_back.1 += u64::from(given_back);
     }
@@ -338,69 +348,72 @@
             self.cause_left = None;
         }
         self.state = state;
-        let alarm = alarm.map(|a| (self.judge.cells.name(a.cell), a));
-        let (shares, rung) = (self.shares.clone(), self.rung);
+        let alarm = alarm.map(|a| (self.analysis.cells.name(a.cell), a));
+        let (shares, step) = (self.shares.clone(), self.step);
         let change =
-            Change { at: now, state: self.state.clone(), rung, who: who.to_owned(), why, shares, alarm };
+            Change { at: now, state: self.state.clone(), step, who: who.to_owned(), why, shares, alarm };
         self.changes.push_back(change.clone());
         self.changed += 1;
-        if self.changes.len() > MOST_CHANGES {
+        if self.changes.len() > MAX_CHANGES {
             self.changes.pop_front();
         }
         change
     }
 
     /// An operator has spoken.
-    pub fn say(&mut self, now: Nanos, word: &Word) -> Result<Change, Refused> {
-        let senseless = |c: &Course| {
+    pub fn apply_command(&mut self, now: Nanos, word: &Command) -> Result<Change, CommandError> {
+        let senseless = |c: &Rollout| {
             let (state, verb) = (c.state_name(), format!("{:?}", word.verb).to_lowercase());
-            Err(Refused::Senseless(state.to_owned(), verb))
+            Err(CommandError::InvalidState(state.to_owned(), verb))
         };
-        let last = self.settings.rungs() - 1;
+        let last = self.settings.step_count() - 1;
         let who = word.who.as_str();
         let why = word.why.clone();
         match (word.verb, self.state.clone()) {
             (Verb::Start, State::Ready | State::Abandoned | State::Undone) => {
                 let age = self.undone_at.map(|at| now.saturating_sub(at));
-                if let Some(age) = age.filter(|a| *a < self.settings.rest && !word.insist) {
-                    return Err(Refused::Resting(age / 1_000_000_000, self.settings.rest / 1_000_000_000));
+                if let Some(age) = age.filter(|a| *a < self.settings.restart_cooldown && !word.insist) {
+                    return Err(CommandError::CoolingDown(
+                        age / 1_000_000_000,
+                        self.settings.restart_cooldown / 1_000_000_000,
+                    ));
                 }
-                self.judge = Judge::new(self.judge.cells.clone(), self.settings.bounds);
-                self.rung = 0;
+                self.analysis = CanaryAnalysis::new(self.analysis.cells.clone(), self.settings.bounds);
+                self.step = 0;
                 self.shares.fill(0.0);
                 Ok(self.change(now, State::Waiting, who, why, None))
             }
-            (Verb::Hold, State::Step { rung }) => {
-                Ok(self.change(now, State::Held { rung, why: Hold::Operator }, who, why, None))
+            (Verb::Hold, State::Step { step }) => {
+                Ok(self.change(now, State::Held { step, why: HoldReason::Operator }, who, why, None))
             }
             // A hold of its own would end by itself; an operator's does not.
-            (Verb::Hold, State::Held { rung, why: held }) if held != Hold::Operator => {
-                Ok(self.change(now, State::Held { rung, why: Hold::Operator }, who, why, None))
+            (Verb::Hold, State::Held { step, why: held }) if held != HoldReason::Operator => {
+                Ok(self.change(now, State::Held { step, why: HoldReason::Operator }, who, why, None))
             }
             (Verb::Advance, State::Held { .. } | State::Step { .. }) => {
-                self.judge.weigh();
-                let doubtful = !self.judge.alarms().is_empty();
-                self.judge.excuse();
+                self.analysis.update_evidence();
+                let doubtful = !self.analysis.alarms().is_empty();
+                self.analysis.excuse_evidence();
                 if matches!(self.state, State::Step { .. }) {
-                    if self.rung == last {
+                    if self.step == last {
                         return senseless(self);
                     }
-                    self.climb(self.rung + 1);
+                    self.climb(self.step + 1);
                 }
                 let said = if doubtful { format!("{why} (on evidence against it)") } else { why };
-                Ok(self.change(now, State::Step { rung: self.rung }, who, said, None))
+                Ok(self.change(now, State::Step { step: self.step }, who, said, None))
             }
             (Verb::Undo, State::Waiting | State::Step { .. } | State::Held { .. } | State::Finished) => {
                 if self.sight.old == 0 && !word.insist {
-                    return Err(Refused::Empty("old"));
+                    return Err(CommandError::EmptyPool("old"));
                 }
                 Ok(self.undo(now, who, why, None))
             }
             (Verb::Finish, State::Waiting | State::Step { .. } | State::Held { .. }) => {
                 if self.sight.new == 0 {
-                    return Err(Refused::Empty("new"));
+                    return Err(CommandError::EmptyPool("new"));
                 }
-                self.judge.excuse();
+                self.analysis.excuse_evidence();
                 self.climb(last);
                 self.shares = self.settings.shares(last);
                 Ok(self.change(now, State::Finished, who, why, None))
@@ -416,15 +429,15 @@
     /// While the shift goes on, a part of each class stays with the old pool: without it nothing tells a fault of the new
     /// one from what strikes all.
     pub(crate) fn kept_back(&self, mut shares: Vec<f64>) -> Vec<f64> {
-        let most = 1.0 - self.settings.keep_back;
+        let most = 1.0 - self.settings.holdback;
         shares.iter_mut().for_each(|s| *s = s.min(most));
         shares
     }
 
-    fn climb(&mut self, rung: usize) {
+    fn climb(&mut self, step: usize) {
         self.given_back = (0, 0);
-        self.rung = rung;
-        self.judge.step();
+        self.step = step;
+        self.analysis.begin_step();
     }
 
     fn undo(&mut self, now: Nanos, who: &str, why: String, alarm: Option<Alarm>) -> Change {
@@ -436,12 +449,12 @@
     }
 
     /// Looks at the pools and at the evidence; what has changed by it.
-    pub fn tick(&mut self, now: Nanos, sight: Sight) -> Vec<Change> {
-        self.judge.weigh();
+    pub fn tick(&mut self, now: Nanos, sight: PoolStatus) -> Vec<Change> {
+        self.analysis.update_evidence();
         self.sight = sight;
         let wanted = match self.state {
-            State::Step { .. } | State::Held { .. } => self.kept_back(self.settings.shares(self.rung)),
-            State::Finished => self.settings.shares(self.rung),
+            State::Step { .. } | State::Held { .. } => self.kept_back(self.settings.shares(self.step)),
+            State::Finished => self.settings.shares(self.step),
             _ => vec![0.0; self.shares.len()],
         };
         self.room = capacity::solve(&self.sight.zones, &wanted);
@@ -451,7 +464,7 @@
             State::Waiting if self.sight.new > 0 && self.sight.old > 0 => {
                 self.climb(0);
                 let why = format!("{} boxes of the new pool take work", self.sight.new);
-                changes.push(self.change(now, State::Step { rung: 0 }, SELF, why, None));
+                changes.push(self.change(now, State::Step { step: 0 }, SELF, why, None));
             }
             State::Waiting => {}
             State::Undoing => changes.extend(self.back(now)),
@@ -480,23 +493,23 @@
         }
         self.follow_room(wanted);
         let cause = if self.sight.old == 0 {
-            Some((Hold::OldGone, "the old pool has no box left"))
+            Some((HoldReason::OldPoolEmpty, "the old pool has no box left"))
         } else if self.sight.cut_off {
-            Some((Hold::CutOff, "a depot is cut off"))
+            Some((HoldReason::ZoneUnreachable, "a depot is cut off"))
         } else {
             None
         };
         match (self.state.clone(), cause) {
-            (State::Step { rung }, Some((why, text))) => {
-                Some(self.change(now, State::Held { rung, why }, SELF, text.to_owned(), None))
+            (State::Step { step }, Some((why, text))) => {
+                Some(self.change(now, State::Held { step, why }, SELF, text.to_owned(), None))
             }
-            (State::Held { why: Hold::CutOff | Hold::OldGone, .. }, None) => {
+            (State::Held { why: HoldReason::ZoneUnreachable | HoldReason::OldPoolEmpty, .. }, None) => {
                 let since = *self.cause_left.get_or_insert(now);
-                let settled = now.saturating_sub(since) >= self.settings.settle;
+                let settled = now.saturating_sub(since) >= self.settings.settle_time;
                 settled.then(|| {
                     let why = "what it was held for is over".to_owned();
-                    self.judge.step();
-                    self.change(now, State::Step { rung: self.rung }, SELF, why, None)
+                    self.analysis.begin_step();
+                    self.change(now, State::Step { step: self.step }, SELF, why, None)
                 })
             }
             (State::Held { .. }, Some(_)) => {
@@ -511,14 +524,14 @@
     /// What alarms is taken back, held or not. While a depot is cut off, or without a planner, only what is beyond doubt.
     fn alarmed(&mut self, now: Nanos) -> Option<Change> {
         let strict = if self.sight.no_planner || self.sight.cut_off { BEYOND_DOUBT } else { 1.0 };
-        let held = matches!(self.state, State::Held { why: Hold::Alarm, .. });
-        let alarm = self.judge.alarms().into_iter().find(|a| a.evidence >= strict * a.bound)?;
+        let held = matches!(self.state, State::Held { why: HoldReason::Alarm, .. });
+        let alarm = self.analysis.alarms().into_iter().find(|a| a.evidence >= strict * a.bound)?;
         if held || self.sight.old == 0 {
             return None;
         }
         let why = self.describe(&alarm);
         if self.settings.on_alarm == OnAlarm::Hold {
-            let state = State::Held { rung: self.rung, why: Hold::Alarm };
+            let state = State::Held { step: self.step, why: HoldReason::Alarm };
             return Some(self.change(now, state, SELF, why, Some(alarm)));
         }
         Some(self.undo(now, SELF, why, Some(alarm)))
@@ -527,14 +540,14 @@
     fn describe(&self, alarm: &Alarm) -> String {
         let whose = match &alarm.blame {
             Blame::Release => "the release, on its boxes alike".to_owned(),
-            Blame::Boxes(boxes) => format!("{} of its boxes alone", boxes.len()),
+            Blame::Servers(boxes) => format!("{} of its boxes alone", boxes.len()),
             Blame::Unclear => "too few boxes to tell whose".to_owned(),
         };
         let (old, new) = (alarm.old, alarm.new);
         format!(
             "{:?} in {}: {} of {} in the new pool against {} of {}; {whose}",
             alarm.signal,
-            self.judge.cells.name(alarm.cell),
+            self.analysis.cells.name(alarm.cell),
             new.bad,
             new.of,
             old.bad,
@@ -542,7 +555,7 @@
         )
     }
 
-    /// Shares follow what the new pool can carry, up to the rung's: a cold pool warms along its ramp.
+    /// Shares follow what the new pool can carry, up to the step's: a cold pool warms along its ramp.
     fn follow_room(&mut self, wanted: &[f64]) {
         for (class, share) in self.shares.iter_mut().enumerate() {
             let fits = self.room.shares.get(class).copied().unwrap_or(0.0);
@@ -554,34 +567,34 @@
         }
     }
 
-    /// The next rung, if nothing speaks against it.
+    /// The next step, if nothing speaks against it.
     fn next(&mut self, now: Nanos, wanted: &[f64]) -> Option<Change> {
         if self.standing(now, wanted).is_some() {
             return None;
         }
-        if self.rung + 1 == self.settings.rungs() {
+        if self.step + 1 == self.settings.step_count() {
             return Some(self.change(
                 now,
                 State::Finished,
                 SELF,
-                "all rungs have shown enough".to_owned(),
+                "all step_count have shown enough".to_owned(),
                 None,
             ));
         }
-        let seen = self.judge.duel(0, Signal::Failed).step;
-        self.climb(self.rung + 1);
-        let why = format!("{} of {} failed on the rung before, no cell in doubt", seen.bad, seen.of);
-        Some(self.change(now, State::Step { rung: self.rung }, SELF, why, None))
+        let seen = self.analysis.comparison(0, Signal::Failed).new_in_step;
+        self.climb(self.step + 1);
+        let why = format!("{} of {} failed on the step before, no cell in doubt", seen.bad, seen.of);
+        Some(self.change(now, State::Step { step: self.step }, SELF, why, None))
     }
 
-    /// Why the next rung is not climbed now.
+    /// Why the next step is not climbed now.
     fn standing(&self, now: Nanos, wanted: &[f64]) -> Option<Standing> {
         if self.sight.no_planner {
             return Some(Standing::NoPlanner);
         }
         let age = now.saturating_sub(self.entered);
-        let last = self.rung + 1 == self.settings.rungs();
-        let least = if last { self.settings.watch } else { self.settings.least_time };
+        let last = self.step + 1 == self.settings.step_count();
+        let least = if last { self.settings.final_step_time } else { self.settings.min_step_time };
         if age < least {
             return Some(Standing::Young(least - age));
         }
@@ -593,33 +606,34 @@
         if back as f64 > MOST_GIVEN_BACK * meant as f64 {
             return Some(Standing::GivesBack { back, meant });
         }
-        let doubtful = (0..self.judge.cells.len()).find(|&c| self.judge.doubt(c) >= DOUBT);
+        let doubtful = (0..self.analysis.cells.len()).find(|&c| self.analysis.evidence_ratio(c) >= DOUBT);
         if let Some(cell) = doubtful {
-            return Some(Standing::Doubt { cell, part: self.judge.doubt(cell) });
+            return Some(Standing::Doubt { cell, part: self.analysis.evidence_ratio(cell) });
         }
         self.lacking().map(|(cell, has, needs)| Standing::Thin { cell, has, needs })
     }
 
     /// The first cell that a step waits for, what it has and what it needs.
     fn lacking(&self) -> Option<(usize, u64, u64)> {
-        let cells = &self.judge.cells;
+        let cells = &self.analysis.cells;
         let moved =
             |c: &usize| cells.class(*c).is_none_or(|class| self.shares.get(class).is_some_and(|s| *s > 0.0));
-        (0..cells.len()).filter(|&c| cells.owed(c)).filter(moved).find_map(|cell| {
+        (0..cells.len()).filter(|&c| cells.requires_evidence(c)).filter(moved).find_map(|cell| {
             [Signal::Failed, Signal::Late].into_iter().find_map(|signal| {
-                let duel = self.judge.duel(cell, signal);
+                let duel = self.analysis.comparison(cell, signal);
                 // A class that nobody asks for is not waited for.
                 let asked = duel.old.of + duel.new.of > 0 || cell == 0;
-                let (rate, fault) = (duel.old.rate(), self.settings.least_fault);
-                let shown = self.judge.shows(cell, rate, fault, (duel.step_old, duel.step.of));
-                let needs = self.judge.needed(cell, rate, fault).max(duel.step.of + 1);
-                (asked && !shown).then_some((cell, duel.step.of, needs))
+                let (rate, fault) = (duel.old.rate(), self.settings.min_detectable_fault);
+                let shown =
+                    self.analysis.would_detect(cell, rate, fault, (duel.old_in_step, duel.new_in_step.of));
+                let needs = self.analysis.required_outcomes(cell, rate, fault).max(duel.new_in_step.of + 1);
+                (asked && !shown).then_some((cell, duel.new_in_step.of, needs))
             })
         })
     }
 
     /// Why it stands where it stands, in words.
-    pub fn why_still(&self, now: Nanos) -> String {
+    pub fn explain_state(&self, now: Nanos) -> String {
         let last = self.changes.back();
         match &self.state {
             State::Ready => "nobody has said start".to_owned(),
@@ -628,7 +642,7 @@
                 self.sight.old, self.sight.new
             ),
             State::Step { .. } => {
-                let standing = self.standing(now, &self.kept_back(self.settings.shares(self.rung)));
+                let standing = self.standing(now, &self.kept_back(self.settings.shares(self.step)));
                 standing.map_or_else(|| "about to climb".to_owned(), |s| s.say(self))
             }
             State::Undoing => {
@@ -654,7 +668,7 @@
 
     /// Goes on from what a journal holds. The step's evidence is gathered anew.
     pub(crate) fn resume(&mut self, change: Change, whole: bool) {
-        self.rung = change.rung.min(self.settings.rungs() - 1);
+        self.step = change.step.min(self.settings.step_count() - 1);
         self.shares = change.shares.clone();
         self.shares.resize(self.settings.classes.len(), 0.0);
         self.entered = change.at;
@@ -663,9 +677,9 @@
         }
         let moving = matches!(change.state, State::Step { .. } | State::Waiting | State::Finished);
         self.state = match change.state.clone() {
-            _ if !whole && moving => State::Held { rung: self.rung, why: Hold::HalfWritten },
-            State::Step { .. } => State::Step { rung: self.rung },
-            State::Held { why, .. } => State::Held { rung: self.rung, why },
+            _ if !whole && moving => State::Held { step: self.step, why: HoldReason::JournalTruncated },
+            State::Step { .. } => State::Step { step: self.step },
+            State::Held { why, .. } => State::Held { step: self.step, why },
             other => other,
         };
         self.changes.push_back(change);
@@ -674,7 +688,7 @@
     /// An old change of a journal, for those who ask what was.
     pub(crate) fn remember(&mut self, change: Change) {
         self.changes.push_back(change);
-        if self.changes.len() > MOST_CHANGES {
+        if self.changes.len() > MAX_CHANGES {
             self.changes.pop_front();
         }
     }
@@ -683,7 +697,7 @@
 /// Who changes a state where no operator does.
 const SELF: &str = "laurelroute";
 
-/// What the next rung waits for.
+/// What the next step waits for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Standing {
     NoPlanner,
@@ -695,15 +709,15 @@
 }
 
 impl Standing {
-    fn say(&self, course: &Course) -> String {
-        let cells = &course.judge.cells;
+    fn say(&self, rollout: &Rollout) -> String {
+        let cells = &rollout.analysis.cells;
         match *self {
             Standing::NoPlanner => "no planner is heard: the share is kept".to_owned(),
-            Standing::Young(left) => format!("{:.1} s more on this rung", left as f64 / 1e9),
+            Standing::Young(left) => format!("{:.1} s more on this step", left as f64 / 1e9),
             Standing::Small { class, share, wanted } => format!(
                 "the new pool carries {:.1}% of {} now, {:.0}% is wanted",
                 100.0 * share,
-                course.settings.classes[class],
+                rollout.settings.classes[class],
                 100.0 * wanted
             ),
             Standing::Doubt { cell, part } => {
@@ -713,7 +727,7 @@
                 format!("{back} of {meant} requests meant for the new pool went to the old one")
             }
             Standing::Thin { cell, has, needs } => {
-                format!("{} has shown {has} of {needs} requests on this rung", cells.name(cell))
+                format!("{} has shown {has} of {needs} requests on this step", cells.name(cell))
             }
         }
     }
--- a/crates/shift/src/settings.rs
+++ b/crates/shift/src/settings.rs
@@ -1,7 +1,7 @@
 //! A shift as the operator's file words it, checked by itself. Where a value stands in the file is the caller's to say.
 
+use crate::analysis::Bounds;
 use crate::cells::{Cells, CellsError, Dimension};
-use crate::judge::Bounds;
 use crate::pool::Pools;
 use crate::Nanos;
 use wildmatch::WildMatch;
@@ -9,7 +9,7 @@
 /// The shares that a shift goes through where the file names none.
 pub const STEPS: [f64; 5] = [0.01, 0.05, 0.20, 0.50, 1.0];
 /// Steps at most.
-pub const MOST_STEPS: usize = 32;
+pub const MAX_STEPS: usize = 32;
 
 /// Tenants told apart by patterns of their names; the first group that matches counts, `other` for the rest.
 #[derive(Clone, Debug, PartialEq)]
@@ -22,7 +22,7 @@
 
 impl Split {
     /// The place of a tenant's group; that of `other` where none matches.
-    pub fn group(&self, tenant: &str) -> usize {
+    pub fn group_index(&self, tenant: &str) -> usize {
         let at = self.groups.iter().position(|(_, patterns)| patterns.iter().any(|p| p.matches(tenant)));
         at.unwrap_or(self.groups.len())
     }
@@ -52,7 +52,7 @@
     /// Shares in their order, from above 0 to 1.
     pub steps: Vec<f64>,
     /// Steps by which a class comes later than the first, by its place in the settings.
-    pub behind: Vec<usize>,
+    pub class_delays: Vec<usize>,
     /// Names of the classes.
     pub classes: Vec<String>,
     /// Names of the zones.
@@ -62,19 +62,19 @@
     /// How the judge is set.
     pub bounds: Bounds,
     /// The least fault of a class that a step is to show before the next one.
-    pub least_fault: f64,
+    pub min_detectable_fault: f64,
     /// A step lasts so long at least.
-    pub least_time: Nanos,
+    pub min_step_time: Nanos,
     /// The last one does, with all but what is kept back: some faults need their time to show.
-    pub watch: Nanos,
+    pub final_step_time: Nanos,
     /// The part of each class that stays with the old pool until the shift is finished, for comparison.
-    pub keep_back: f64,
+    pub holdback: f64,
     /// A hold of its own ends when its cause has been away for so long.
-    pub settle: Nanos,
+    pub settle_time: Nanos,
     /// After an undo a start within this time has to be insisted on.
-    pub rest: Nanos,
+    pub restart_cooldown: Nanos,
     /// Requests a second that a usual box can do; `None` where nobody knows.
-    pub box_rate: Option<f64>,
+    pub server_rate: Option<f64>,
     /// See there.
     pub on_alarm: OnAlarm,
 }
@@ -92,7 +92,7 @@
     #[error("`old` and `new` name the same boxes")]
     Same,
     /// The steps make no sense.
-    #[error("`steps` have to rise from above 0 to 100 percent, {MOST_STEPS} at most")]
+    #[error("`steps` have to rise from above 0 to 100 percent, {MAX_STEPS} at most")]
     Steps,
     /// A number out of its range.
     #[error("`{0}` has to be {1}")]
@@ -109,18 +109,18 @@
             name: name.to_owned(),
             pools,
             steps: STEPS.to_vec(),
-            behind: vec![0; classes.len()],
+            class_delays: vec![0; classes.len()],
             classes,
             zones,
             splits: Vec::new(),
-            bounds: Bounds { false_alarms: 0.01, tolerance: 0.002, thin: 30 },
-            least_fault: 0.05,
-            least_time: 2_000_000_000,
-            watch: 900_000_000_000,
-            keep_back: 0.02,
-            settle: 5_000_000_000,
-            rest: 600_000_000_000,
-            box_rate: None,
+            bounds: Bounds { false_alarm_rate: 0.01, tolerance: 0.002, min_outcomes: 30 },
+            min_detectable_fault: 0.05,
+            min_step_time: 2_000_000_000,
+            final_step_time: 900_000_000_000,
+            holdback: 0.02,
+            settle_time: 5_000_000_000,
+            restart_cooldown: 600_000_000_000,
+            server_rate: None,
             on_alarm: OnAlarm::Undo,
         }
     }
@@ -141,26 +141,26 @@
         }
         let rising = self.steps.windows(2).all(|w| w[0] < w[1]);
         let ends = self.steps.first().is_some_and(|s| *s > 0.0) && self.steps.last() == Some(&1.0);
-        if !rising || !ends || self.steps.len() > MOST_STEPS {
+        if !rising || !ends || self.steps.len() > MAX_STEPS {
             return Err(ShiftError::Steps);
         }
         let within = |value: f64, low: f64, high: f64| value > low && value < high;
-        if !within(self.bounds.false_alarms, 0.0, 0.5) {
+        if !within(self.bounds.false_alarm_rate, 0.0, 0.5) {
             return Err(ShiftError::Range("false_halts", "above 0 and below 0.5"));
         }
         if !(0.0..0.5).contains(&self.bounds.tolerance) {
             return Err(ShiftError::Range("tolerance", "from 0 to below 0.5"));
         }
-        if !within(self.least_fault, self.bounds.tolerance, 1.0) {
+        if !within(self.min_detectable_fault, self.bounds.tolerance, 1.0) {
             return Err(ShiftError::Range("least_fault", "above `tolerance` and below 1"));
         }
-        if !within(self.keep_back, 0.0, 0.5) {
+        if !within(self.holdback, 0.0, 0.5) {
             return Err(ShiftError::Range("keep_back", "above 0 and below 50 percent"));
         }
-        if self.box_rate.is_some_and(|r| !(r.is_finite() && r > 0.0)) {
+        if self.server_rate.is_some_and(|r| !(r.is_finite() && r > 0.0)) {
             return Err(ShiftError::Range("box_rate", "above 0"));
         }
-        if self.behind.iter().any(|b| *b > MOST_STEPS) {
+        if self.class_delays.iter().any(|b| *b > MAX_STEPS) {
             return Err(ShiftError::Range("behind", "32 steps at most"));
         }
         self.cells().map(drop).map_err(ShiftError::Cells)
@@ -179,17 +179,17 @@
     }
 
     /// Rungs that the shift climbs: its steps, and those by which the last class is behind.
-    pub fn rungs(&self) -> usize {
-        self.steps.len() + self.behind.iter().copied().max().unwrap_or(0)
+    pub fn step_count(&self) -> usize {
+        self.steps.len() + self.class_delays.iter().copied().max().unwrap_or(0)
     }
 
-    /// The share of each class at a rung.
-    pub fn shares(&self, rung: usize) -> Vec<f64> {
-        let share = |behind: &usize| match rung.checked_sub(*behind) {
-            Some(step) => self.steps[step.min(self.steps.len() - 1)],
+    /// The share of each class at a step.
+    pub fn shares(&self, step: usize) -> Vec<f64> {
+        let share = |behind: &usize| match step.checked_sub(*behind) {
+            Some(index) => self.steps[index.min(self.steps.len() - 1)],
             None => 0.0,
         };
-        self.behind.iter().map(share).collect()
+        self.class_delays.iter().map(share).collect()
     }
 
     /// The salt of its hash.
--- a/crates/shift/tests/judge.rs
+++ b/crates/shift/tests/judge.rs
@@ -4,11 +4,11 @@
 
 use common::*;
 use laurelroute_policy::interface::Request;
-use laurelroute_shift::capacity::{solve, Strength, Zone};
-use laurelroute_shift::cells::{Cells, Dimension, MOST_CELLS};
-use laurelroute_shift::judge::{Blame, Bounds, Judge, Outcome, Signal, Signals};
-use laurelroute_shift::place;
-use laurelroute_shift::pool::{Facts, Pool, Pools, Predicate, Roster};
+use laurelroute_shift::analysis::{Blame, Bounds, CanaryAnalysis, Outcome, Signal, Signals};
+use laurelroute_shift::capacity::{solve, PoolCapacity, Zone};
+use laurelroute_shift::cells::{Cells, Dimension, MAX_CELLS};
+use laurelroute_shift::pool::{Pool, PoolMembership, Pools, Predicate, ServerLabels};
+use laurelroute_shift::position;
 use proptest::prelude::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -18,15 +18,15 @@
     Request { split_position: place, ..Request::default() }.in_split_share(share)
 }
 
-fn judge(false_alarms: f64) -> Judge {
+fn judge(false_alarm_rate: f64) -> CanaryAnalysis {
     let values = |n: usize| (0..n).map(|k| k.to_string()).collect();
     let dimension = |name: &str, n| Dimension { name: name.into(), values: values(n) };
     let cells = Cells::new(vec![dimension("class", 3), dimension("shire", 9)]).unwrap();
-    Judge::new(cells, Bounds { false_alarms, tolerance: 0.0, thin: 30 })
+    CanaryAnalysis::new(cells, Bounds { false_alarm_rate, tolerance: 0.0, min_outcomes: 30 })
 }
 
 /// Plays batches, looked at after each; whether it ever alarms.
-fn alarms(judge: &mut Judge, seed: u64, rate: impl Fn(Pool, u32, &[usize], u32) -> f64) -> bool {
+fn alarms(judge: &mut CanaryAnalysis, seed: u64, rate: impl Fn(Pool, u32, &[usize], u32) -> f64) -> bool {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut draw = move || f64::from(rng.next_u32()) / f64::from(u32::MAX);
     for batch in 0..120 {
@@ -36,9 +36,9 @@
             let server = (draw() * 20.0) as u32;
             let failed = draw() < rate(pool, batch, &values, server);
             let bad = if failed { Signals::default().with(Signal::Failed) } else { Signals::default() };
-            judge.count(&Outcome { pool, server, values: &values, bad, judged: Signals::ALL });
+            judge.record(&Outcome { pool, server, values: &values, bad, judged: Signals::ALL });
         }
-        judge.weigh();
+        judge.update_evidence();
         if !judge.alarms().is_empty() {
             return true;
         }
@@ -73,7 +73,7 @@
     let (mut boxes, mut release) = (judge(0.01), judge(0.01));
     let two = |pool, _, _: &[usize], server| if pool == Pool::New && server < 2 { 0.6 } else { 0.01 };
     assert!(alarms(&mut boxes, 1, two));
-    assert_eq!(boxes.alarms()[0].blame, Blame::Boxes(vec![0, 1]));
+    assert_eq!(boxes.alarms()[0].blame, Blame::Servers(vec![0, 1]));
     let all = |pool, _, _: &[usize], _| if pool == Pool::New { 0.06 } else { 0.01 };
     assert!(alarms(&mut release, 1, all));
     assert_eq!(release.alarms()[0].blame, Blame::Release);
@@ -83,14 +83,14 @@
 fn what_it_is_said_to_need_is_about_what_it_needs() {
     for fault in [0.05, 0.2, 0.5] {
         let judge = judge(0.01);
-        let needs = judge.needed(0, 0.01, fault);
-        assert!(judge.shows(0, 0.01, fault, (8 * needs, needs)));
-        assert!(!judge.shows(0, 0.01, fault, (8 * (needs - 1), needs - 1)));
-        let least = judge.least_fault(0, 0.01, (8 * needs, needs)).unwrap();
+        let needs = judge.required_outcomes(0, 0.01, fault);
+        assert!(judge.would_detect(0, 0.01, fault, (8 * needs, needs)));
+        assert!(!judge.would_detect(0, 0.01, fault, (8 * (needs - 1), needs - 1)));
+        let least = judge.detectable_fault(0, 0.01, (8 * needs, needs)).unwrap();
         // Large faults want a few requests only, and one more or less is a tenth of them.
         assert!((least / fault - 1.0).abs() < 0.1, "{least} for {fault}");
     }
-    assert_eq!(judge(0.01).least_fault(0, 0.01, (100, 1)), None);
+    assert_eq!(judge(0.01).detectable_fault(0, 0.01, (100, 1)), None);
 }
 
 #[test]
@@ -104,18 +104,18 @@
         let bad = if failed { Signals::default().with(Signal::Failed) } else { Signals::default() };
         let values = [k % 3, k % 9];
         let outcome = Outcome { pool, server: 0, values: &values, bad, judged: Signals::ALL };
-        whole.count(&outcome);
-        parts[(k / 9) % 3].count(&outcome);
+        whole.record(&outcome);
+        parts[(k / 9) % 3].record(&outcome);
     }
     for part in &mut parts {
-        for (cell, signal, old, new) in part.take_waiting() {
-            sum.merge(cell, signal, old, new);
+        for (cell, signal, old, new) in part.take_pending() {
+            sum.merge_pending(cell, signal, old, new);
         }
     }
-    whole.weigh();
-    sum.weigh();
+    whole.update_evidence();
+    sum.update_evidence();
     for cell in 0..whole.cells.len() {
-        assert_eq!(whole.doubt(cell), sum.doubt(cell), "{}", whole.cells.name(cell));
+        assert_eq!(whole.evidence_ratio(cell), sum.evidence_ratio(cell), "{}", whole.cells.name(cell));
     }
 }
 
@@ -124,19 +124,19 @@
     let values = |n: usize| (0..n).map(|k| k.to_string()).collect::<Vec<_>>();
     let dimension = |n| Dimension { name: format!("d{n}"), values: values(n) };
     let error = Cells::new(vec![dimension(10), dimension(100), dimension(20)]).unwrap_err();
-    assert!(error.to_string().contains(&MOST_CELLS.to_string()), "{error}");
+    assert!(error.to_string().contains(&MAX_CELLS.to_string()), "{error}");
     assert!(Cells::new(vec![dimension(1), dimension(0)]).is_err());
     let cells = Cells::new(vec![dimension(3), dimension(1), dimension(27)]).unwrap();
     let all: f64 = (0..cells.len()).map(|c| cells.weight(c)).sum();
     assert!((all - 1.0).abs() < 1e-9, "the parts of the rate add up to it: {all}");
     for cell in 0..cells.len() {
-        assert_eq!(cells.named(&cells.name(cell)), Some(cell));
+        assert_eq!(cells.find(&cells.name(cell)), Some(cell));
     }
 }
 
-fn facts<'a>(id: &'a str, version: &'a str, metadata: &'a BTreeMap<String, String>) -> Facts<'a> {
+fn labels<'a>(id: &'a str, version: &'a str, metadata: &'a BTreeMap<String, String>) -> ServerLabels<'a> {
     let address = Some(std::net::IpAddr::from([10, 2, 3, 4]));
-    Facts { id, zone: "a", kind: "k", version, address, metadata }
+    ServerLabels { id, zone: "a", kind: "k", version, address, metadata }
 }
 
 #[test]
@@ -146,27 +146,27 @@
     let version =
         |v: &str| Predicate { versions: vec![wildmatch::WildMatch::new(v)], ..Predicate::default() };
     let pools = Pools { old: version("4*"), new: version("42") };
-    let mut roster = Roster::default();
-    let both = roster.enter(&pools, &facts("x", "42", &none));
-    assert_eq!((both.pool, both.twice), (Pool::Old, true), "it is known to serve, and proves nothing");
-    assert_eq!(roster.enter(&pools, &facts("y", "39", &none)).pool, Pool::Outside);
-    assert_eq!(roster.enter(&pools, &facts("y", "41", &none)).pool, Pool::Old);
-    assert_eq!(roster.changed, 1);
+    let mut roster = PoolMembership::default();
+    let both = roster.insert(&pools, &labels("x", "42", &none));
+    assert_eq!((both.pool, both.ambiguous), (Pool::Old, true), "it is known to serve, and proves nothing");
+    assert_eq!(roster.insert(&pools, &labels("y", "39", &none)).pool, Pool::Outside);
+    assert_eq!(roster.insert(&pools, &labels("y", "41", &none)).pool, Pool::Old);
+    assert_eq!(roster.pool_changes, 1);
     assert_eq!(roster.find("nobody").pool, Pool::Outside);
     let network = Predicate { networks: vec!["10.2.0.0/16".parse().unwrap()], ..Predicate::default() };
-    assert!(network.holds(&facts("z", "", &none)));
-    assert!(!network.holds(&Facts { address: None, ..facts("z", "", &none) }));
+    assert!(network.matches(&labels("z", "", &none)));
+    assert!(!network.matches(&ServerLabels { address: None, ..labels("z", "", &none) }));
     let mut canary = Predicate::default();
     canary.metadata.insert("ring".into(), vec![wildmatch::WildMatch::new("can*")]);
-    assert!(canary.holds(&facts("z", "", &ring)) && !canary.holds(&facts("z", "", &none)));
-    let mut other = Roster::default();
-    other.enter(&Pools { old: ids("x"), new: ids("w") }, &facts("x", "1", &none));
-    assert_eq!(roster.overlap(&other), Some("x"));
+    assert!(canary.matches(&labels("z", "", &ring)) && !canary.matches(&labels("z", "", &none)));
+    let mut other = PoolMembership::default();
+    other.insert(&Pools { old: ids("x"), new: ids("w") }, &labels("x", "1", &none));
+    assert_eq!(roster.shared_server(&other), Some("x"));
 }
 
 #[test]
 fn uneven_zones_are_solved_for_and_nothing_is_overfilled() {
-    let strength = |warm| Strength { warm, cold: 0.0 };
+    let strength = |warm| PoolCapacity { warm, cold: 0.0 };
     // The new pool stands in the second zone alone, the load in the first.
     let zones = [
         Zone { load: vec![60.0, 40.0], old: strength(200.0), new: strength(0.0) },
@@ -176,8 +176,9 @@
     let moved = 60.0 * room.shares[0] + 40.0 * room.shares[1];
     assert!((moved - 47.5).abs() < 0.5, "{room:?}");
     assert_eq!(room.stays, 0.0);
-    assert!(solve(&zones, &[0.3, 0.3]).fits(&[0.3, 0.3]));
-    let cold = [Zone { load: vec![100.0], old: strength(200.0), new: Strength { warm: 0.0, cold: 30.0 } }];
+    assert!(solve(&zones, &[0.3, 0.3]).covers(&[0.3, 0.3]));
+    let cold =
+        [Zone { load: vec![100.0], old: strength(200.0), new: PoolCapacity { warm: 0.0, cold: 30.0 } }];
     assert!((solve(&cold, &[1.0]).shares[0] - 0.24).abs() < 0.01);
     assert_eq!(solve(&[], &[0.5]).shares, [0.0], "nobody is there");
     let gone = [Zone { load: vec![100.0], old: strength(0.0), new: strength(200.0) }];
@@ -187,7 +188,7 @@
 proptest! {
     #[test]
     fn what_has_moved_stays_moved_as_the_share_grows(key: u64, salt: u64, a in 0.0..=1.0f64, b in 0.0..=1.0f64) {
-        let at = place::of_key(salt, key);
+        let at = position::of_key(salt, key);
         let (low, high) = (a.min(b), a.max(b));
         prop_assert!(!within(at, low) || within(at, high));
         prop_assert!(!within(at, 0.0) && within(at, 1.0));
@@ -202,8 +203,8 @@
     ) {
         let zones: Vec<Zone> = (0..3).map(|z| Zone {
             load: vec![load[z], load[z] / 2.0],
-            old: Strength { warm: old[z], cold: 0.0 },
-            new: Strength { warm: new[z], cold: 0.0 },
+            old: PoolCapacity { warm: old[z], cold: 0.0 },
+            new: PoolCapacity { warm: new[z], cold: 0.0 },
         }).collect();
         let room = solve(&zones, &[wanted, wanted / 2.0]);
         let moved: f64 = zones.iter().map(|z| z.load[0] * room.shares[0] + z.load[1] * room.shares[1]).sum();
@@ -214,6 +215,6 @@
 
 #[test]
 fn sessions_are_spread_evenly() {
-    let within = (0..20_000u64).filter(|&k| within(place::of_key(7, k), 0.05)).count();
+    let within = (0..20_000u64).filter(|&k| within(position::of_key(7, k), 0.05)).count();
     assert!((900..1100).contains(&within), "{within} of 20,000 at 5%");
 }
--- a/crates/simulation/src/shift/course.rs
+++ b/crates/simulation/src/shift/course.rs
@@ -6,10 +6,10 @@
 use super::{settings, Asked, Fault, Kind, Where, CLASSES, SHIRES, ZONES};
 use crate::draw::Draw;
 use crate::{Nanos, MS, S};
-use laurelroute_shift::capacity::{Strength, Zone};
-use laurelroute_shift::course::{Course, End, Met, Sight, State, Verb, Word};
-use laurelroute_shift::judge::{Blame, Signal};
+use laurelroute_shift::analysis::{Blame, Signal};
+use laurelroute_shift::capacity::{PoolCapacity, Zone};
 use laurelroute_shift::pool::Pool;
+use laurelroute_shift::rollout::{AttemptResult, Command, EndedAttempt, PoolStatus, Rollout, State, Verb};
 
 /// The new pool of a seed.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -26,7 +26,7 @@
 const OLD_FOR_NEW: f64 = 8.0;
 /// How often the course is looked at here.
 const LOOK: Nanos = S;
-/// New requests that are drawn for each old one at most, and requests a second on the last rung.
+/// New requests that are drawn for each old one at most, and requests a second on the last step.
 const NEW_FOR_OLD: f64 = 8.0;
 const WATCH_RATE: f64 = 200.0;
 /// A box is warm after this.
@@ -44,7 +44,7 @@
     pub undone: bool,
     /// Came to its end.
     pub finished: bool,
-    /// The rung where it was halted, and that where the fault began to strike.
+    /// The step where it was halted, and that where the fault began to strike.
     pub rungs: (usize, usize),
     /// The fault is above the stated least for what two rungs have shown, and so had to be found within them.
     pub owed: bool,
@@ -111,35 +111,35 @@
         }
     }
 
-    fn sight(&self, now: Nanos, cold: bool) -> Sight {
+    fn sight(&self, now: Nanos, cold: bool) -> PoolStatus {
         let warmth = if cold { (0.3 + 0.7 * now as f64 / RAMP as f64).min(1.0) } else { 1.0 };
         let (load, each) = (self.rate * (self.load)(now), 2.5 * self.rate / ZONES as f64);
         let part = |k: usize| load * CLASSES[k].1 / ZONES as f64;
         let zone = |_| Zone {
             load: (0..CLASSES.len()).map(part).collect(),
-            old: Strength { warm: each, cold: 0.0 },
+            old: PoolCapacity { warm: each, cold: 0.0 },
             new: if warmth < 1.0 {
-                Strength { warm: 0.0, cold: each * warmth }
+                PoolCapacity { warm: 0.0, cold: each * warmth }
             } else {
-                Strength { warm: each, cold: 0.0 }
+                PoolCapacity { warm: each, cold: 0.0 }
             },
         };
         let zones = (0..ZONES).map(zone).collect();
-        Sight { zones, old: self.boxes, new: self.boxes, ..Sight::default() }
+        PoolStatus { zones, old: self.boxes, new: self.boxes, ..PoolStatus::default() }
     }
 
     /// How an attempt ends, and how long that takes. What fails here fails in either pool.
-    fn end(&self, draw: &mut Draw, now: Nanos, class: usize, warmth: f64) -> (End, Nanos) {
+    fn end(&self, draw: &mut Draw, now: Nanos, class: usize, warmth: f64) -> (AttemptResult, Nanos) {
         // A sum of two exponentials: a mean and a tail as of a box with a short queue.
         let mean = self.mean[class] / warmth / 2.0;
         let took = (draw.exponential(mean) + draw.exponential(mean)) as Nanos;
         let storm = if (self.storm.0..self.storm.1).contains(&now) { self.storm.2 } else { 0.0 };
         if draw.chance(self.failing + storm) {
-            (End::Failed, took)
+            (AttemptResult::Failed, took)
         } else if warmth < 1.0 && draw.chance(0.1 * (1.0 - warmth)) {
-            (End::Full, 0)
+            (AttemptResult::Rejected, 0)
         } else {
-            (End::Served, took)
+            (AttemptResult::Served, took)
         }
     }
 }
@@ -162,24 +162,24 @@
     site: Site,
     fault: Option<Fault>,
     cold: bool,
-    course: Course,
+    course: Rollout,
     now: Nanos,
     /// The cell that is the fault's own.
     cell: usize,
     began: Option<(Nanos, usize)>,
     hurt: f64,
-    /// Outcomes of the old and the new pool in the fault's cell when it began, and at the end of its second rung.
+    /// Outcomes of the old and the new pool in the fault's cell when it began, and at the end of its second step.
     shown: ((u64, u64), Option<(u64, u64)>),
 }
 
 impl Play {
     fn new(site: Site, fault: Option<Fault>, cold: bool) -> Play {
         // The settings are the model's own, and sound.
-        let mut course = Course::new(settings()).unwrap_or_else(|e| unreachable!("{e}"));
-        let word = Word { verb: Verb::Start, who: "model".into(), why: "play".into(), insist: false };
-        let started = course.say(0, &word);
+        let mut course = Rollout::new(settings()).unwrap_or_else(|e| unreachable!("{e}"));
+        let word = Command { verb: Verb::Start, who: "model".into(), why: "play".into(), insist: false };
+        let started = course.apply_command(0, &word);
         debug_assert!(started.is_ok());
-        let cell = course.judge.cells.named(&fault.map_or("all".to_owned(), name)).unwrap_or(0);
+        let cell = course.analysis.cells.find(&fault.map_or("all".to_owned(), name)).unwrap_or(0);
         Play { site, fault, cold, course, now: 0, cell, began: None, hurt: 0.0, shown: ((0, 0), None) }
     }
 
@@ -197,13 +197,13 @@
     }
 
     fn seen(&self) -> (u64, u64) {
-        let duel = self.course.judge.duel(self.cell, Signal::Failed);
+        let duel = self.course.analysis.comparison(self.cell, Signal::Failed);
         (duel.old.of, duel.new.of)
     }
 
     fn mark(&mut self) {
-        let Some((_, rung)) = self.began else { return };
-        if self.shown.1.is_none() && self.course.rung() > rung + 1 {
+        let Some((_, step)) = self.began else { return };
+        if self.shown.1.is_none() && self.course.step() > step + 1 {
             self.shown.1 = Some(self.seen());
         }
     }
@@ -217,7 +217,7 @@
             let (new, old) = (all * share, all * (1.0 - share));
             let seen = if share > 0.0 { (OLD_FOR_NEW * new).min(old) } else { old.min(20.0) };
             let drawn = (NEW_FOR_OLD * seen).min(new);
-            // The long last rung is drawn thinner, both pools alike.
+            // The long last step is drawn thinner, both pools alike.
             let thin = if share > 0.9 { (WATCH_RATE * part / (drawn + seen)).min(1.0) } else { 1.0 };
             let weight = if drawn > 0.0 { new / (drawn * thin) } else { 1.0 };
             for (pool, number) in [(Pool::New, drawn * thin), (Pool::Old, seen * thin)] {
@@ -241,23 +241,23 @@
             .filter(|f| pool == Pool::New && self.now as f64 / 1e9 >= f.after && f.strikes(&asked, server));
         if let Some(fault) = fault {
             if self.began.is_none() {
-                self.began = Some((self.now, self.course.rung()));
+                self.began = Some((self.now, self.course.step()));
                 self.shown.0 = self.seen();
             }
             if draw.chance(fault.size) {
                 self.hurt += weight;
                 (end, took) = match fault.kind {
-                    Kind::Fails | Kind::Spoilt => (End::Failed, took),
-                    Kind::Hangs => (End::TimedOut, 800 * MS),
+                    Kind::Fails | Kind::Spoilt => (AttemptResult::Failed, took),
+                    Kind::Hangs => (AttemptResult::TimedOut, 800 * MS),
                     // Five times: past what nine in ten take, and for many past the aim.
                     Kind::Slow => (end, took * 5),
                 };
             }
         }
         let groups = [shire];
-        self.course.met(&Met {
+        self.course.record_attempt(&EndedAttempt {
             pool,
-            twice: false,
+            ambiguous: false,
             server: server as u32,
             class,
             zone: server % ZONES,
@@ -272,14 +272,14 @@
 
     fn told(self) -> Played {
         let undone = matches!(self.course.state(), State::Undone | State::Undoing);
-        let rung = self.course.rung();
+        let step = self.course.step();
         let last = self.course.changes().last();
-        let (from, began) = self.began.unwrap_or((self.now, rung));
+        let (from, began) = self.began.unwrap_or((self.now, step));
         let (before, after) = (self.shown.0, self.shown.1.unwrap_or_else(|| self.seen()));
         let shown = (after.0 - before.0, after.1 - before.1);
-        let rate = self.course.judge.duel(self.cell, Signal::Failed).old.rate();
+        let rate = self.course.analysis.comparison(self.cell, Signal::Failed).old.rate();
         let part = |n: u64| (OWED_PART * n as f64) as u64;
-        let least = self.course.judge.least_fault(self.cell, rate, (part(shown.0), part(shown.1)));
+        let least = self.course.analysis.detectable_fault(self.cell, rate, (part(shown.0), part(shown.1)));
         // What a slow answer shows is whether it was slow, which one in ten is anyway, and the same for late ones.
         let seen_size = |f: Fault| match f.kind {
             Kind::Slow => (f.size - 0.1).max(0.0) * 0.6,
@@ -296,7 +296,7 @@
         Played {
             undone,
             finished: *self.course.state() == State::Finished,
-            rungs: (rung, began),
+            rungs: (step, began),
             owed,
             shown: shown.1,
             seconds: (self.now - from) as f64 / 1e9,
@@ -308,7 +308,7 @@
 }
 
 impl Played {
-    /// The fault was found while the rung where it began or the next one was on.
+    /// The fault was found while the step where it began or the next one was on.
     pub fn in_two_steps(&self) -> bool {
         self.undone && self.rungs.0 <= self.rungs.1 + 1
     }
--- a/crates/simulation/src/shift/world.rs
+++ b/crates/simulation/src/shift/world.rs
@@ -10,9 +10,9 @@
     Settings,
 };
 use laurelroute_policy::Balancer;
-use laurelroute_shift::course::{Change, Course, State, Verb, Word};
-use laurelroute_shift::follow::{Follower, Told, LOOK};
-use laurelroute_shift::pool::Facts;
+use laurelroute_shift::controller::{ListedServer, ShiftController, EVALUATION_INTERVAL};
+use laurelroute_shift::pool::ServerLabels;
+use laurelroute_shift::rollout::{Change, Command, Rollout, State, Verb};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
@@ -126,7 +126,7 @@
     draw: Draw,
     now: Nanos,
     balancer: Balancer,
-    follower: Follower,
+    follower: ShiftController,
     boxes: Vec<SimBox>,
     servers: Vec<Server>,
     place: BTreeMap<Endpoint, usize>,
@@ -174,13 +174,13 @@
 /// Plays a world from a seed.
 pub fn play(world: &World, seed: u64) -> Outcome {
     let mut shift = settings();
-    shift.watch = world.watch;
+    shift.final_step_time = world.watch;
     // The model's own settings are sound.
-    let course = Course::new(shift).unwrap_or_else(|e| unreachable!("{e}"));
+    let course = Rollout::new(shift).unwrap_or_else(|e| unreachable!("{e}"));
     let tenants: Vec<String> = (0..SHIRES).map(|s| format!("shire-{s}")).collect();
     let settings = module();
     let mut run = Run {
-        follower: Follower::new(course, &settings, tenants.iter().map(String::as_str)),
+        follower: ShiftController::new(course, &settings, tenants.iter().map(String::as_str)),
         balancer: Balancer::new(settings, seed).unwrap_or_else(|e| unreachable!("{e}")),
         draw: Draw::new(seed, 17),
         world,
@@ -209,7 +209,7 @@
     };
     run.begin();
     run.go();
-    run.out.state = run.follower.course.state().clone();
+    run.out.state = run.follower.rollout.state().clone();
     run.out
 }
 
@@ -233,7 +233,7 @@
         self.list(ListKind::Full, 0..old);
         let start = self.now;
         self.at(start, What::Arrive);
-        self.at(start + LOOK, What::Look);
+        self.at(start + EVALUATION_INTERVAL, What::Look);
         if let Some(gone) = self.world.old_gone {
             self.at(start + gone, What::OldGone);
         }
@@ -245,13 +245,20 @@
         let names: Vec<String> =
             of.map(|k| if k < old { format!("old-{k}") } else { format!("new-{k}") }).collect();
         let nothing = BTreeMap::new();
-        let told = names.iter().zip(&servers).map(|(id, server)| Told {
-            facts: Facts { id, zone: "zone-0", kind: "", version: "", address: None, metadata: &nothing },
+        let told = names.iter().zip(&servers).map(|(id, server)| ListedServer {
+            labels: ServerLabels {
+                id,
+                zone: "zone-0",
+                kind: "",
+                version: "",
+                address: None,
+                metadata: &nothing,
+            },
             server: *server,
         });
-        self.follower.list(kind == ListKind::Full, told);
+        self.follower.update_list(kind == ListKind::Full, told);
         self.feed(Event::List { kind, servers });
-        if let Some(split) = self.follower.relisted() {
+        if let Some(split) = self.follower.split_after_list_update() {
             self.feed(Event::Split(split));
         }
     }
@@ -268,8 +275,9 @@
             if !told && at >= end - self.world.until + 5 * S {
                 told = true;
                 self.list(ListKind::Changes, old..self.boxes.len());
-                let word = Word { verb: Verb::Start, who: "model".into(), why: "play".into(), insist: false };
-                if let Ok(look) = self.follower.say(self.now, &word) {
+                let word =
+                    Command { verb: Verb::Start, who: "model".into(), why: "play".into(), insist: false };
+                if let Ok(look) = self.follower.apply_command(self.now, &word) {
                     self.told(look);
                 }
             }
@@ -286,7 +294,7 @@
         }
     }
 
-    fn told(&mut self, look: laurelroute_shift::follow::Look) {
+    fn told(&mut self, look: laurelroute_shift::controller::Evaluation) {
         if let Some(split) = look.split {
             self.feed(Event::Split(split));
         }
@@ -301,16 +309,17 @@
     }
 
     fn look(&mut self) {
-        let look = self.follower.look(self.now, false);
+        let look = self.follower.evaluate(self.now, false);
         self.told(look);
-        let course = &self.follower.course;
+        let course = &self.follower.rollout;
         let old = self.world.boxes.0;
         let warmth = self.boxes[old..].iter().map(|b| b.warmth(self.now, &COLD)).fold(1.0, f64::min);
-        let doubt = (0..course.judge.cells.len()).map(|c| course.judge.doubt(c)).fold(0.0, f64::max);
+        let doubt =
+            (0..course.analysis.cells.len()).map(|c| course.analysis.evidence_ratio(c)).fold(0.0, f64::max);
         let [came, in_aim, struck] = std::mem::take(&mut self.since);
         let shares = course.shares().to_vec();
         self.out.points.push(Point { at: self.now, shares, warmth, came, in_aim, struck, doubt });
-        self.at(self.now + LOOK, What::Look);
+        self.at(self.now + EVALUATION_INTERVAL, What::Look);
     }
 
     fn arrive(&mut self) {
@@ -327,8 +336,8 @@
         let tenant = self.draw.below(SHIRES) as u32;
         let give_up_at = self.now + GIVE_UP;
         let mut request = Request { class: class as u8, tenant, key, ..Request::new(id, give_up_at) };
-        request.split_position = self.follower.place(&request);
-        self.follower.came(&request);
+        request.split_position = self.follower.split_position(&request);
+        self.follower.request_received(&request);
         self.open.insert(id, Open { request, came: self.now, attempts: 0, ran: 0 });
         self.out.requests += 1;
         self.since[0] += 1;
@@ -358,7 +367,7 @@
         let (k, number) = (self.place[&server], open.attempts);
         open.attempts += 1;
         let request = open.request;
-        self.follower.sent(&request, server, usize::from(number));
+        self.follower.attempt_sent(&request, server, usize::from(number));
         let (old, now) = (self.world.boxes.0, self.now);
         if self.gone_at.is_some_and(|at| k < old && now > at + 250 * MS) {
             self.out.late_sends += 1;
@@ -393,7 +402,7 @@
 
     /// After an undo a session stays where it is: it has moved once to the new pool and once back.
     fn moved(&mut self, request: &Request, new: bool) {
-        let undone = matches!(self.follower.course.state(), State::Undone);
+        let undone = matches!(self.follower.rollout.state(), State::Undone);
         if undone && new && self.back.get(&request.key) == Some(&true) {
             self.out.moved_twice += 1;
         }
@@ -419,7 +428,7 @@
             return self.feed(event);
         };
         let (request, came, server, took) = (open.request, open.came, endpoint(k), self.now - sent);
-        self.follower.ended(&request, (server, usize::from(attempt)), (sent, took), ending);
+        self.follower.attempt_ended(&request, (server, usize::from(attempt)), (sent, took), ending);
         let finished = ending == AttemptOutcome::Ok;
         if finished {
             self.open.remove(&id);
--- a/crates/simulation/tests/shift.rs
+++ b/crates/simulation/tests/shift.rs
@@ -1,6 +1,6 @@
 //! Shifts to drawn new pools: sound, cold, faulty. Many more seeds: `rig shift --seeds N`.
 
-use laurelroute_shift::course::State;
+use laurelroute_shift::rollout::State;
 use laurelroute_simulation::draw::Draw;
 use laurelroute_simulation::shift::course::{play, New};
 use laurelroute_simulation::shift::world::{self, World};
