--- a/crates/membership/src/defect.rs
+++ b/crates/membership/src/defect.rs
@@ -1,25 +1,25 @@
-//! Defects that tests plant, to see that their checks find them. Without the feature `planted` none can be.
+//! Faults that tests inject to verify that their checks detect them. They need the feature `planted`.
 
-/// What is done wrong.
+/// A fault in the behaviour of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// Who has once been silent stays accused, whatever it says.
+    /// A member that was silent once stays suspected, whatever is received from it.
     NoRefutation,
-    /// One that was paused takes its own pause for others' silence.
+    /// A member that was paused takes the gap for a silence of the others.
     NoSelfDoubt,
-    /// A process that starts again has the incarnation that it had before.
+    /// A restarted process has the same incarnation as before.
     LifeComesBack,
-    /// A member takes its part by the members that it sees, lease or not.
+    /// A member computes its share from the number of members in its view, with or without a lease.
     SmallerCount,
 }
 
 impl Defect {
-    /// All of them.
+    /// All defects.
     pub const ALL: [Defect; 4] =
         [Defect::NoRefutation, Defect::NoSelfDoubt, Defect::LifeComesBack, Defect::SmallerCount];
 }
 
-/// The defect that is planted, if any, of those that a machine can have.
+/// The injected defect, if any.
 #[derive(Clone, Copy, Debug)]
 pub struct Planted<D = Defect>(Option<D>);
 
@@ -30,13 +30,13 @@
 }
 
 impl<D: PartialEq> Planted<D> {
-    /// This one.
+    /// Injects this defect.
     #[cfg(feature = "planted")]
     pub fn some(defect: D) -> Self {
         Planted(Some(defect))
     }
 
-    /// Whether it is this one.
+    /// Whether this defect is injected.
     pub fn is(&self, defect: D) -> bool {
         cfg!(feature = "planted") && self.0 == Some(defect)
     }
--- a/crates/membership/src/founding.rs
+++ b/crates/membership/src/founding.rs
@@ -1,120 +1,122 @@
-//! The first view: founded by all of the roster, or, where some never come, by more than half of it.
+//! Bootstrap of the first view: by all members of the roster, or by more than half of them if the others do not
+//! appear in time.
 
 use crate::view::{digest, quorum, MemberId};
 use crate::{Incarnation, Nanos, MS};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Who is in no view says so to this many at a time ...
-pub const CALLS: usize = 4;
-/// ... this often.
-pub const CALL_EVERY: Nanos = 250 * MS;
-/// All of the roster are waited for this long; then more than half of it do.
-pub const ALL_WITHIN: Nanos = 8_000 * MS;
-/// Who wants to found has been the same for so long.
-const STABLE: Nanos = 600 * MS;
+/// Number of members that a member without a view calls at a time.
+pub const MAX_CALLS: usize = 4;
+/// Interval between the calls of a member without a view.
+pub const CALL_INTERVAL: Nanos = 250 * MS;
+/// How long the bootstrap waits for all members of the roster; after that, more than half are enough.
+pub const FULL_ROSTER_TIMEOUT: Nanos = 8_000 * MS;
+/// The set of founders has to stay the same for this long.
+const STABLE_TIME: Nanos = 600 * MS;
 
-/// What a member without a view knows of others without one.
+/// The state of a member without a view.
 #[derive(Clone, Debug)]
-pub struct Founding {
-    began: Nanos,
+pub struct Bootstrap {
+    started_at: Nanos,
     others: BTreeMap<MemberId, (Nanos, Incarnation)>,
-    next: usize,
-    called: Option<Nanos>,
-    wanted: (u64, Nanos),
-    agreed: (u64, BTreeSet<MemberId>),
+    next_index: usize,
+    called_at: Option<Nanos>,
+    candidate: (u64, Nanos),
+    accepted: (u64, BTreeSet<MemberId>),
 }
 
-impl Founding {
-    /// From now on.
-    pub fn new(now: Nanos, start: usize) -> Founding {
-        Founding {
-            began: now,
+impl Bootstrap {
+    /// Starts the bootstrap. `start` is the index of the roster at which the calls begin.
+    pub fn new(now: Nanos, start: usize) -> Bootstrap {
+        Bootstrap {
+            started_at: now,
             others: BTreeMap::new(),
-            next: start,
-            called: None,
-            wanted: (0, now),
-            agreed: (0, BTreeSet::new()),
+            next_index: start,
+            called_at: None,
+            candidate: (0, now),
+            accepted: (0, BTreeSet::new()),
         }
     }
 
-    /// Another one is in no view.
-    pub fn hear(&mut self, now: Nanos, member: MemberId, incarnation: Incarnation) {
+    /// Records that another member is in no view.
+    pub fn record_unattached(&mut self, now: Nanos, member: MemberId, incarnation: Incarnation) {
         self.others.insert(member, (now, incarnation));
     }
 
-    /// Another one is in a view.
-    pub fn gone(&mut self, member: MemberId) {
+    /// Records that another member is in a view.
+    pub fn record_attached(&mut self, member: MemberId) {
         self.others.remove(&member);
     }
 
-    /// Whom to call now.
+    /// The members to call now.
     pub fn calls(&mut self, now: Nanos, me: MemberId, roster: usize) -> Vec<MemberId> {
-        if self.called.is_some_and(|at| now.saturating_sub(at) < CALL_EVERY) {
+        if self.called_at.is_some_and(|at| now.saturating_sub(at) < CALL_INTERVAL) {
             return Vec::new();
         }
-        self.called = Some(now);
-        let others = roster.saturating_sub(1).min(CALLS);
+        self.called_at = Some(now);
+        let others = roster.saturating_sub(1).min(MAX_CALLS);
         let mut calls = Vec::new();
         while calls.len() < others {
-            self.next = (self.next + 1) % roster;
-            if self.next != usize::from(me) {
-                calls.push(self.next as MemberId);
+            self.next_index = (self.next_index + 1) % roster;
+            if self.next_index != usize::from(me) {
+                calls.push(self.next_index as MemberId);
             }
         }
         calls
     }
 
-    /// All that are in no view now, this one too.
-    fn present(
+    /// All members that are currently in no view, this one included.
+    fn unattached(
         &self,
         now: Nanos,
         me: (MemberId, Incarnation),
         roster: usize,
     ) -> BTreeMap<MemberId, Incarnation> {
-        // All are called once in that time; one call may be lost.
-        let round = CALL_EVERY * roster.div_ceil(CALLS) as Nanos;
-        let counts = |at: Nanos| now.saturating_sub(at) < 2 * round + 1_000 * MS;
-        let others = self.others.iter().filter(|(_, (at, _))| counts(*at)).map(|(s, (_, l))| (*s, *l));
+        // Every member is called once within this time, and one call may be lost.
+        let round_time = CALL_INTERVAL * roster.div_ceil(MAX_CALLS) as Nanos;
+        let is_current = |at: Nanos| now.saturating_sub(at) < 2 * round_time + 1_000 * MS;
+        let others = self.others.iter().filter(|(_, (at, _))| is_current(*at)).map(|(s, (_, l))| (*s, *l));
         others.chain([me]).collect()
     }
 
-    /// Those who would found now, and their digest, where that may be.
+    /// The founders and their digest, if they are enough for a bootstrap now.
     fn founders(
         &self,
         now: Nanos,
         me: (MemberId, Incarnation),
         roster: usize,
     ) -> Option<(BTreeMap<MemberId, Incarnation>, u64)> {
-        let present = self.present(now, me, roster);
-        let seats: Vec<MemberId> = (0..roster as MemberId).collect();
-        let late = now.saturating_sub(self.began) >= ALL_WITHIN;
-        let enough = present.len() == roster || late && quorum(&seats, |s| present.contains_key(&s));
+        let unattached = self.unattached(now, me, roster);
+        let ids: Vec<MemberId> = (0..roster as MemberId).collect();
+        let timed_out = now.saturating_sub(self.started_at) >= FULL_ROSTER_TIMEOUT;
+        let enough =
+            unattached.len() == roster || timed_out && quorum(&ids, |s| unattached.contains_key(&s));
         enough.then(|| {
-            let digest = digest(&present);
-            (present, digest)
+            let digest = digest(&unattached);
+            (unattached, digest)
         })
     }
 
-    /// Whom to ask for a founding now, and its digest: only the first of the founders asks.
-    pub fn ask(
+    /// The members to send a proposal to, and its digest. Only the founder with the lowest ID proposes.
+    pub fn proposal(
         &mut self,
         now: Nanos,
         me: (MemberId, Incarnation),
         roster: usize,
     ) -> Option<(Vec<MemberId>, u64)> {
         let (founders, digest) = self.founders(now, me, roster)?;
-        if digest != self.wanted.0 {
-            self.wanted = (digest, now);
-            self.agreed = (digest, BTreeSet::from([me.0]));
+        if digest != self.candidate.0 {
+            self.candidate = (digest, now);
+            self.accepted = (digest, BTreeSet::from([me.0]));
         }
         let first = founders.keys().next() == Some(&me.0);
-        let stable = now.saturating_sub(self.wanted.1) >= STABLE;
-        let missing = founders.keys().copied().filter(|s| !self.agreed.1.contains(s));
-        (first && stable).then(|| (missing.take(2 * CALLS).collect(), digest))
+        let stable = now.saturating_sub(self.candidate.1) >= STABLE_TIME;
+        let missing = founders.keys().copied().filter(|s| !self.accepted.1.contains(s));
+        (first && stable).then(|| (missing.take(2 * MAX_CALLS).collect(), digest))
     }
 
-    /// Whether this one wants the same founding as the first of the founders, who asks.
-    pub fn agrees(
+    /// Whether this member has the same founders as the proposer, which has to be the first of them.
+    pub fn accepts(
         &self,
         now: Nanos,
         me: (MemberId, Incarnation),
@@ -123,11 +125,11 @@
         digest: u64,
     ) -> bool {
         let founders = self.founders(now, me, roster);
-        founders.is_some_and(|(f, own)| own == digest && f.keys().next() == Some(&from))
+        founders.is_some_and(|(f, own_digest)| own_digest == digest && f.keys().next() == Some(&from))
     }
 
-    /// One agrees; gives the founders once all do.
-    pub fn agreed(
+    /// Records an acceptance; returns the founders once all have accepted.
+    pub fn handle_accept(
         &mut self,
         now: Nanos,
         me: (MemberId, Incarnation),
@@ -135,11 +137,11 @@
         from: MemberId,
         digest: u64,
     ) -> Option<BTreeMap<MemberId, Incarnation>> {
-        if self.agreed.0 == digest {
-            self.agreed.1.insert(from);
+        if self.accepted.0 == digest {
+            self.accepted.1.insert(from);
         }
-        let (founders, own) = self.founders(now, me, roster)?;
-        let all = own == self.agreed.0 && founders.keys().all(|s| self.agreed.1.contains(s));
+        let (founders, own_digest) = self.founders(now, me, roster)?;
+        let all = own_digest == self.accepted.0 && founders.keys().all(|s| self.accepted.1.contains(s));
         all.then_some(founders)
     }
 }
--- a/crates/membership/src/lease.rs
+++ b/crates/membership/src/lease.rs
@@ -1,71 +1,72 @@
-//! Leases: how long a member may go on as one of its view without a word from the council.
+//! Leases: how long a member may rely on its view without a confirmation from the council.
 
 use crate::view::{quorum, MemberId};
 use crate::{Nanos, MS};
 use std::collections::BTreeMap;
 
-/// A view is in force at a member for so long from the moment at which a majority of its council last said so.
-pub const LEASE: Nanos = 2_000 * MS;
-/// What is split is left to those without a lease by this part, over the whole roster.
-pub const RESERVE: f64 = 0.08;
+/// A view is in force at a member for this long after a majority of its council confirmed it.
+pub const LEASE_DURATION: Nanos = 2_000 * MS;
+/// The part of the whole that is set aside for members without a lease, divided by the size of the roster.
+pub const UNLEASED_FRACTION: f64 = 0.08;
 
-/// What a member knows of its view being in force.
+/// A member's lease on its view.
 #[derive(Clone, Debug, Default)]
 pub struct Lease {
-    /// When it was so for sure.
-    from: Option<Nanos>,
-    /// On the council: when each other one was asked that has since said yes.
-    said: BTreeMap<MemberId, Nanos>,
-    /// Shares of earlier views hold until then, when the last that may not know has lost its lease.
-    settled: Nanos,
-    /// Part of the whole that this member had before.
-    before: Option<f64>,
+    /// The latest time at which the view was certainly in force.
+    confirmed_at: Option<Nanos>,
+    /// On a council member: the time of the latest request that each other council member has confirmed.
+    confirmations: BTreeMap<MemberId, Nanos>,
+    /// Until then, shares of earlier views may be in use: members that do not know of this view still hold a lease.
+    settles_at: Nanos,
+    /// This member's share before the view change.
+    previous_share: Option<f64>,
 }
 
 impl Lease {
-    /// For a new view that this member learns of now, where it had this share.
-    pub fn anew(now: Nanos, share: Option<f64>) -> Lease {
-        Lease { settled: now + LEASE, before: share, ..Lease::default() }
+    /// The lease on a view that is installed now, by a member that had this share before.
+    pub fn for_new_view(now: Nanos, share: Option<f64>) -> Lease {
+        Lease { settles_at: now + LEASE_DURATION, previous_share: share, ..Lease::default() }
     }
 
-    /// One of the council, asked at that time, has said that the view is in force.
-    pub fn confirmed(&mut self, by: MemberId, asked: Nanos) {
-        let at = self.said.entry(by).or_insert(asked);
-        *at = asked.max(*at);
+    /// Records that a council member confirmed the view in reply to a request sent at `asked`.
+    pub fn record_confirmation(&mut self, by: MemberId, requested_at: Nanos) {
+        let at = self.confirmations.entry(by).or_insert(requested_at);
+        *at = requested_at.max(*at);
     }
 
-    /// One of the council has it from a majority so long before it answered.
-    pub fn heard(&mut self, asked: Nanos, age: Nanos) {
-        let from = asked.saturating_sub(age);
-        self.from = Some(self.from.map_or(from, |f| f.max(from)));
+    /// Records a reply from a council member whose own confirmation by a majority was `age` old when it replied.
+    pub fn record_reply(&mut self, requested_at: Nanos, age: Nanos) {
+        let from = requested_at.saturating_sub(age);
+        self.confirmed_at = Some(self.confirmed_at.map_or(from, |f| f.max(from)));
     }
 
-    /// On the council: the latest moment at which a majority was asked that has since said yes.
+    /// On a council member: renews the lease from the latest time at which requests were sent that a majority has
+    /// confirmed.
     pub fn renew(&mut self, now: Nanos, me: MemberId, council: &[MemberId]) {
-        let at = |s: MemberId| if s == me { Some(now) } else { self.said.get(&s).copied() };
+        let at = |s: MemberId| if s == me { Some(now) } else { self.confirmations.get(&s).copied() };
         let mut moments: Vec<Nanos> = council.iter().filter_map(|s| at(*s)).collect();
         moments.sort_unstable();
         let enough = |t: &Nanos| quorum(council, |s| at(s).is_some_and(|a| a >= *t));
         if let Some(from) = moments.into_iter().rev().find(enough) {
-            self.from = Some(self.from.map_or(from, |f| f.max(from)));
+            self.confirmed_at = Some(self.confirmed_at.map_or(from, |f| f.max(from)));
         }
     }
 
-    /// How long ago it was so for sure, where that is not too long.
+    /// The age of the latest confirmation, if the lease has not expired.
     pub fn age(&self, now: Nanos) -> Option<Nanos> {
-        self.from.map(|from| now.saturating_sub(from)).filter(|age| *age < LEASE)
+        self.confirmed_at.map(|from| now.saturating_sub(from)).filter(|age| *age < LEASE_DURATION)
     }
 
-    /// The part of the whole that a member of a view of `members` out of a roster may use.
+    /// The share of the whole that a member may use, in a view of `members` out of a roster of `roster`.
     pub fn share(&self, now: Nanos, is_primary: bool, members: usize, roster: usize) -> f64 {
-        let alone = RESERVE / roster as f64;
+        let unleased = UNLEASED_FRACTION / roster as f64;
         if !is_primary || self.age(now).is_none() {
-            return alone;
+            return unleased;
         }
-        let mine = (1.0 - RESERVE) / members.max(1) as f64;
-        match now < self.settled {
-            true => mine.min(self.before.unwrap_or(alone)),
-            false => mine,
+        let leased = (1.0 - UNLEASED_FRACTION) / members.max(1) as f64;
+        match now < self.settles_at {
+            true => leased.min(self.previous_share.unwrap_or(unleased)),
+            false => leased,
         }
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,11 +1,12 @@
-//! Which nodes of an installation there are, agreed among them over datagrams that may be lost, late, doubled or reordered.
+//! Group membership: the nodes of an installation agree on their current members over datagrams that may be lost,
+//! delayed, duplicated or reordered.
 //!
-//! Each member is watched by a few others ([`watch`]). What they find goes to a council ([`council`]), which decides the next
-//! view as one cut by majority; every view with one number is the same wherever it is seen. What a member may use of
-//! something that is split among all ([`Machine::share`]) hangs on a lease from that council ([`lease`]): the sum over all
-//! members of all sides of any cut never exceeds the whole.
+//! Each member is observed by a few others ([`watch`]), which report suspected failures to a council ([`council`]).
+//! The council decides the next view by majority, as one cut; a view number stands for the same members on every
+//! node. The share of a common limit that a member may use ([`Machine::share`]) depends on a lease from the council
+//! ([`lease`]): the shares of all members, on all sides of any partition, never add up to more than the whole.
 //!
-//! Pure: datagrams, time and randomness go in, datagrams and changes come out.
+//! The crate does no I/O: the caller passes in datagrams, time and randomness, and carries out the outputs.
 
 pub mod council;
 pub mod defect;
@@ -19,17 +20,18 @@
 pub use machine::{Machine, Output, RejectReason};
 pub use view::{Cut, MemberId, Roster, RosterError, View};
 
-/// Time of a process's own monotonic clock, in nanoseconds.
+/// Time of the process's own monotonic clock, in nanoseconds.
 pub type Nanos = u64;
-/// One run of a process, drawn at its start: two of one name in a row are alike once in 2^32.
+/// Identifies one run of a process, drawn at its start. Two consecutive runs under one name have the same incarnation
+/// with a probability of 2^-32.
 pub type Incarnation = u32;
 
-/// A millisecond.
+/// One millisecond.
 pub const MS: Nanos = 1_000_000;
-/// [`Machine::tick`] is to be called this often.
+/// Interval at which [`Machine::tick`] has to be called.
 pub const TICK_INTERVAL: Nanos = 50 * MS;
 
-/// SplitMix64's finalizer (Steele, Lea and Flood, OOPSLA 2014): spreads a number over all bits.
+/// The finalizer of SplitMix64 (Steele, Lea and Flood, OOPSLA 2014): spreads a number over all bits.
 pub(crate) fn stable_hash(mut x: u64) -> u64 {
     x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/membership/src/watch.rs
+++ b/crates/membership/src/watch.rs
@@ -1,133 +1,139 @@
-//! Watching: whom this member hears of, whom it doubts, and when it doubts itself.
+//! Failure detection: when each member was last heard from, which members are suspected, and when this process was
+//! itself paused.
 
 use crate::defect::{Defect, Planted};
 use crate::view::MemberId;
 use crate::{Nanos, MS, TICK_INTERVAL};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A member says that it is there this often.
+/// Interval of the heartbeats to a member's observers.
 pub const HEARTBEAT_INTERVAL: Nanos = 250 * MS;
-/// Who has not been heard for so long is asked for by others, too ...
-pub const ASK_AFTER: Nanos = 800 * MS;
-/// ... this often ...
-pub const ASK_EVERY: Nanos = 300 * MS;
-/// ... and after this it is accused. All in time that the observer itself ran.
-pub const ACCUSE_AFTER: Nanos = 2_200 * MS;
-/// One who has not run for so long doubts itself: what it did not hear it may have missed.
-const PAUSED: Nanos = 500 * MS;
-/// One who hears nobody at all for so long does not accuse.
-const DEAF: Nanos = 1_000 * MS;
-/// Heard by itself this lately, a member is there whatever others say.
-const FRESH: Nanos = 1_200 * MS;
+/// A member that has been silent for this long is probed through others.
+pub const PROBE_AFTER: Nanos = 800 * MS;
+/// Interval of the indirect probes.
+pub const PROBE_INTERVAL: Nanos = 300 * MS;
+/// A member that has been silent for this long is suspected. Like the other silences, it is counted only in time in
+/// which the observer itself ran.
+pub const SUSPECT_AFTER: Nanos = 2_200 * MS;
+/// A process that has not run for this long was paused, and may have missed the others' datagrams.
+const PAUSE_THRESHOLD: Nanos = 500 * MS;
+/// A member that hears from no other for this long suspects nobody: its own connectivity is at fault.
+const ISOLATED_AFTER: Nanos = 1_000 * MS;
+/// A member that was heard directly within this time is alive, whatever others report.
+const FRESH_WITHIN: Nanos = 1_200 * MS;
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Subject {
-    /// In time that this process ran.
-    silent: Nanos,
-    asked: Nanos,
+struct Observed {
+    /// Time since the member was last heard from, counted only while this process ran.
+    silent_for: Nanos,
+    probed_at: Nanos,
 }
 
-/// What this member has heard.
+/// The state of the failure detector.
 #[derive(Clone, Debug, Default)]
-pub struct Watch {
-    subjects: BTreeMap<MemberId, Subject>,
-    /// When each member was heard itself.
-    heard: BTreeMap<MemberId, Nanos>,
-    ticked: Option<Nanos>,
-    /// Time that this process ran without hearing anybody.
-    deaf: Nanos,
-    /// It was paused: until then it believes nothing of others' silence.
-    doubts_until: Nanos,
-    /// Times that it was.
+pub struct FailureDetector {
+    observed: BTreeMap<MemberId, Observed>,
+    /// When each member was last heard from directly.
+    heard_at: BTreeMap<MemberId, Nanos>,
+    ticked_at: Option<Nanos>,
+    /// Time that this process ran without hearing from any other member.
+    isolated_for: Nanos,
+    /// End of the time after a pause in which nobody is suspected.
+    grace_until: Nanos,
+    /// Number of pauses.
     pauses: u64,
     planted: Planted,
 }
 
-impl Watch {
-    /// Does something wrong from now on, for tests.
+impl FailureDetector {
+    /// Injects a defect, for tests.
     pub fn plant(&mut self, planted: Planted) {
         self.planted = planted;
     }
 
-    /// Now watches these. Who was watched before stays as silent as it was.
-    pub fn over(&mut self, subjects: BTreeSet<MemberId>, members: impl Fn(MemberId) -> bool) {
-        let old = std::mem::take(&mut self.subjects);
-        self.subjects = subjects.into_iter().map(|s| (s, old.get(&s).copied().unwrap_or_default())).collect();
-        self.heard.retain(|s, _| members(*s));
+    /// Sets the members to observe. Those that were observed before keep their silence.
+    pub fn observe(&mut self, observed: BTreeSet<MemberId>, members: impl Fn(MemberId) -> bool) {
+        let previous = std::mem::take(&mut self.observed);
+        self.observed =
+            observed.into_iter().map(|s| (s, previous.get(&s).copied().unwrap_or_default())).collect();
+        self.heard_at.retain(|s, _| members(*s));
     }
 
-    /// A seat has a new holder.
+    /// Forgets a member's state: its ID belongs to a new incarnation.
     pub fn forget(&mut self, member: MemberId) {
-        self.subjects.entry(member).and_modify(|s| *s = Subject::default());
-        self.heard.remove(&member);
+        self.observed.entry(member).and_modify(|s| *s = Observed::default());
+        self.heard_at.remove(&member);
     }
 
-    /// A word from a member itself.
-    pub fn hear(&mut self, now: Nanos, member: MemberId) {
-        self.deaf = 0;
-        self.heard.insert(member, now);
-        self.hear_of(member);
+    /// Records a datagram from a member.
+    pub fn record_datagram(&mut self, now: Nanos, member: MemberId) {
+        self.isolated_for = 0;
+        self.heard_at.insert(member, now);
+        self.record_alive(member);
     }
 
-    /// Another one has heard it.
-    pub fn hear_of(&mut self, member: MemberId) {
-        let keeps = |s: &Subject| self.planted.is(Defect::NoRefutation) && s.silent >= ASK_AFTER;
-        self.subjects.entry(member).and_modify(|s| s.silent = if keeps(s) { s.silent } else { 0 });
+    /// Records that another member has heard from this one.
+    pub fn record_alive(&mut self, member: MemberId) {
+        let stays_silent =
+            |s: &Observed| self.planted.is(Defect::NoRefutation) && s.silent_for >= PROBE_AFTER;
+        self.observed
+            .entry(member)
+            .and_modify(|s| s.silent_for = if stays_silent(s) { s.silent_for } else { 0 });
     }
 
-    /// Heard itself just now.
-    pub fn fresh(&self, now: Nanos, member: MemberId) -> bool {
-        let accused = self.subjects.get(&member).is_some_and(|s| s.silent >= ACCUSE_AFTER);
-        if self.planted.is(Defect::NoRefutation) && accused {
+    /// Whether the member was heard from directly within the last [`FRESH_WITHIN`].
+    pub fn heard_recently(&self, now: Nanos, member: MemberId) -> bool {
+        let suspected = self.observed.get(&member).is_some_and(|s| s.silent_for >= SUSPECT_AFTER);
+        if self.planted.is(Defect::NoRefutation) && suspected {
             return false;
         }
-        self.heard.get(&member).is_some_and(|at| now.saturating_sub(*at) < FRESH)
+        self.heard_at.get(&member).is_some_and(|at| now.saturating_sub(*at) < FRESH_WITHIN)
     }
 
-    /// Whether this member would stand up for another one that is to be put out.
-    pub fn vouches(&self, now: Nanos, member: MemberId) -> bool {
-        !self.planted.is(Defect::NoRefutation) && self.fresh(now, member)
+    /// Whether this member objects to the removal of another one.
+    pub fn objects_to_removal(&self, now: Nanos, member: MemberId) -> bool {
+        !self.planted.is(Defect::NoRefutation) && self.heard_recently(now, member)
     }
 
-    /// Times that this process was itself paused.
+    /// Number of times that this process was paused.
     pub fn pause_count(&self) -> u64 {
         self.pauses
     }
 
-    /// Time goes by; gives those whom others should ask for.
+    /// Advances the time; returns the members to probe through others.
     pub fn tick(&mut self, now: Nanos) -> Vec<MemberId> {
-        let gap = now.saturating_sub(self.ticked.replace(now).unwrap_or(now));
-        let doubts = !self.planted.is(Defect::NoSelfDoubt);
-        if gap > PAUSED && doubts {
+        let gap = now.saturating_sub(self.ticked_at.replace(now).unwrap_or(now));
+        let detects_pauses = !self.planted.is(Defect::NoSelfDoubt);
+        if gap > PAUSE_THRESHOLD && detects_pauses {
             self.pauses += 1;
-            self.deaf = 0;
-            self.doubts_until = now + ASK_AFTER;
-            self.subjects.values_mut().for_each(|s| *s = Subject::default());
+            self.isolated_for = 0;
+            self.grace_until = now + PROBE_AFTER;
+            self.observed.values_mut().for_each(|s| *s = Observed::default());
         }
-        let ran = if doubts { gap.min(2 * TICK_INTERVAL) } else { gap };
-        self.deaf += if doubts { ran } else { 0 };
-        let mut ask = Vec::new();
-        for (member, subject) in &mut self.subjects {
-            subject.silent += ran;
-            if subject.silent >= ASK_AFTER && now.saturating_sub(subject.asked) >= ASK_EVERY {
-                subject.asked = now;
-                ask.push(*member);
+        let running_time = if detects_pauses { gap.min(2 * TICK_INTERVAL) } else { gap };
+        self.isolated_for += if detects_pauses { running_time } else { 0 };
+        let mut probe = Vec::new();
+        for (member, state) in &mut self.observed {
+            state.silent_for += running_time;
+            if state.silent_for >= PROBE_AFTER && now.saturating_sub(state.probed_at) >= PROBE_INTERVAL {
+                state.probed_at = now;
+                probe.push(*member);
             }
         }
-        ask
+        probe
     }
 
-    /// Whom it accuses.
-    pub fn accused(&self, now: Nanos) -> Vec<MemberId> {
-        if self.deaf >= DEAF || now < self.doubts_until {
+    /// The members that this one suspects.
+    pub fn suspects(&self, now: Nanos) -> Vec<MemberId> {
+        if self.isolated_for >= ISOLATED_AFTER || now < self.grace_until {
             return Vec::new();
         }
-        let silent = |(_, subject): &(&MemberId, &Subject)| subject.silent >= ACCUSE_AFTER;
-        self.subjects.iter().filter(silent).map(|(member, _)| *member).collect()
+        let silent = |(_, state): &(&MemberId, &Observed)| state.silent_for >= SUSPECT_AFTER;
+        self.observed.iter().filter(silent).map(|(member, _)| *member).collect()
     }
 
-    /// For people: how long each one that it watches has been silent.
+    /// For diagnostics: how long each observed member has been silent.
     pub fn silent_times(&self) -> impl Iterator<Item = (MemberId, Nanos)> + '_ {
-        self.subjects.iter().map(|(member, subject)| (*member, subject.silent))
+        self.observed.iter().map(|(member, state)| (*member, state.silent_for))
     }
 }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,37 +1,37 @@
-//! Datagrams: postcard, at most [`MAX_DATAGRAM_BYTES`] bytes.
+//! The datagram format: postcard, at most [`MAX_DATAGRAM_BYTES`] bytes.
 
 use crate::view::{Cut, MemberId, MemberSet};
 use serde::{Deserialize, Serialize};
 
-/// Bytes of a datagram at most, without what a carrier adds to tell that it is from one of us.
+/// Maximum size of a datagram in bytes, without the authentication that the transport adds.
 pub const MAX_DATAGRAM_BYTES: usize = 236;
-/// Raised when a program could not understand one of another version.
+/// Protocol version. It is raised when programs could not understand datagrams of the other version.
 pub const VERSION: u8 = 1;
-/// Members in one piece of a view.
+/// Number of members in one chunk of a view.
 pub const CHUNK_MEMBERS: usize = 25;
-/// Subjects in one accusation.
+/// Maximum number of members in one [`Body::Suspect`].
 pub const MAX_SUSPECTS: usize = 32;
 
-/// What stands in every datagram.
+/// The header of every datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
     /// [`VERSION`].
     pub version: u8,
-    /// The installation.
+    /// Hash of the site's name.
     pub site: [u8; 2],
-    /// The roster.
+    /// Digest of the roster.
     pub roster: [u8; 2],
-    /// The sender's seat.
+    /// The sender.
     pub from: MemberId,
-    /// Whom it is for.
+    /// The receiver.
     pub to: MemberId,
-    /// Its incarnation.
+    /// The sender's incarnation.
     pub incarnation: [u8; 4],
-    /// The sender's view and its lineage; 0 where it is in none.
+    /// The number of the sender's view; 0 if it is in none.
     pub view: u64,
-    /// As above.
+    /// The lineage of the sender's view.
     pub lineage: [u8; 2],
-    /// The sender's view is is_primary.
+    /// Whether the sender's view is primary.
     pub is_primary: bool,
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// What a council has accepted before: the ballot and the cut.
+/// What a council member has accepted before: the ballot and the cut.
 pub type Accepted = Option<(u32, Cut)>;
 
 /// A message from one member to another.
@@ -95,30 +95,30 @@
 /// A datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Datagram {
-    /// Who speaks.
+    /// The header.
     pub head: Head,
-    /// What is said.
+    /// The message.
     pub body: Body,
 }
 
 impl Datagram {
-    /// As bytes; `None` where it would be too long, which no bound above allows.
+    /// Encodes the datagram; `None` if it is too long, which the limits above exclude.
     pub fn encode(&self) -> Option<Vec<u8>> {
         encode(self)
     }
 
-    /// From bytes; `None` where they are none.
+    /// Decodes a datagram; `None` if it is malformed.
     pub fn decode(bytes: &[u8]) -> Option<Datagram> {
         decode(bytes)
     }
 }
 
-/// Something as a datagram's bytes; `None` where it would be too long.
+/// Encodes a value as a datagram; `None` if it is too long.
 pub fn encode<T: Serialize>(datagram: &T) -> Option<Vec<u8>> {
     postcard::to_allocvec(datagram).ok().filter(|bytes| bytes.len() <= MAX_DATAGRAM_BYTES)
 }
 
-/// What a datagram's bytes say; `None` where they are too long, or nothing of the kind.
+/// Decodes a datagram; `None` if it is too long or malformed.
 pub fn decode<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Option<T> {
     (bytes.len() <= MAX_DATAGRAM_BYTES).then(|| postcard::from_bytes(bytes).ok()).flatten()
 }
