--- a/crates/membership/src/founding.rs
+++ b/crates/membership/src/founding.rs
@@ -89,8 +89,7 @@
         let unattached = self.unattached(now, me, roster);
         let ids: Vec<MemberId> = (0..roster as MemberId).collect();
         let timed_out = now.saturating_sub(self.started_at) >= FULL_ROSTER_TIMEOUT;
-        let enough =
-            unattached.len() == roster || timed_out && quorum(&ids, |s| unattached.contains_key(&s));
+        let enough = unattached.len() == roster || timed_out && quorum(&ids, |s| unattached.contains_key(&s));
         enough.then(|| {
             let digest = digest(&unattached);
             (unattached, digest)
--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -624,7 +624,9 @@
         match body {
             Body::ProbeRequest(subject) => self.send(now, subject, Body::Probe(at)),
             Body::Probe(requester) => self.send(now, at, Body::ProbeAck(requester)),
-            Body::ProbeAck(requester) => self.send(now, requester, Body::ProbeResult(at, incarnation.to_le_bytes())),
+            Body::ProbeAck(requester) => {
+                self.send(now, requester, Body::ProbeResult(at, incarnation.to_le_bytes()))
+            }
             Body::ProbeResult(member, incarnation) => {
                 if self
                     .view
--- a/crates/replica/src/defect.rs
+++ b/crates/replica/src/defect.rs
@@ -1,23 +1,23 @@
-//! Defects that tests plant, to see that their checks find them. Without the feature `planted` none can be.
+//! Faults that tests inject to verify that their checks detect them. They need the feature `planted`.
 
-/// What is done wrong.
+/// A fault in the behaviour of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// Of two words on a server the later one by the wall clock stands.
+    /// Of two changes to a server's ban, the later one by the wall clock wins.
     WallClock,
-    /// A server that was put back is forgotten as soon as the neighbours know of it.
+    /// An unban is removed as soon as the neighbours have it.
     ForgetsEarly,
-    /// A process that starts writes as the one before it did, from the beginning.
+    /// A restarted process reuses its predecessor's writer and starts again at the first number.
     SecondWriter,
-    /// A copy counts as caught up before any neighbour has said so.
+    /// A replica reports that it has caught up before any neighbour has confirmed it.
     ReadyEarly,
 }
 
 impl Defect {
-    /// All of them.
+    /// All defects.
     pub const ALL: [Defect; 4] =
         [Defect::WallClock, Defect::ForgetsEarly, Defect::SecondWriter, Defect::ReadyEarly];
 }
 
-/// The defect that is planted, if any.
+/// The injected defect, if any.
 pub type Planted = laurelroute_membership::defect::Planted<Defect>;
--- a/crates/replica/src/entry.rs
+++ b/crates/replica/src/entry.rs
@@ -1,33 +1,33 @@
-//! Entries and, by kind, the rule for copies that differ. Every rule is a join: two copies give the same third one whichever
-//! comes first, and meeting again changes nothing (Shapiro et al., "Conflict-free replicated data types", 2011).
+//! Entries and the merge rule of each kind. Every rule is a join of a semilattice: merges are commutative,
+//! associative and idempotent (Shapiro et al., "Conflict-free replicated data types", 2011).
 
 use laurelroute_membership::{Incarnation, MemberId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Bytes of a server's name at most.
+/// Maximum length of a server's name in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
-/// Words on one server that did not know of each other, and incarnations that have ever spoken on it.
+/// Maximum number of concurrent changes to one server, and of writers that have ever changed it.
 pub const MAX_WRITERS: usize = 128;
 
-/// What an entry is about. Sorted by urgency.
+/// Identifies an entry. The order is that of urgency: bans are sent first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Key {
-    /// Staff have taken a server out of use, or put it back.
+    /// Whether an operator has banned a server.
     Ban(String),
-    /// Discovery says that a server drains or has left.
+    /// Whether discovery lists a server as draining or no longer lists it.
     Drain(String),
 }
 
 impl Key {
-    /// The server.
+    /// The server's name.
     pub fn host(&self) -> &str {
         match self {
             Key::Ban(host) | Key::Drain(host) => host,
         }
     }
 
-    /// The kind, for people.
+    /// The kind of entry, for diagnostics.
     pub fn kind(&self) -> &'static str {
         match self {
             Key::Ban(_) => "ban",
@@ -35,13 +35,13 @@
         }
     }
 
-    /// Not longer than any.
+    /// Whether the name has a permitted length.
     pub fn is_valid(&self) -> bool {
         (1..=MAX_NAME_BYTES).contains(&self.host().len())
     }
 }
 
-/// Who writes: one run of one member's process.
+/// A writer: one run of one member's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Writer {
     /// The member.
@@ -50,114 +50,117 @@
     pub incarnation: Incarnation,
 }
 
-/// One word of one writer; a writer numbers its words.
+/// Identifies a change: a writer and its consecutive number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Dot {
-    /// Who.
+    /// The writer.
     pub writer: Writer,
-    /// Which.
+    /// The number of the change.
     pub number: u64,
 }
 
-/// Staff's word on a server.
+/// An operator's ban or unban of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BanChange {
-    /// Whose, and which.
+    /// Identifies the change.
     pub dot: Dot,
-    /// Out of use, or back in use.
+    /// Whether the server is banned, rather than unbanned.
     pub banned: bool,
-    /// When it was said by the speaker's clock, in nanoseconds since the Unix epoch: for people. Nothing is ordered by it.
+    /// When the change was made, by the writer's clock, in nanoseconds since the Unix epoch. For diagnostics only:
+    /// nothing is ordered by it.
     pub changed_at: u64,
 }
 
-/// All words on one server that nobody has answered yet, and which words were ever known.
+/// The changes to one server's ban that no later one has replaced, and a version vector of all changes seen.
 ///
-/// A dotted version vector set (Preguica et al., "Dotted version vectors", 2012): a word replaces those that its speaker knew
-/// of. Words that did not know of each other stand side by side, and a ban among them wins.
+/// This is a dotted version vector set (Preguica et al., "Dotted version vectors", 2012): a change replaces those
+/// that its writer had seen. Concurrent changes are kept side by side, and a ban among them wins.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Bans {
     changes: Vec<BanChange>,
-    known: BTreeMap<Writer, u64>,
+    seen: BTreeMap<Writer, u64>,
 }
 
 impl Bans {
-    /// A word that answers all that are known here.
+    /// Applies a change that replaces all current ones.
     pub fn apply(&mut self, change: BanChange) {
         self.changes = vec![change];
-        self.known.insert(change.dot.writer, change.dot.number);
+        self.seen.insert(change.dot.writer, change.dot.number);
     }
 
-    /// Whether the server is out of use: where any word that stands says so.
+    /// Whether the server is banned: whether any current change is a ban.
     pub fn is_banned(&self) -> bool {
-        self.changes.iter().any(|w| w.banned)
+        self.changes.iter().any(|c| c.banned)
     }
 
-    /// The words that stand.
+    /// The current changes.
     pub fn changes(&self) -> &[BanChange] {
         &self.changes
     }
 
-    /// The last word of each incarnation that has ever spoken on it, as far as is known here.
+    /// The version vector: the number of the last change seen of each writer.
     pub fn version_vector(&self) -> impl Iterator<Item = Dot> + '_ {
-        self.known.iter().map(|(writer, number)| Dot { writer: *writer, number: *number })
+        self.seen.iter().map(|(writer, number)| Dot { writer: *writer, number: *number })
     }
 
-    /// Whether a word was ever known here.
+    /// Whether a change has been seen, even if it was replaced since.
     pub fn has_seen(&self, dot: Dot) -> bool {
-        self.known.get(&dot.writer).is_some_and(|n| *n >= dot.number)
+        self.seen.get(&dot.writer).is_some_and(|n| *n >= dot.number)
     }
 
-    /// A word to put the server back that stands beside a ban, and so does nothing.
+    /// An unban that has no effect because of a concurrent ban.
     pub fn overridden_unban(&self) -> Option<&BanChange> {
-        self.changes.iter().find(|w| !w.banned).filter(|_| self.is_banned())
+        self.changes.iter().find(|c| !c.banned).filter(|_| self.is_banned())
     }
 
     fn merge(&mut self, other: &Bans) {
-        let stays =
-            |w: &BanChange, at: &Bans| !at.has_seen(w.dot) || at.changes.iter().any(|o| o.dot == w.dot);
-        let mut changes: Vec<BanChange> = self.changes.iter().filter(|w| stays(w, other)).copied().collect();
-        changes.extend(other.changes.iter().filter(|w| !self.has_seen(w.dot)).copied());
-        changes.sort_unstable_by_key(|w| w.dot);
+        let is_current = |c: &BanChange, other: &Bans| {
+            !other.has_seen(c.dot) || other.changes.iter().any(|o| o.dot == c.dot)
+        };
+        let mut changes: Vec<BanChange> =
+            self.changes.iter().filter(|c| is_current(c, other)).copied().collect();
+        changes.extend(other.changes.iter().filter(|c| !self.has_seen(c.dot)).copied());
+        changes.sort_unstable_by_key(|c| c.dot);
         self.changes = changes;
-        for (writer, number) in &other.known {
-            let known = self.known.entry(*writer).or_insert(0);
-            *known = *number.max(known);
+        for (writer, number) in &other.seen {
+            let seen = self.seen.entry(*writer).or_insert(0);
+            *seen = *number.max(seen);
         }
     }
 
-    /// For tests: what a later-by-the-clock rule would make of it.
+    /// Keeps only the latest change by the wall clock ([`Defect::WallClock`](crate::defect::Defect::WallClock)).
     fn newest_by_clock(&mut self) {
-        self.changes.sort_unstable_by_key(|w| (w.changed_at, w.dot));
+        self.changes.sort_unstable_by_key(|c| (c.changed_at, c.dot));
         self.changes.drain(..self.changes.len().saturating_sub(1));
     }
 
     fn is_valid(&self) -> bool {
         self.changes.len() <= MAX_WRITERS
-            && self.known.len() <= MAX_WRITERS
-            && self.changes.iter().all(|w| self.has_seen(w.dot))
+            && self.seen.len() <= MAX_WRITERS
+            && self.changes.iter().all(|c| self.has_seen(c.dot))
     }
 }
 
-/// What the list of servers says of one, by its version: the later version counts, and within one that it drains.
+/// A server's status on the discovery list. The later version of the list wins; within one version, draining wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Drain {
-    /// The list's version.
+    /// The version of the list.
     pub version: u64,
-    /// It drains, or has left.
+    /// Whether the server drains, or is no longer listed.
     pub drained: bool,
 }
 
-/// An entry.
+/// The value of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
-    /// Under [`Key::Ban`].
+    /// Belongs to a [`Key::Ban`].
     Bans(Bans),
-    /// Under [`Key::Drain`].
+    /// Belongs to a [`Key::Drain`].
     Drain(Drain),
 }
 
 impl Entry {
-    /// Whether it may stand under that key, and is not larger than any.
+    /// Whether the value matches the kind of the key and is within the limits.
     pub fn is_valid_for(&self, key: &Key) -> bool {
         match (self, key) {
             (Entry::Bans(bans), Key::Ban(_)) => bans.is_valid(),
@@ -166,7 +169,7 @@
         }
     }
 
-    /// Takes in another copy; whether that changed anything.
+    /// Merges another copy; returns whether this one changed.
     pub fn merge(&mut self, other: &Entry, newest_by_clock: bool) -> bool {
         let before = self.clone();
         match (&mut *self, other) {
@@ -182,7 +185,7 @@
         *self != before
     }
 
-    /// Whether the server is out of use by it.
+    /// Whether the entry takes the server out of use.
     pub fn excludes_server(&self) -> bool {
         match self {
             Entry::Bans(bans) => bans.is_banned(),
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -1,11 +1,13 @@
-//! What all nodes of a fleet know alike, each having its own copy of all of it.
+//! State that is replicated on all nodes of a fleet.
 //!
-//! An entry of each kind has a rule for copies that differ ([`entry`]), the same whatever the order, and however often two
-//! meet. [`store`] holds a node's copy and tells it from another one by digests. [`machine`] brings what changes to the
-//! neighbours in the view of the members, asks who lacks what, and says when this copy has caught up. [`disk`] is a copy in
-//! a file. [`snapshot`] is what a member that starts with nothing asks a neighbour for.
+//! Each kind of entry has a merge rule for differing copies ([`entry`]) whose result depends neither on the order of
+//! the merges nor on their number. [`store`] holds a node's copy and compares it with others by digests. [`machine`]
+//! sends changes to the neighbours in the membership view, answers which members hold an entry, and reports when this
+//! replica has caught up. [`disk`] is the file format of a copy. [`snapshot`] transfers the learned state of a
+//! neighbour to a member that starts without any.
 //!
-//! Pure: datagrams, words and time go in, datagrams and changes come out. A datagram may be lost, late, doubled or overtaken.
+//! The crate does no I/O: the caller passes in datagrams, changes and time, and handles the outputs. Datagrams may be
+//! lost, delayed, duplicated or reordered.
 
 pub mod defect;
 pub mod disk;
@@ -21,7 +23,7 @@
 pub use snapshot::{FleetAverages, LearnedSnapshot, ServerRow};
 pub use store::Store;
 
-/// FNV-1a (RFC 9923), for digests that only have to tell copies apart.
+/// FNV-1a (RFC 9923), for digests that only have to distinguish copies.
 pub(crate) fn digest(bytes: &[u8]) -> u64 {
     bytes
         .iter()
--- a/crates/replica/src/machine.rs
+++ b/crates/replica/src/machine.rs
@@ -1,23 +1,24 @@
-//! One node's replica: datagrams, words and time in, datagrams and changes out.
+//! The state machine of one node's replica: takes datagrams, changes and time, returns datagrams and events.
 
 use crate::defect::{Defect, Planted};
 use crate::entry::{BanChange, Bans, Dot, Drain, Entry, Key, Writer, MAX_NAME_BYTES};
 use crate::link::Link;
 use crate::snapshot::{FetchStep, LearnedSnapshot, SnapshotFetcher};
 use crate::store::{CapacityError, Store};
-use crate::wire::{items, Body, Datagram, Head, Item, VERSION};
+use crate::wire::{decode_items, Body, Datagram, Head, Item, VERSION};
 use laurelroute_membership::{Incarnation, MemberId, Nanos, Roster, View, MS};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Neighbours tell each other this often that nothing has changed.
-const ROOT: Nanos = 1_000 * MS;
-/// Where no neighbour says that it has caught up itself, all of them have to have said what they have, so long after the
-/// first view: by then word of one that has would have come from further away.
-const GRACE: Nanos = 1_500 * MS;
-/// Bytes a second that go to all neighbours together, whatever their number ...
-pub const RATE: u64 = 64 * 1024;
-/// ... and at once.
-const BURST: u64 = 32 * 1024;
+/// Interval at which idle neighbours exchange root digests.
+const ROOT_DIGEST_INTERVAL: Nanos = 1_000 * MS;
+/// If no neighbour reports that it has caught up, this replica counts as caught up once all neighbours have sent
+/// their entries and this time has passed since its first view: by then, news from a member that has caught up would
+/// have arrived even from further away.
+const CATCH_UP_TIMEOUT: Nanos = 1_500 * MS;
+/// Rate limit in bytes per second for all neighbours together, whatever their number.
+pub const BYTES_PER_SECOND: u64 = 64 * 1024;
+/// Burst of the rate limit, in bytes.
+const BURST_BYTES: u64 = 32 * 1024;
 
 /// Why a ban or an unban is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -54,60 +55,60 @@
     SnapshotReceived(MemberId, LearnedSnapshot),
 }
 
-/// A replica.
+/// The state machine of a replica.
 #[derive(Debug)]
 pub struct Machine {
     site: u16,
     tag: u16,
     me: MemberId,
     writer: Writer,
-    number: u64,
-    /// The incarnation that the view has for this member.
+    last_change: u64,
+    /// This member's incarnation in the current view.
     incarnation: Incarnation,
     members: BTreeMap<MemberId, Incarnation>,
     links: BTreeMap<MemberId, Link>,
     store: Store,
     caught_up: bool,
-    /// Since when it is in a view.
-    since: Option<Nanos>,
+    /// Since when this member has been in a view.
+    joined_at: Option<Nanos>,
     root_sent_at: Option<Nanos>,
-    allowance: (Nanos, u64),
-    /// Batches that went to anybody: a link that is made anew goes on from there.
-    batches: u32,
-    /// As long as it wants to learn from others.
+    send_budget: (Nanos, u64),
+    /// Number of batches sent to any neighbour; a link that is created anew continues the numbering.
+    batches_sent: u32,
+    /// Present while a snapshot is wanted.
     fetcher: Option<SnapshotFetcher>,
-    /// Words of its own that were told of as lost.
-    lost: BTreeSet<Dot>,
+    /// This member's unbans that have been reported as overridden.
+    reported_unbans: BTreeSet<Dot>,
     planted: Planted,
-    out: Vec<Output>,
+    outputs: Vec<Output>,
 }
 
 impl Machine {
-    /// A member's replica, with a incarnation of its own that tells its words from those of former runs.
+    /// Creates the replica of a member. The incarnation distinguishes its changes from those of earlier runs.
     pub fn new(site: &str, roster: &Roster, me: MemberId, incarnation: Incarnation) -> Machine {
         Machine {
             site: laurelroute_membership::view::stable_text_hash(site) as u16,
             tag: roster.tag(),
             me,
             writer: Writer { member: me, incarnation },
-            number: 0,
+            last_change: 0,
             incarnation,
             members: BTreeMap::new(),
             links: BTreeMap::new(),
             store: Store::default(),
             caught_up: false,
-            since: None,
+            joined_at: None,
             root_sent_at: None,
-            allowance: (0, BURST),
-            batches: 0,
+            send_budget: (0, BURST_BYTES),
+            batches_sent: 0,
             fetcher: None,
-            lost: BTreeSet::new(),
+            reported_unbans: BTreeSet::new(),
             planted: Planted::default(),
-            out: Vec::new(),
+            outputs: Vec::new(),
         }
     }
 
-    /// Does something wrong from now on, for tests.
+    /// Injects a defect, for tests.
     pub fn plant(&mut self, planted: Planted) {
         self.planted = planted;
         if planted.is(Defect::SecondWriter) {
@@ -115,53 +116,58 @@
         }
     }
 
-    /// This copy.
+    /// This member's store.
     pub fn store(&self) -> &Store {
         &self.store
     }
 
-    /// Whether a neighbour has said that this copy has all that it has.
+    /// Whether this replica has caught up with its neighbours.
     pub fn caught_up(&self) -> bool {
         self.caught_up
     }
 
-    /// Takes in a copy that was kept by a former run, before anything else. What it has wrong the neighbours know better.
+    /// Merges the entries that an earlier run stored, before anything else. Outdated ones are corrected by the
+    /// neighbours.
     pub fn restore(&mut self, entries: Vec<(Key, Entry)>) -> Vec<Output> {
-        entries.into_iter().for_each(|(key, entry)| self.take(None, key, entry));
-        std::mem::take(&mut self.out)
+        entries.into_iter().for_each(|(key, entry)| self.merge(None, key, entry));
+        std::mem::take(&mut self.outputs)
     }
 
-    /// A view of the members has come into force here; this member has that incarnation in it.
+    /// Applies a new view, in which this member has this incarnation.
     pub fn apply_view(&mut self, now: Nanos, view: &View, incarnation: Incarnation) -> Vec<Output> {
         self.incarnation = incarnation;
-        self.since.get_or_insert(now);
+        self.joined_at.get_or_insert(now);
         self.members.clone_from(&view.members);
         let observers = view.observers();
-        let near = |member: MemberId| {
+        let is_neighbour = |member: MemberId| {
             observers.get(&self.me).is_some_and(|o| o.contains(&member))
                 || observers.get(&member).is_some_and(|o| o.contains(&self.me))
         };
-        let wanted: BTreeMap<MemberId, Incarnation> =
-            view.members.iter().filter(|(s, _)| **s != self.me && near(**s)).map(|(s, l)| (*s, *l)).collect();
+        let wanted: BTreeMap<MemberId, Incarnation> = view
+            .members
+            .iter()
+            .filter(|(s, _)| **s != self.me && is_neighbour(**s))
+            .map(|(s, l)| (*s, *l))
+            .collect();
         self.links.retain(|member, link| wanted.get(member) == Some(&link.incarnation));
         for (member, incarnation) in wanted {
             self.links.entry(member).or_insert_with(|| Link::new(incarnation));
         }
         if self.links.is_empty() || self.planted.is(Defect::ReadyEarly) {
-            self.catch_up();
+            self.set_caught_up();
         }
         self.flush(now);
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
-    /// In no view there is nobody to speak to.
+    /// Leaves the view: there are no members to communicate with.
     pub fn leave(&mut self) {
         self.links.clear();
         self.members.clear();
-        self.since = None;
+        self.joined_at = None;
     }
 
-    /// Staff's word on a server, said here.
+    /// Bans or unbans a server, on behalf of an operator at this member.
     pub fn set_ban(
         &mut self,
         now: Nanos,
@@ -172,74 +178,77 @@
         if !(1..=MAX_NAME_BYTES).contains(&host.len()) {
             return Err(BanError::InvalidName);
         }
-        let number = self.number + 1;
+        let number = self.last_change + 1;
         let key = self
             .store
             .set_ban(host, BanChange { dot: Dot { writer: self.writer, number }, banned, changed_at })?;
-        self.number = number;
-        self.changed(None, key);
+        self.last_change = number;
+        self.spread_change(None, key);
         self.flush(now);
-        Ok(std::mem::take(&mut self.out))
+        Ok(std::mem::take(&mut self.outputs))
     }
 
-    /// What a list of that version says of a server.
+    /// Updates a server's status from a version of the discovery list.
     pub fn update_drain(&mut self, now: Nanos, host: &str, drain: Drain) -> Vec<Output> {
         let key = Key::Drain(host.to_owned());
         let known = self.store.drain(host);
-        // One that has never drained is no news, nor is what is known.
-        let news = known.map_or(drain.drained, |k| k.drained != drain.drained && drain.version >= k.version);
-        if key.is_valid() && news {
-            self.take(None, key, Entry::Drain(drain));
+        // A server that has never drained, or whose status is known, is no change.
+        let is_change =
+            known.map_or(drain.drained, |k| k.drained != drain.drained && drain.version >= k.version);
+        if key.is_valid() && is_change {
+            self.merge(None, key, Entry::Drain(drain));
             self.flush(now);
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
-    /// Members that are known to have an entry as it is here.
+    /// Number of neighbours that are known to have an entry as it is here.
     pub fn holder_count(&self, key: &Key) -> usize {
         self.links.values().filter(|link| link.has(key)).count()
     }
 
-    /// Asks all members whether they have an entry as it is here; they answer under that number.
+    /// Asks all members whether they have an entry as it is here; the replies carry this number.
     pub fn query_holders(&mut self, number: u32, key: &Key) -> Vec<Output> {
-        let mark = self.store.entry_digest(key);
+        let digest = self.store.entry_digest(key);
         let others: Vec<MemberId> = self.members.keys().copied().filter(|s| *s != self.me).collect();
-        others.into_iter().for_each(|member| self.send(member, Body::EntryQuery(number, key.clone(), mark)));
-        std::mem::take(&mut self.out)
+        others
+            .into_iter()
+            .for_each(|member| self.send(member, Body::EntryQuery(number, key.clone(), digest)));
+        std::mem::take(&mut self.outputs)
     }
 
-    /// This member starts with nothing, and asks others what they have learnt.
+    /// Starts to fetch the learned state of another member.
     pub fn request_snapshot(&mut self) {
         self.fetcher = Some(SnapshotFetcher::default());
     }
 
-    /// Tells a member that has asked what this one has learnt, from that row on; as far as the allowance goes, and it asks
-    /// again.
+    /// Sends the rows of a snapshot from `first` on to a member that requested them, as far as the rate limit allows;
+    /// the member requests the rest again.
     pub fn send_snapshot(&mut self, to: MemberId, snapshot: &LearnedSnapshot, first: u32) -> Vec<Output> {
-        for piece in snapshot.pieces(first) {
-            if self.allowance.1 == 0 {
+        for message in snapshot.messages(first) {
+            if self.send_budget.1 == 0 {
                 break;
             }
-            self.send(to, piece);
+            self.send(to, message);
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
-    fn study(&mut self, step: FetchStep) {
+    fn fetch_step(&mut self, step: FetchStep) {
         match step {
-            FetchStep::Request(member, question) => self.send(member, question),
+            FetchStep::Request(member, request) => self.send(member, request),
             FetchStep::Wait => {}
             FetchStep::Complete(member, snapshot) => {
                 self.fetcher = None;
-                self.out.push(Output::SnapshotReceived(member, snapshot));
+                self.outputs.push(Output::SnapshotReceived(member, snapshot));
             }
             FetchStep::GaveUp => self.fetcher = None,
         }
     }
 
-    fn catch_up(&mut self) {
+    fn set_caught_up(&mut self) {
         if !std::mem::replace(&mut self.caught_up, true) {
-            self.out.push(Output::CaughtUp);
+            self.outputs.push(Output::CaughtUp);
         }
     }
 
@@ -255,175 +264,178 @@
             to_incarnation: to_incarnation.to_le_bytes(),
         };
         if let Some(bytes) = (Datagram { head, body }).encode() {
-            self.allowance.1 = self.allowance.1.saturating_sub(bytes.len() as u64);
-            self.out.push(Output::Send(to, bytes));
+            self.send_budget.1 = self.send_budget.1.saturating_sub(bytes.len() as u64);
+            self.outputs.push(Output::Send(to, bytes));
         }
     }
 
-    /// An entry has changed: all neighbours but the one that it came from have to hear of it.
-    fn changed(&mut self, from: Option<MemberId>, key: Key) {
+    /// Marks a changed entry to be sent to all neighbours except the one that it came from, and reports it.
+    fn spread_change(&mut self, from: Option<MemberId>, key: Key) {
         self.links
             .iter_mut()
             .filter(|(member, _)| Some(**member) != from)
-            .for_each(|(_, link)| link.owe(&key));
-        let lost = match self.store.get(&key) {
+            .for_each(|(_, link)| link.mark_pending(&key));
+        let overridden = match self.store.get(&key) {
             Some(Entry::Bans(bans)) => {
-                bans.overridden_unban().map(|w| w.dot).filter(|d| d.writer == self.writer)
+                bans.overridden_unban().map(|c| c.dot).filter(|d| d.writer == self.writer)
             }
             _ => None,
         };
-        if lost.is_some_and(|dot| self.lost.insert(dot)) {
-            self.out.push(Output::UnbanOverridden(key.clone()));
+        if overridden.is_some_and(|dot| self.reported_unbans.insert(dot)) {
+            self.outputs.push(Output::UnbanOverridden(key.clone()));
         }
-        self.out.push(Output::Changed(key));
+        self.outputs.push(Output::Changed(key));
     }
 
-    fn take(&mut self, from: Option<MemberId>, key: Key, entry: Entry) {
+    fn merge(&mut self, from: Option<MemberId>, key: Key, entry: Entry) {
         if !key.is_valid() || !entry.is_valid_for(&key) {
             return;
         }
         match self.store.merge(&key, entry, self.planted.is(Defect::WallClock)) {
-            Ok(taken) => {
+            Ok(merged) => {
                 if let Some(link) = from.and_then(|member| self.links.get_mut(&member)) {
-                    if taken.has_more {
-                        link.owe(&key)
+                    if merged.has_more {
+                        link.mark_pending(&key)
                     } else {
-                        link.settle(&key)
+                        link.mark_settled(&key)
                     }
                 }
-                if taken.changed {
-                    self.changed(from, key);
+                if merged.changed {
+                    self.spread_change(from, key);
                 }
             }
-            Err(CapacityError::TooManyEntries) => self.out.push(Output::StoreFull(key)),
+            Err(CapacityError::TooManyEntries) => self.outputs.push(Output::StoreFull(key)),
         }
     }
 
-    /// To be called each [`laurelroute_membership::TICK_INTERVAL`].
+    /// Advances the time. Has to be called every [`laurelroute_membership::TICK_INTERVAL`].
     pub fn tick(&mut self, now: Nanos) -> Vec<Output> {
-        if self.root_sent_at.is_none_or(|at| now.saturating_sub(at) >= ROOT) {
+        if self.root_sent_at.is_none_or(|at| now.saturating_sub(at) >= ROOT_DIGEST_INTERVAL) {
             self.root_sent_at = Some(now);
             let root = self.store.root_digest();
-            let idle: Vec<MemberId> = self.links.iter().filter(|(_, l)| l.idle()).map(|(s, _)| *s).collect();
+            let idle: Vec<MemberId> =
+                self.links.iter().filter(|(_, l)| l.is_idle()).map(|(s, _)| *s).collect();
             idle.into_iter().for_each(|member| self.send(member, Body::RootDigest(root)));
         }
-        let long = self.since.is_some_and(|at| now.saturating_sub(at) >= GRACE);
-        if long && self.links.values().all(Link::heard_done) {
-            self.catch_up();
+        let timed_out = self.joined_at.is_some_and(|at| now.saturating_sub(at) >= CATCH_UP_TIMEOUT);
+        if timed_out && self.links.values().all(Link::sync_received) {
+            self.set_caught_up();
         }
         if self.planted.is(Defect::ForgetsEarly) {
-            self.forget_early();
+            self.remove_early();
         }
         if let Some(step) = self.fetcher.as_mut().map(|s| s.tick(now, self.me, &self.members)) {
-            self.study(step);
+            self.fetch_step(step);
         }
         self.flush(now);
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
-    /// For tests.
-    fn forget_early(&mut self) {
+    /// Removes unbans that all neighbours have ([`Defect::ForgetsEarly`]).
+    fn remove_early(&mut self) {
         let all = |key: &Key| self.links.values().all(|l| l.has(key)) && !self.links.is_empty();
         let idle = |(key, entry): &(&Key, &Entry)| {
             matches!(key, Key::Ban(_)) && !entry.excludes_server() && all(key)
         };
-        let forgotten: Vec<Key> = self.store.entries().filter(idle).map(|(key, _)| key.clone()).collect();
-        forgotten.iter().for_each(|key| self.store.remove(key));
+        let removed: Vec<Key> = self.store.entries().filter(idle).map(|(key, _)| key.clone()).collect();
+        removed.iter().for_each(|key| self.store.remove(key));
     }
 
-    /// Sends what is owed, as far as the allowance goes.
+    /// Sends pending batches to the neighbours, as far as the rate limit allows.
     fn flush(&mut self, now: Nanos) {
-        let (since, left) = self.allowance;
-        let earned = now.saturating_sub(since).min(1_000 * MS) * RATE / (1_000 * MS);
+        let (updated_at, left) = self.send_budget;
+        let earned = now.saturating_sub(updated_at).min(1_000 * MS) * BYTES_PER_SECOND / (1_000 * MS);
         if earned > 0 {
-            self.allowance = (now, (left + earned).min(BURST));
+            self.send_budget = (now, (left + earned).min(BURST_BYTES));
         }
         for member in self.links.keys().copied().collect::<Vec<_>>() {
-            if self.allowance.1 == 0 {
+            if self.send_budget.1 == 0 {
                 return;
             }
             let Some(link) = self.links.get_mut(&member) else { continue };
-            let words = link.send(now, &self.store, self.caught_up, &mut self.batches);
-            words.into_iter().for_each(|body| self.send(member, body));
+            let messages = link.send(now, &self.store, self.caught_up, &mut self.batches_sent);
+            messages.into_iter().for_each(|body| self.send(member, body));
         }
     }
 
-    /// Takes a datagram that came from that seat's address.
+    /// Handles a datagram received from the address of the member `at`.
     pub fn receive(&mut self, now: Nanos, at: MemberId, bytes: &[u8]) -> Vec<Output> {
         match (Datagram::decode(bytes), bytes.first()) {
-            (_, Some(version)) if *version != VERSION => self.out.push(Output::VersionMismatch(at, *version)),
-            (Some(datagram), _) => self.hear(now, at, datagram),
+            (_, Some(version)) if *version != VERSION => {
+                self.outputs.push(Output::VersionMismatch(at, *version))
+            }
+            (Some(datagram), _) => self.handle(now, at, datagram),
             _ => {}
         }
         self.flush(now);
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
-    fn hear(&mut self, now: Nanos, at: MemberId, Datagram { head, body }: Datagram) {
+    fn handle(&mut self, now: Nanos, at: MemberId, Datagram { head, body }: Datagram) {
         let incarnation = Incarnation::from_le_bytes(head.incarnation);
-        let ours = head.site == self.site.to_le_bytes()
+        let is_for_us = head.site == self.site.to_le_bytes()
             && head.roster == self.tag.to_le_bytes()
             && (head.from, head.to, head.to_incarnation) == (at, self.me, self.incarnation.to_le_bytes())
             && self.members.get(&at) == Some(&incarnation);
-        if !ours {
+        if !is_for_us {
             return;
         }
         match body {
-            Body::EntryQuery(number, key, mark) => {
-                let same = self.store.get(&key).is_some() && self.store.entry_digest(&key) == mark;
+            Body::EntryQuery(number, key, digest) => {
+                let same = self.store.get(&key).is_some() && self.store.entry_digest(&key) == digest;
                 self.send(at, Body::EntryReply(number, same));
             }
-            Body::EntryReply(number, same) => self.out.push(Output::HolderReply(at, number, same)),
+            Body::EntryReply(number, same) => self.outputs.push(Output::HolderReply(at, number, same)),
             Body::SnapshotRequest(number, first) => {
-                self.out.push(Output::SnapshotRequested(at, number, first))
+                self.outputs.push(Output::SnapshotRequested(at, number, first))
             }
             body @ (Body::SnapshotSummary(..) | Body::SnapshotRows(..)) => {
-                if let Some(step) = self.fetcher.as_mut().map(|s| s.hear(now, at, incarnation, body)) {
-                    self.study(step);
+                if let Some(step) = self.fetcher.as_mut().map(|s| s.receive(now, at, incarnation, body)) {
+                    self.fetch_step(step);
                 }
             }
-            body => self.hear_near(now, at, incarnation, body),
+            body => self.handle_from_neighbour(now, at, incarnation, body),
         }
     }
 
-    fn hear_near(&mut self, now: Nanos, at: MemberId, incarnation: Incarnation, body: Body) {
+    fn handle_from_neighbour(&mut self, now: Nanos, at: MemberId, incarnation: Incarnation, body: Body) {
         let Some(link) = self.links.get_mut(&at).filter(|l| l.incarnation == incarnation) else { return };
         match body {
-            Body::RootDigest(theirs) if theirs != self.store.root_digest() => link.differs(now),
-            Body::BatchAck(number, lacking) => link.took(number, lacking),
-            Body::BatchPart(number, part, of, bytes) => {
-                let (answer, whole) = link.part(number, part, of, bytes);
-                if let Some(items) = whole.and_then(|whole| items(&whole)) {
-                    items.into_iter().for_each(|item| self.hear_item(at, item));
+            Body::RootDigest(theirs) if theirs != self.store.root_digest() => link.root_differs(now),
+            Body::BatchAck(number, missing) => link.handle_ack(number, missing),
+            Body::BatchPart(number, index, count, bytes) => {
+                let (ack, batch) = link.receive_part(number, index, count, bytes);
+                if let Some(items) = batch.and_then(|batch| decode_items(&batch)) {
+                    items.into_iter().for_each(|item| self.handle_item(at, item));
                 }
-                if let Some(answer) = answer {
-                    self.send(at, answer);
+                if let Some(ack) = ack {
+                    self.send(at, ack);
                 }
             }
             _ => {}
         }
     }
 
-    fn hear_item(&mut self, at: MemberId, item: Item) {
+    fn handle_item(&mut self, at: MemberId, item: Item) {
         match item {
-            Item::Entry(key, entry) => self.take(Some(at), key, entry),
-            Item::BucketDigests(theirs, back) => {
+            Item::Entry(key, entry) => self.merge(Some(at), key, entry),
+            Item::BucketDigests(their_digests, back) => {
                 if let Some(link) = self.links.get_mut(&at) {
-                    link.compare(&self.store, &theirs, back);
+                    link.compare(&self.store, &their_digests, back);
                 }
             }
             Item::SyncComplete(caught_up) => {
                 if let Some(link) = self.links.get_mut(&at) {
-                    link.hear_done();
+                    link.set_sync_received();
                 }
                 if caught_up {
-                    self.catch_up();
+                    self.set_caught_up();
                 }
             }
         }
     }
 
-    /// For people: the words on a server.
+    /// For diagnostics: the ban state of a server.
     pub fn bans(&self, host: &str) -> Option<&Bans> {
         self.store.bans(host)
     }
--- a/crates/replica/src/snapshot.rs
+++ b/crates/replica/src/snapshot.rs
@@ -1,110 +1,114 @@
-//! What a member has learnt of servers, for one that starts with nothing: asked of one neighbour after another until one has
-//! told all that it knows.
+//! Transfer of a neighbour's learned state to a member that starts without any. Neighbours are asked one after
+//! another until one has sent a complete snapshot.
 //!
-//! A member that starts takes all servers for equal and all answer times for a guess. Its neighbours know better, and what they
-//! know is seconds old at most. It is a hint, never a promise: whoever cannot get it in time goes on without it.
+//! A member that has just started treats all servers as equal and has no measured latencies. Its neighbours' state is
+//! at most seconds old. It is only a hint: a member that does not receive it in time goes on without it.
 
 use crate::wire::Body;
 use laurelroute_membership::{Incarnation, MemberId, Nanos, MS};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Servers in one datagram: with the longest numbers they fit.
-pub const ROWS: usize = 10;
-/// Datagrams that one question brings at most.
-pub const PIECES: usize = 16;
-/// Servers in a snapshot at most.
+/// Maximum number of rows in one datagram; they fit with the longest numbers.
+pub const ROWS_PER_DATAGRAM: usize = 10;
+/// Maximum number of row datagrams sent in reply to one request.
+pub const DATAGRAMS_PER_REQUEST: usize = 16;
+/// Maximum number of servers in a snapshot.
 pub const MAX_SERVERS: usize = 20_000;
-/// Classes in a snapshot at most.
+/// Maximum number of request classes in a snapshot.
 pub const MAX_CLASSES: usize = 16;
-/// A question that nobody answers is asked again after this ...
-const AGAIN: Nanos = 100 * MS;
-/// ... so often before another one is asked.
-const TRIES: u32 = 3;
-/// By then a member has learnt enough itself.
-const GIVE_UP: Nanos = 2_500 * MS;
-
-/// What is known of one server.
+/// A request without a reply is repeated after this time.
+const RETRY_INTERVAL: Nanos = 100 * MS;
+/// Number of requests before the next member is asked.
+const MAX_TRIES: u32 = 3;
+/// The fetch is given up after this time: the member has learned enough itself by then.
+const FETCH_TIMEOUT: Nanos = 2_500 * MS;
+
+/// The learned state of one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerRow {
-    /// Its address.
+    /// The server's IPv4 address.
     pub address: [u8; 4],
-    /// Its port.
+    /// The server's port.
     pub port: u16,
-    /// Its accomplishment, in sixteenths of a request.
+    /// The server's score, in sixteenths of a request.
     pub score: u32,
-    /// Its answers against the fleet's, in thousandths: 1,000 is usual.
+    /// The server's latency relative to the fleet's, in thousandths: 1,000 is average.
     pub relative_latency: u16,
-    /// Its share of failures, of 65,535.
+    /// The server's failure rate, as a fraction of 65,535.
     pub failure_rate: u16,
 }
 
-/// What is known of all servers together.
+/// The learned state of all servers together.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetAverages {
-    /// How much longer than usual the fleet takes, in thousandths.
+    /// How much slower than usual the fleet is, in thousandths.
     pub slowdown: u16,
-    /// The fleet's share of failures, of 65,535.
+    /// The fleet's failure rate, as a fraction of 65,535.
     pub failure_rate: u16,
-    /// The usual answer time of each class in microseconds, and the number of answers that it is known from.
+    /// The usual latency of each class in microseconds, and the number of responses that it was measured on.
     pub classes: Vec<(u32, u32)>,
 }
 
-/// All that a member has learnt, at one moment.
+/// A snapshot of a member's learned state.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LearnedSnapshot {
-    /// Tells it from other moments' at the same member.
+    /// Distinguishes the snapshots of one member.
     pub number: u32,
-    /// Of all servers.
+    /// The state of all servers together.
     pub averages: FleetAverages,
-    /// Of each.
+    /// The state of each server.
     pub rows: Vec<ServerRow>,
 }
 
 impl LearnedSnapshot {
-    /// Nobody can learn from it.
-    pub fn empty(&self) -> bool {
+    /// Whether the snapshot contains nothing of use.
+    pub fn is_empty(&self) -> bool {
         self.rows.is_empty() || self.averages.classes.iter().all(|(_, answers)| *answers == 0)
     }
 
-    /// What answers a question for the rows from `first` on.
-    pub fn pieces(&self, first: u32) -> Vec<Body> {
+    /// The messages that answer a request for the rows from `first` on.
+    pub fn messages(&self, first: u32) -> Vec<Body> {
         let rows = &self.rows[..self.rows.len().min(MAX_SERVERS)];
-        let total = if self.empty() { 0 } else { rows.len() as u32 };
-        let mut pieces = Vec::new();
+        let total = if self.is_empty() { 0 } else { rows.len() as u32 };
+        let mut messages = Vec::new();
         if first == 0 {
             let mut averages = self.averages.clone();
             averages.classes.truncate(MAX_CLASSES);
-            pieces.push(Body::SnapshotSummary(self.number, total, averages));
+            messages.push(Body::SnapshotSummary(self.number, total, averages));
         }
         if total > 0 {
             let from = (first as usize).min(rows.len());
-            let some = rows[from..].chunks(ROWS).take(PIECES).zip((first..).step_by(ROWS));
-            pieces.extend(some.map(|(rows, at)| Body::SnapshotRows(self.number, total, at, rows.to_vec())));
+            let chunks = rows[from..]
+                .chunks(ROWS_PER_DATAGRAM)
+                .take(DATAGRAMS_PER_REQUEST)
+                .zip((first..).step_by(ROWS_PER_DATAGRAM));
+            messages
+                .extend(chunks.map(|(rows, at)| Body::SnapshotRows(self.number, total, at, rows.to_vec())));
         }
-        pieces
+        messages
     }
 }
 
-/// What has come of a snapshot.
+/// The received part of a snapshot.
 #[derive(Debug, Default)]
-struct Coming {
+struct PartialSnapshot {
     number: u32,
     total: Option<u32>,
     averages: Option<FleetAverages>,
     rows: BTreeMap<u32, ServerRow>,
 }
 
-impl Coming {
-    /// The first row that has not come; 0 also where what is usual has not.
-    fn first_lacking(&self) -> u32 {
+impl PartialSnapshot {
+    /// Index of the first missing row; 0 also if the summary is missing.
+    fn first_missing(&self) -> u32 {
         if self.averages.is_none() {
             return 0;
         }
         (0..).zip(self.rows.keys()).find(|(k, at)| k != *at).map_or(self.rows.len() as u32, |(k, _)| k)
     }
 
-    fn whole(&mut self) -> Option<LearnedSnapshot> {
+    fn take_complete(&mut self) -> Option<LearnedSnapshot> {
         let all = self.total == Some(self.rows.len() as u32);
         let averages = self.averages.take_if(|_| all)?;
         let rows = std::mem::take(&mut self.rows).into_values().collect();
@@ -112,16 +116,16 @@
     }
 }
 
-/// One that starts with nothing.
+/// Fetches a snapshot from one member after another.
 #[derive(Debug, Default)]
 pub struct SnapshotFetcher {
-    began: Option<Nanos>,
-    teacher: Option<(MemberId, Incarnation)>,
-    /// Those who have not answered, or know nothing themselves.
-    passed: BTreeSet<MemberId>,
-    asked: Nanos,
+    started_at: Option<Nanos>,
+    source: Option<(MemberId, Incarnation)>,
+    /// Members that did not reply or have nothing learned themselves.
+    skipped: BTreeSet<MemberId>,
+    requested_at: Nanos,
     tries: u32,
-    coming: Coming,
+    partial: PartialSnapshot,
 }
 
 /// The fetcher's next step.
@@ -138,47 +142,48 @@
 }
 
 impl SnapshotFetcher {
-    /// Now and then, with the members of the view.
+    /// Advances the time, with the members of the current view; returns the next step.
     pub fn tick(&mut self, now: Nanos, me: MemberId, members: &BTreeMap<MemberId, Incarnation>) -> FetchStep {
-        if now.saturating_sub(*self.began.get_or_insert(now)) > GIVE_UP {
+        if now.saturating_sub(*self.started_at.get_or_insert(now)) > FETCH_TIMEOUT {
             return FetchStep::GaveUp;
         }
-        // One that has started again since is another one, who knows nothing.
-        self.teacher.take_if(|(member, incarnation)| members.get(member) != Some(incarnation));
-        if self.teacher.is_some() && now.saturating_sub(self.asked) < AGAIN {
+        // A member that has restarted has lost what it had learned.
+        self.source.take_if(|(member, incarnation)| members.get(member) != Some(incarnation));
+        if self.source.is_some() && now.saturating_sub(self.requested_at) < RETRY_INTERVAL {
             return FetchStep::Wait;
         }
-        if self.tries >= TRIES {
-            self.pass();
+        if self.tries >= MAX_TRIES {
+            self.skip_source();
         }
-        if self.teacher.is_none() {
-            // Each its own successor first: those that start together do not all ask the same one.
+        if self.source.is_none() {
+            // Members are asked in order from this one's successor on, so that members that start together do not all
+            // ask the same one.
             let after = members.range(me + 1..).chain(members.range(..me));
             let next = after
                 .map(|(member, incarnation)| (*member, *incarnation))
-                .find(|(member, _)| !self.passed.contains(member));
+                .find(|(member, _)| !self.skipped.contains(member));
             let Some(next) = next else {
                 return if members.len() > 1 { FetchStep::GaveUp } else { FetchStep::Wait };
             };
-            (self.teacher, self.tries, self.coming) = (Some(next), 0, Coming::default());
+            (self.source, self.tries, self.partial) = (Some(next), 0, PartialSnapshot::default());
         }
         self.tries += 1;
-        self.ask(now)
+        self.request(now)
     }
 
-    fn pass(&mut self) {
-        self.passed.extend(self.teacher.take().map(|(member, _)| member));
+    fn skip_source(&mut self) {
+        self.skipped.extend(self.source.take().map(|(member, _)| member));
     }
 
-    fn ask(&mut self, now: Nanos) -> FetchStep {
-        self.asked = now;
-        let question = Body::SnapshotRequest(self.coming.number, self.coming.first_lacking());
-        self.teacher.map_or(FetchStep::Wait, |(member, _)| FetchStep::Request(member, question))
+    fn request(&mut self, now: Nanos) -> FetchStep {
+        self.requested_at = now;
+        let request = Body::SnapshotRequest(self.partial.number, self.partial.first_missing());
+        self.source.map_or(FetchStep::Wait, |(member, _)| FetchStep::Request(member, request))
     }
 
-    /// What a member says of its snapshot.
-    pub fn hear(&mut self, now: Nanos, from: MemberId, incarnation: Incarnation, body: Body) -> FetchStep {
-        if self.teacher != Some((from, incarnation)) {
+    /// Handles a message of a snapshot from a member.
+    pub fn receive(&mut self, now: Nanos, from: MemberId, incarnation: Incarnation, body: Body) -> FetchStep {
+        if self.source != Some((from, incarnation)) {
             return FetchStep::Wait;
         }
         let (number, total) = match body {
@@ -191,30 +196,32 @@
             return FetchStep::Wait;
         }
         if total == 0 {
-            self.pass();
+            self.skip_source();
             return FetchStep::Wait;
         }
-        if self.coming.total.is_none() || self.coming.number != number {
-            // Rows of two moments do not go together.
-            self.coming = Coming { number, total: Some(total), ..Coming::default() };
+        if self.partial.total.is_none() || self.partial.number != number {
+            // Rows of two snapshots must not be mixed.
+            self.partial = PartialSnapshot { number, total: Some(total), ..PartialSnapshot::default() };
         }
         let mut last = false;
         match body {
-            Body::SnapshotSummary(_, _, averages) => self.coming.averages = Some(averages),
+            Body::SnapshotSummary(_, _, averages) => self.partial.averages = Some(averages),
             Body::SnapshotRows(_, _, first, rows) => {
-                let asked = self.coming.first_lacking();
+                let first_missing = self.partial.first_missing();
                 let end = first.saturating_add(rows.len() as u32);
-                // The window of a question ends here: the next one, at once.
-                last = end >= asked.saturating_add((ROWS * PIECES) as u32) || end >= total;
-                let within = (first..total).zip(rows);
-                self.coming.rows.extend(within);
+                // This is the last datagram of the reply: the next rows are requested at once.
+                last = end
+                    >= first_missing.saturating_add((ROWS_PER_DATAGRAM * DATAGRAMS_PER_REQUEST) as u32)
+                    || end >= total;
+                let indexed = (first..total).zip(rows);
+                self.partial.rows.extend(indexed);
             }
             _ => {}
         }
         self.tries = 0;
-        match self.coming.whole() {
+        match self.partial.take_complete() {
             Some(snapshot) => FetchStep::Complete(from, snapshot),
-            None if last => self.ask(now),
+            None if last => self.request(now),
             None => FetchStep::Wait,
         }
     }
--- a/crates/replica/src/wire.rs
+++ b/crates/replica/src/wire.rs
@@ -1,4 +1,5 @@
-//! Datagrams between replicas: postcard, no longer than the members' own; and batches of entries, which go in parts.
+//! The datagram format between replicas: postcard, with the size limit of the membership's datagrams; and batches of
+//! entries, which are sent in parts.
 
 use crate::entry::{Entry, Key};
 use crate::snapshot::{FleetAverages, ServerRow};
@@ -6,32 +7,32 @@
 use laurelroute_membership::MemberId;
 use serde::{Deserialize, Serialize};
 
-/// The first byte, which no datagram of the members' own begins with; raised when a program could not understand one of
-/// another version.
+/// Protocol version, the first byte. No datagram of the membership begins with it. It is raised when programs could
+/// not understand datagrams of the other version.
 pub const VERSION: u8 = 0x81;
-/// Bytes of a part of a batch.
-pub const PART: usize = 200;
-/// Parts of a batch at most.
-pub const PARTS: usize = 48;
-/// Parts that one answer names as lacking.
-pub const LACKING: usize = 48;
+/// Maximum size of a part in bytes.
+pub const MAX_PART_BYTES: usize = 200;
+/// Maximum number of parts of a batch.
+pub const MAX_PARTS: usize = 48;
+/// Maximum number of missing parts in one acknowledgement.
+pub const MAX_MISSING: usize = 48;
 
-/// What stands in every datagram.
+/// The header of every datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
     /// [`VERSION`].
     pub version: u8,
-    /// The installation.
+    /// Hash of the site's name.
     pub site: [u8; 2],
-    /// The roster.
+    /// Digest of the roster.
     pub roster: [u8; 2],
-    /// The sender's seat.
+    /// The sender.
     pub from: MemberId,
-    /// Whom it is for.
+    /// The receiver.
     pub to: MemberId,
     /// The sender's incarnation.
     pub incarnation: [u8; 4],
-    /// The incarnation that it is for: what was said to the process before is nothing to the one that has its seat now.
+    /// The receiver's incarnation: datagrams for an earlier process do not concern its successor.
     pub to_incarnation: [u8; 4],
 }
 
@@ -59,19 +60,19 @@
 /// A datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Datagram {
-    /// Who speaks.
+    /// The header.
     pub head: Head,
-    /// What is said.
+    /// The message.
     pub body: Body,
 }
 
 impl Datagram {
-    /// As bytes; `None` where it would be too long, which no bound above allows.
+    /// Encodes the datagram; `None` if it is too long, which the limits above exclude.
     pub fn encode(&self) -> Option<Vec<u8>> {
         encode(self)
     }
 
-    /// From bytes; `None` where they are none.
+    /// Decodes a datagram; `None` if it is malformed.
     pub fn decode(bytes: &[u8]) -> Option<Datagram> {
         decode(bytes)
     }
@@ -88,23 +89,24 @@
     SyncComplete(bool),
 }
 
-/// A batch as parts. Items are left out from the end where they would be too many; gives how many are in.
-pub fn parts(items: &[Item]) -> (usize, Vec<Vec<u8>>) {
+/// Splits a batch into parts. Items at the end that exceed the limit are left out; returns the number of included
+/// ones.
+pub fn split_batch(items: &[Item]) -> (usize, Vec<Vec<u8>>) {
     let mut bytes = Vec::new();
-    let mut taken = 0;
+    let mut included = 0;
     for item in items {
-        let Ok(one) = postcard::to_allocvec(item) else { break };
-        if bytes.len() + one.len() > PART * PARTS {
+        let Ok(encoded) = postcard::to_allocvec(item) else { break };
+        if bytes.len() + encoded.len() > MAX_PART_BYTES * MAX_PARTS {
             break;
         }
-        bytes.extend_from_slice(&one);
-        taken += 1;
+        bytes.extend_from_slice(&encoded);
+        included += 1;
     }
-    (taken, bytes.chunks(PART).map(<[u8]>::to_vec).collect())
+    (included, bytes.chunks(MAX_PART_BYTES).map(<[u8]>::to_vec).collect())
 }
 
-/// The items of a batch; `None` where they are none.
-pub fn items(mut bytes: &[u8]) -> Option<Vec<Item>> {
+/// Decodes the items of a batch; `None` if it is malformed.
+pub fn decode_items(mut bytes: &[u8]) -> Option<Vec<Item>> {
     let mut items = Vec::new();
     while !bytes.is_empty() {
         let (item, rest) = postcard::take_from_bytes(bytes).ok()?;
--- a/crates/replica/tests/joins.rs
+++ b/crates/replica/tests/joins.rs
@@ -144,9 +144,9 @@
 
 #[test]
 fn what_a_file_is_not_is_said() {
-    assert!(matches!(decode(b""), Err(FileError::Foreign)));
-    assert!(matches!(decode(b"laurelroute-bans 1 00000000\n[]"), Err(FileError::Foreign)));
+    assert!(matches!(decode(b""), Err(FileError::UnknownFormat)));
+    assert!(matches!(decode(b"laurelroute-bans 1 00000000\n[]"), Err(FileError::UnknownFormat)));
     assert!(matches!(decode(b"laurelroute-replica 9 00000000\n"), Err(FileError::Version(9))));
     let error = decode(b"laurelroute-replica 1 00000000\nxx").unwrap_err().to_string();
-    assert!(error.starts_with("torn: its checksum is "), "{error}");
+    assert!(error.starts_with("checksum mismatch: expected 00000000, got "), "{error}");
 }
--- a/crates/replica/tests/lessons.rs
+++ b/crates/replica/tests/lessons.rs
@@ -198,7 +198,7 @@
         Body::SnapshotSummary(1, 5, FleetAverages::default()),
         Body::SnapshotRows(1, 5, 3, rows),
     ] {
-        let step = fetcher.hear(1, 1, 1, body);
+        let step = fetcher.receive(1, 1, 1, body);
         assert!(!matches!(step, laurelroute_replica::snapshot::FetchStep::Complete(..)), "{step:?}");
     }
     assert!(Datagram::decode(&[0x81; 40]).is_none());
