--- a/crates/replica/tests/joins.rs
+++ b/crates/replica/tests/joins.rs
@@ -1,53 +1,54 @@
-//! Copies that differ: whichever way they meet, and however often, they come to the same; and files that are not sound.
+//! Tests that copies converge in whichever order and however often they are merged, and that damaged files are
+//! rejected.
 
 use laurelroute_replica::disk::{decode, encode, FileError};
 use laurelroute_replica::store::MAX_ENTRIES;
 use laurelroute_replica::{BanChange, Dot, Drain, Entry, Key, Store, Writer};
 use proptest::prelude::*;
 
-/// What happens to three copies: a word said at one, a list heard at one, or one that takes in all that another has.
+/// An operation on three copies: a ban or unban at one, a drain update at one, or a merge of one into another.
 #[derive(Clone, Debug)]
 enum Step {
-    Say(usize, u8, bool),
-    Hear(usize, u8, u64, bool),
-    Meet(usize, usize),
+    SetBan(usize, u8, bool),
+    UpdateDrain(usize, u8, u64, bool),
+    Merge(usize, usize),
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
-        (0..3usize, 0..2u8, any::<bool>()).prop_map(|(at, host, out)| Step::Say(at, host, out)),
+        (0..3usize, 0..2u8, any::<bool>()).prop_map(|(at, host, banned)| Step::SetBan(at, host, banned)),
         (0..3usize, 0..2u8, 0..4u64, any::<bool>())
-            .prop_map(|(at, host, v, out)| Step::Hear(at, host, v, out)),
-        (0..3usize, 0..3usize).prop_map(|(from, to)| Step::Meet(from, to)),
+            .prop_map(|(at, host, v, drained)| Step::UpdateDrain(at, host, v, drained)),
+        (0..3usize, 0..3usize).prop_map(|(from, to)| Step::Merge(from, to)),
     ];
     prop::collection::vec(step, 0..40)
 }
 
-fn take_all(to: &mut Store, from: &Store) {
+fn merge_all(to: &mut Store, from: &Store) {
     for (key, entry) in from.entries() {
-        to.merge(key, entry.clone(), false).expect("there is room");
+        to.merge(key, entry.clone(), false).expect("the store has room");
     }
 }
 
-fn played(steps: &[Step]) -> Vec<Store> {
+fn run_steps(steps: &[Step]) -> Vec<Store> {
     let mut copies = vec![Store::default(); 3];
     for (number, step) in (1..).zip(steps) {
         match *step {
-            Step::Say(at, host, out) => {
+            Step::SetBan(at, host, banned) => {
                 let writer = Writer { member: at as u16, incarnation: 7 };
-                // Clocks go as they like.
-                let word = BanChange { dot: Dot { writer, number }, banned: out, changed_at: 1_000 - number };
-                copies[at].set_ban(&format!("s{host}"), word).expect("there is room");
+                // The clocks run backwards: nothing may depend on them.
+                let change = BanChange { dot: Dot { writer, number }, banned, changed_at: 1_000 - number };
+                copies[at].set_ban(&format!("s{host}"), change).expect("the store has room");
             }
-            Step::Hear(at, host, version, out) => {
+            Step::UpdateDrain(at, host, version, drained) => {
                 let key = Key::Drain(format!("s{host}"));
                 copies[at]
-                    .merge(&key, Entry::Drain(Drain { version, drained: out }), false)
-                    .expect("there is room");
+                    .merge(&key, Entry::Drain(Drain { version, drained }), false)
+                    .expect("the store has room");
             }
-            Step::Meet(from, to) => {
+            Step::Merge(from, to) => {
                 let other = copies[from].clone();
-                take_all(&mut copies[to], &other);
+                merge_all(&mut copies[to], &other);
             }
         }
     }
@@ -56,22 +57,22 @@
 
 proptest! {
     #[test]
-    fn whichever_way_copies_meet_they_come_to_the_same(steps in steps()) {
-        let copies = played(&steps);
-        let met = |order: [usize; 3]| {
+    fn copies_converge_in_any_merge_order(steps in steps()) {
+        let copies = run_steps(&steps);
+        let merge_in = |order: [usize; 3]| {
             let mut all = copies[order[0]].clone();
-            take_all(&mut all, &copies[order[1]]);
-            take_all(&mut all, &copies[order[2]]);
-            take_all(&mut all, &copies[order[1]]);
+            merge_all(&mut all, &copies[order[1]]);
+            merge_all(&mut all, &copies[order[2]]);
+            merge_all(&mut all, &copies[order[1]]);
             all
         };
-        let one = met([0, 1, 2]);
+        let one = merge_in([0, 1, 2]);
         for order in [[0, 2, 1], [1, 0, 2], [1, 2, 0], [2, 0, 1], [2, 1, 0]] {
-            let other = met(order);
+            let other = merge_in(order);
             prop_assert_eq!(encode(&one), encode(&other));
             prop_assert_eq!((one.root_digest(), one.bucket_digests()), (other.root_digest(), other.bucket_digests()));
         }
-        // All that differs can be found by the digests.
+        // The digests reveal every difference.
         for copy in &copies {
             let theirs = copy.bucket_digests();
             let found: Vec<&Key> = one.differing_keys(&theirs).collect();
@@ -81,59 +82,59 @@
     }
 
     #[test]
-    fn a_file_comes_back_and_a_spoilt_one_is_not_believed(steps in steps(), at in any::<prop::sample::Index>(), bit in 0..8u8) {
-        let copy = &played(&steps)[0];
+    fn a_file_round_trips_and_a_damaged_one_is_rejected(steps in steps(), at in any::<prop::sample::Index>(), bit in 0..8u8) {
+        let copy = &run_steps(&steps)[0];
         let file = encode(copy);
-        let mut back = Store::default();
-        for (key, entry) in decode(&file).expect("it is sound") {
-            back.merge(&key, entry, false).expect("there is room");
+        let mut decoded = Store::default();
+        for (key, entry) in decode(&file).expect("the file is valid") {
+            decoded.merge(&key, entry, false).expect("the store has room");
         }
-        prop_assert_eq!(&back, copy);
-        let mut spoilt = file.clone();
-        spoilt[at.index(file.len())] ^= 1 << bit;
-        // A checksum that is written in capitals is the same.
-        prop_assert!(decode(&spoilt).map_or(true, |entries| file.eq_ignore_ascii_case(&spoilt) && entries.len() == copy.len()));
+        prop_assert_eq!(&decoded, copy);
+        let mut damaged = file.clone();
+        damaged[at.index(file.len())] ^= 1 << bit;
+        // Flipping the case of a hexadecimal digit leaves the checksum valid.
+        prop_assert!(decode(&damaged).map_or(true, |entries| file.eq_ignore_ascii_case(&damaged) && entries.len() == copy.len()));
         prop_assert!(decode(&file[..at.index(file.len())]).is_err());
     }
 }
 
-fn word(member: u16, number: u64, out: bool) -> BanChange {
-    BanChange { dot: Dot { writer: Writer { member, incarnation: 1 }, number }, banned: out, changed_at: 0 }
+fn change(member: u16, number: u64, banned: bool) -> BanChange {
+    BanChange { dot: Dot { writer: Writer { member, incarnation: 1 }, number }, banned, changed_at: 0 }
 }
 
 #[test]
-fn a_word_answers_what_its_speaker_knew_of_and_nothing_else() {
+fn a_change_replaces_only_those_its_writer_had_seen() {
     let (mut here, mut there) = (Store::default(), Store::default());
-    here.set_ban("s", word(0, 1, true)).unwrap();
-    take_all(&mut there, &here);
-    // Put back there, and taken out here again: neither knows of the other.
-    there.set_ban("s", word(1, 1, false)).unwrap();
-    here.set_ban("s", word(0, 2, true)).unwrap();
-    take_all(&mut here, &there);
+    here.set_ban("s", change(0, 1, true)).unwrap();
+    merge_all(&mut there, &here);
+    // An unban at one and a new ban at the other are concurrent.
+    there.set_ban("s", change(1, 1, false)).unwrap();
+    here.set_ban("s", change(0, 2, true)).unwrap();
+    merge_all(&mut here, &there);
     let bans = here.bans("s").unwrap();
     assert!(
-        bans.is_banned() && bans.overridden_unban().is_some_and(|w| w.dot.writer.member == 1),
+        bans.is_banned() && bans.overridden_unban().is_some_and(|c| c.dot.writer.member == 1),
         "{bans:?}"
     );
-    // Who knows of both can put it back.
-    here.set_ban("s", word(0, 3, false)).unwrap();
-    take_all(&mut here, &there);
+    // A writer that has seen both can unban the server.
+    here.set_ban("s", change(0, 3, false)).unwrap();
+    merge_all(&mut here, &there);
     assert!(!here.bans("s").unwrap().is_banned() && here.bans("s").unwrap().overridden_unban().is_none());
 }
 
 #[test]
-fn where_there_is_no_room_a_ban_is_never_what_goes() {
+fn a_full_store_never_evicts_a_ban() {
     let mut copy = Store::default();
-    copy.set_ban("first", word(0, 1, true)).unwrap();
-    copy.set_ban("back", word(0, 2, true)).unwrap();
-    copy.set_ban("back", word(0, 3, false)).unwrap();
+    copy.set_ban("first", change(0, 1, true)).unwrap();
+    copy.set_ban("back", change(0, 2, true)).unwrap();
+    copy.set_ban("back", change(0, 3, false)).unwrap();
     for k in 0..MAX_ENTRIES - 2 {
-        copy.set_ban(&format!("s{k}"), word(0, 4 + k as u64, true)).unwrap();
+        copy.set_ban(&format!("s{k}"), change(0, 4 + k as u64, true)).unwrap();
     }
     assert_eq!(copy.len(), MAX_ENTRIES);
-    copy.set_ban("one more", word(0, 5_000, true)).unwrap();
+    copy.set_ban("one more", change(0, 5_000, true)).unwrap();
     assert!(copy.bans("back").is_none() && copy.bans("first").is_some_and(|b| b.is_banned()));
-    assert!(copy.set_ban("too many", word(0, 5_001, true)).is_err());
+    assert!(copy.set_ban("too many", change(0, 5_001, true)).is_err());
     assert!(copy.bans("too many").is_none() && copy.len() == MAX_ENTRIES);
     let drain = |version| Entry::Drain(Drain { version, drained: true });
     for k in 0..=MAX_ENTRIES as u64 {
@@ -143,7 +144,7 @@
 }
 
 #[test]
-fn what_a_file_is_not_is_said() {
+fn file_errors_name_the_cause() {
     assert!(matches!(decode(b""), Err(FileError::UnknownFormat)));
     assert!(matches!(decode(b"laurelroute-bans 1 00000000\n[]"), Err(FileError::UnknownFormat)));
     assert!(matches!(decode(b"laurelroute-replica 9 00000000\n"), Err(FileError::Version(9))));
--- a/crates/replica/tests/lessons.rs
+++ b/crates/replica/tests/lessons.rs
@@ -1,4 +1,5 @@
-//! A member that starts with nothing learns from its neighbours, over links that lose, double and overtake.
+//! Tests the snapshot transfer to a member that starts with nothing, over links that lose, duplicate and reorder
+//! datagrams.
 
 use laurelroute_membership::{MemberId, Nanos, Roster, View, MS};
 use laurelroute_replica::wire::{Body, Datagram};
@@ -21,15 +22,15 @@
     LearnedSnapshot { number, averages, rows: (0..servers).map(row).collect() }
 }
 
-/// Members in one view; the last one has just started.
+/// The members of one view; the last one has just started.
 struct Fleet {
     now: Nanos,
     machines: Vec<Machine>,
     snapshots: Vec<LearnedSnapshot>,
-    /// Under way: when it comes, where from, where to.
-    air: Vec<(Nanos, usize, usize, Vec<u8>)>,
-    learnt: Option<(MemberId, LearnedSnapshot)>,
-    asked: usize,
+    /// Datagrams in flight: time of arrival, sender, receiver, bytes.
+    in_flight: Vec<(Nanos, usize, usize, Vec<u8>)>,
+    received: Option<(MemberId, LearnedSnapshot)>,
+    requests: usize,
 }
 
 impl Fleet {
@@ -43,54 +44,60 @@
             machine.apply_view(0, &view, 10 + k as u32);
         }
         machines[usize::from(MEMBERS) - 1].request_snapshot();
-        Fleet { now: 1_000 * MS, machines, snapshots, air: Vec::new(), learnt: None, asked: 0 }
+        Fleet { now: 1_000 * MS, machines, snapshots, in_flight: Vec::new(), received: None, requests: 0 }
     }
 
-    fn carry_out(&mut self, k: usize, outputs: Vec<Output>, fate: &mut impl FnMut(usize) -> Vec<Nanos>) {
+    fn handle_outputs(
+        &mut self,
+        k: usize,
+        outputs: Vec<Output>,
+        delays: &mut impl FnMut(usize) -> Vec<Nanos>,
+    ) {
         for output in outputs {
             match output {
                 Output::Send(to, bytes) => {
                     assert!(bytes.len() <= 236, "{} bytes", bytes.len());
-                    let copies = fate(k);
-                    self.air.extend(
-                        copies.into_iter().map(|late| (self.now + late, k, usize::from(to), bytes.clone())),
+                    let copies = delays(k);
+                    self.in_flight.extend(
+                        copies.into_iter().map(|delay| (self.now + delay, k, usize::from(to), bytes.clone())),
                     );
                 }
                 Output::SnapshotRequested(member, _, first) => {
                     let (snapshot, machine) = (&self.snapshots[k], &mut self.machines[k]);
                     let outputs = machine.send_snapshot(member, snapshot, first);
-                    self.asked += 1;
-                    self.carry_out(k, outputs, fate);
+                    self.requests += 1;
+                    self.handle_outputs(k, outputs, delays);
                 }
-                Output::SnapshotReceived(member, snapshot) => self.learnt = Some((member, snapshot)),
+                Output::SnapshotReceived(member, snapshot) => self.received = Some((member, snapshot)),
                 _ => {}
             }
         }
     }
 
-    /// Lets time go on; each datagram comes after each of the times that `fate` gives it.
-    fn run(&mut self, lasts: Nanos, mut fate: impl FnMut(usize) -> Vec<Nanos>) {
-        let end = self.now + lasts;
-        while self.now < end && self.learnt.is_none() {
+    /// Advances the time. `delays` returns the delays of a datagram's copies: none if it is lost, several if it is
+    /// duplicated.
+    fn run(&mut self, duration: Nanos, mut delays: impl FnMut(usize) -> Vec<Nanos>) {
+        let end = self.now + duration;
+        while self.now < end && self.received.is_none() {
             self.now += 5 * MS;
             if self.now.is_multiple_of(50 * MS) {
                 for k in 0..self.machines.len() {
                     let outputs = self.machines[k].tick(self.now);
-                    self.carry_out(k, outputs, &mut fate);
+                    self.handle_outputs(k, outputs, &mut delays);
                 }
             }
-            self.air.sort_by_key(|(at, ..)| *at);
-            let due = self.air.partition_point(|(at, ..)| *at <= self.now);
-            for (_, from, to, bytes) in self.air.drain(..due).collect::<Vec<_>>() {
+            self.in_flight.sort_by_key(|(at, ..)| *at);
+            let due = self.in_flight.partition_point(|(at, ..)| *at <= self.now);
+            for (_, from, to, bytes) in self.in_flight.drain(..due).collect::<Vec<_>>() {
                 let outputs = self.machines[to].receive(self.now, from as MemberId, &bytes);
-                self.carry_out(to, outputs, &mut fate);
+                self.handle_outputs(to, outputs, &mut delays);
             }
         }
     }
 }
 
 #[test]
-fn one_neighbour_tells_all_that_it_knows() {
+fn a_snapshot_of_any_size_is_received_completely() {
     for servers in [1, 9, 10, 11, 160, 161, 2_000] {
         let mut fleet = Fleet::new(vec![
             snapshot(3, servers),
@@ -99,38 +106,42 @@
             LearnedSnapshot::default(),
         ]);
         fleet.run(2_000 * MS, |_| vec![0]);
-        let (from, learnt) = fleet.learnt.expect("it learns");
-        assert!(from == 0 && learnt == snapshot(3, servers), "{servers} servers: {} came", learnt.rows.len());
+        let (from, received) = fleet.received.expect("a snapshot is received");
+        assert!(
+            from == 0 && received == snapshot(3, servers),
+            "{servers} servers: {} rows received",
+            received.rows.len()
+        );
     }
 }
 
-/// Whatever is lost, doubled or late: what is learnt is one member's snapshot, whole.
+/// A received snapshot is always a complete one of a single member.
 #[test]
-fn what_is_learnt_is_whole_whatever_the_links_do() {
-    let fates = prop::collection::vec((0u8..10, 0u64..120), 64);
-    proptest!(|(servers in 1usize..400, fates in fates, loss in 0u8..4)| {
+fn a_received_snapshot_is_complete_over_faulty_links() {
+    let schedules = prop::collection::vec((0u8..10, 0u64..120), 64);
+    proptest!(|(servers in 1usize..400, schedules in schedules, loss in 0u8..4)| {
         let snapshots: Vec<_> = (0..4).map(|k| snapshot(20 + k, servers + k as usize)).collect();
         let mut fleet = Fleet::new(snapshots.clone());
         let mut k = 0;
         fleet.run(2_400 * MS, |_| {
             k += 1;
-            let (chance, late) = fates[k % fates.len()];
+            let (chance, delay) = schedules[k % schedules.len()];
             match chance {
                 c if c < loss => vec![],
-                9 => vec![late * MS, 3 * late * MS],
-                _ => vec![late * MS / 8],
+                9 => vec![delay * MS, 3 * delay * MS],
+                _ => vec![delay * MS / 8],
             }
         });
-        if let Some((from, learnt)) = fleet.learnt {
-            prop_assert_eq!(&learnt, &snapshots[usize::from(from)]);
+        if let Some((from, received)) = fleet.received {
+            prop_assert_eq!(&received, &snapshots[usize::from(from)]);
         } else {
-            prop_assert!(loss > 0, "nothing was lost, and nothing learnt");
+            prop_assert!(loss > 0, "no datagram was lost, but no snapshot received");
         }
     });
 }
 
 #[test]
-fn one_that_falls_silent_half_way_is_left_for_the_next() {
+fn a_source_that_falls_silent_is_replaced_by_the_next() {
     let mut fleet =
         Fleet::new(vec![snapshot(5, 1_000), snapshot(6, 700), snapshot(7, 500), LearnedSnapshot::default()]);
     let mut first = 0;
@@ -142,12 +153,12 @@
             vec![MS]
         }
     });
-    assert_eq!(fleet.learnt, Some((1, snapshot(6, 700))));
+    assert_eq!(fleet.received, Some((1, snapshot(6, 700))));
 }
 
-/// Those who know nothing themselves are passed over, and where nobody knows anything nobody is asked for ever.
+/// Members without learned state are skipped, and the fetch ends when no member has any.
 #[test]
-fn who_knows_nothing_teaches_nothing() {
+fn members_without_learned_state_are_skipped() {
     let mut fleet = Fleet::new(vec![
         snapshot(5, 0),
         LearnedSnapshot::default(),
@@ -155,19 +166,19 @@
         LearnedSnapshot::default(),
     ]);
     fleet.run(2_000 * MS, |_| vec![MS]);
-    assert_eq!(fleet.learnt, Some((2, snapshot(7, 30))));
+    assert_eq!(fleet.received, Some((2, snapshot(7, 30))));
     let mut fleet = Fleet::new(vec![LearnedSnapshot::default(); 4]);
     fleet.run(5_000 * MS, |_| vec![MS]);
-    assert!(fleet.learnt.is_none() && fleet.asked == 3, "asked {} times", fleet.asked);
+    assert!(fleet.received.is_none() && fleet.requests == 3, "{} requests", fleet.requests);
     let mut fleet = Fleet::new(vec![snapshot(5, 10); 4]);
     fleet.run(10_000 * MS, |from| if from == 3 { vec![MS] } else { vec![] });
-    let asked = fleet.asked;
-    assert!(fleet.learnt.is_none() && (3..=9).contains(&asked), "asked {asked} times");
+    let requests = fleet.requests;
+    assert!(fleet.received.is_none() && (3..=9).contains(&requests), "{requests} requests");
 }
 
-/// A snapshot that is another one half-way is learnt anew: rows of two moments do not go together.
+/// A snapshot that is replaced during the transfer is fetched from the beginning.
 #[test]
-fn rows_of_two_moments_do_not_mix() {
+fn rows_of_two_snapshots_are_not_mixed() {
     let mut fleet = Fleet::new(vec![
         snapshot(5, 1_000),
         LearnedSnapshot::default(),
@@ -175,21 +186,24 @@
         LearnedSnapshot::default(),
     ]);
     fleet.run(60 * MS, |_| vec![MS]);
-    assert!(fleet.learnt.is_none());
+    assert!(fleet.received.is_none());
     fleet.snapshots[0] = snapshot(6, 900);
     fleet.run(2_000 * MS, |_| vec![MS]);
-    assert_eq!(fleet.learnt, Some((0, snapshot(6, 900))));
+    assert_eq!(fleet.received, Some((0, snapshot(6, 900))));
 }
 
-/// Bounds hold whatever a peer claims.
+/// Messages that claim sizes beyond the limits are ignored.
 #[test]
-fn a_lesson_out_of_bounds_is_not_taken() {
+fn a_snapshot_beyond_the_limits_is_ignored() {
     let mut fetcher = laurelroute_replica::snapshot::SnapshotFetcher::default();
     let members = BTreeMap::from([(0, 1), (1, 1)]);
-    let asked = fetcher.tick(0, 0, &members);
+    let first_step = fetcher.tick(0, 0, &members);
     assert!(
-        matches!(asked, laurelroute_replica::snapshot::FetchStep::Request(1, Body::SnapshotRequest(0, 0))),
-        "{asked:?}"
+        matches!(
+            first_step,
+            laurelroute_replica::snapshot::FetchStep::Request(1, Body::SnapshotRequest(0, 0))
+        ),
+        "{first_step:?}"
     );
     let rows = snapshot(1, 10).rows;
     for body in [
