--- a/crates/plan/src/services/digest.rs
+++ b/crates/plan/src/services/digest.rs
@@ -1,7 +1,7 @@
-//! Whether two copies of a service name the same servers in the same state.
+//! Digests that tell whether two copies of a service hold the same servers in the same state.
 //!
-//! The digest of a set is the sum of its members' hashes, so that one change costs one subtraction and one addition. It
-//! guards against copies that have come to differ, not against those who would make them so: peers are authenticated.
+//! The digest of a set is the sum of its members' hashes, so that a change takes one subtraction and one addition.
+//! It detects copies that have diverged by accident, not deliberate forgery: peers are authenticated.
 
 use crate::member::Member;
 use crate::stable_hash;
@@ -9,7 +9,7 @@
 use laurelroute_policy::interface::Phase;
 use prost::Message;
 
-/// One member's part of the digest. A member that is gone has none.
+/// Returns a member's contribution to the digest of a service; 0 for a removed member.
 pub fn member_digest(member: &Member) -> u64 {
     match member.server.phase {
         Phase::Removed => 0,
@@ -17,7 +17,8 @@
     }
 }
 
-/// One server's part of the digest of a whole list: its own part, with the services that it serves in any order.
+/// Returns a server's contribution to the digest of a whole list: its member digest combined with the services that
+/// it belongs to, in any order.
 pub fn entry_digest<'a>(member: u64, services: impl Iterator<Item = &'a str>) -> u64 {
     let services = services.map(|service| stable_hash(13, service.as_bytes())).fold(0, u64::wrapping_add);
     stable_hash(member, &services.to_le_bytes())
--- a/crates/plan/src/services/list_version.rs
+++ b/crates/plan/src/services/list_version.rs
@@ -1,71 +1,73 @@
-//! Versions of the list in one order, over restarts of its source.
+//! A total order of list versions across restarts of the list's source.
 //!
-//! The source counts its versions from the beginning again when it starts anew, and tells nobody that it did. So a bare
-//! number says nothing across a restart: a planner that is late with the former numbers looks later than one that follows
-//! the new ones. Who hears the list counts how often the numbers went back, its epoch, and keeps a [`History`] of numbers
-//! with the digest of the whole list. Epochs of two parties are counted from different beginnings; a number with the same
-//! digest in both histories tells how they stand to each other.
+//! The source restarts its version numbers when it restarts, without announcing it. A bare number is therefore
+//! ambiguous across a restart: a planner that still follows the former numbers would seem later than one that
+//! follows the new ones. Each receiver of the list counts how often the numbers have gone back, the epoch, and
+//! keeps a [`History`] of versions with the digest of the whole list. Two receivers count epochs from different
+//! origins; a number with the same digest in both histories gives the offset between them.
 
 use std::collections::VecDeque;
 
-/// A version of the list: of two, the one of the later epoch is later, within an epoch the one with the larger number.
+/// A version of the list, ordered by epoch and then by number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ListVersion {
-    /// How often the numbers have gone back, counted from some beginning.
+    /// How often the numbers have gone back, from an arbitrary origin.
     pub epoch: u64,
-    /// The source's own number.
+    /// The source's version number.
     pub number: u64,
 }
 
-/// The epoch in which a forwarder begins to count: a planner may turn out to be some epochs behind it.
+/// The epoch at which forwarders begin to count, well above 0 because a planner may turn out to be some epochs
+/// behind.
 pub const INITIAL_EPOCH: u64 = 1 << 20;
 
-/// A version of the list and what the list was then.
+/// A list version and the digest of the list at that version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VersionDigest {
-    /// The version.
+    /// The list version.
     pub version: ListVersion,
-    /// The digest of all servers that it listed.
+    /// The digest of all listed servers.
     pub digest: u64,
 }
 
-/// Versions that somebody has followed, oldest first.
+/// The list versions that were followed, oldest first.
 #[derive(Clone, Debug)]
 pub struct History {
-    seen: VecDeque<VersionDigest>,
-    most: usize,
+    entries: VecDeque<VersionDigest>,
+    capacity: usize,
 }
 
 impl History {
-    /// One that remembers so many versions.
-    pub fn new(most: usize) -> History {
-        History { seen: VecDeque::new(), most }
+    /// Creates a history of at capacity `capacity` versions.
+    pub fn new(capacity: usize) -> History {
+        History { entries: VecDeque::new(), capacity }
     }
 
-    /// Notes a version. The same one again replaces what it was.
-    pub fn push(&mut self, seen: VersionDigest) {
-        if self.seen.back().is_some_and(|last| last.version == seen.version) {
-            self.seen.pop_back();
+    /// Appends a version; replaces the last entry if it has the same version.
+    pub fn push(&mut self, entry: VersionDigest) {
+        if self.entries.back().is_some_and(|last| last.version == entry.version) {
+            self.entries.pop_back();
         }
-        self.seen.push_back(seen);
-        if self.seen.len() > self.most {
-            self.seen.pop_front();
+        self.entries.push_back(entry);
+        if self.entries.len() > self.capacity {
+            self.entries.pop_front();
         }
     }
 
-    /// All versions, oldest first.
+    /// Returns all versions, oldest first.
     pub fn iter(&self) -> impl DoubleEndedIterator<Item = &VersionDigest> {
-        self.seen.iter()
+        self.entries.iter()
     }
 
-    /// How far another's epochs are ahead of the ones here, by the latest version that both have followed.
+    /// Returns how far the other's epochs are ahead of the local ones, according to the latest version in both
+    /// histories, or `None` if they have none in common.
     pub fn epoch_offset(&self, other: &[VersionDigest]) -> Option<i64> {
-        let here = |theirs: &VersionDigest| {
-            let mine = self.seen.iter().rev();
+        let matching = |theirs: &VersionDigest| {
+            let mine = self.entries.iter().rev();
             let mut mine = mine.filter(|s| s.version.number == theirs.version.number);
             mine.find(|s| s.digest == theirs.digest).map(|s| (theirs.version.epoch, s.version.epoch))
         };
-        let (theirs, mine) = other.iter().rev().find_map(here)?;
+        let (theirs, mine) = other.iter().rev().find_map(matching)?;
         Some(theirs as i64 - mine as i64)
     }
 }
--- a/crates/plan/src/services/publisher/hints.rs
+++ b/crates/plan/src/services/publisher/hints.rs
@@ -1,7 +1,6 @@
-//! What forwarders have met of servers, summed up for all who use them.
-//!
-//! A hint weighs servers against each other and bans none. It takes two witnesses for a suspicion: what only one forwarder
-//! meets may be its own network.
+//! Aggregation of what forwarders report about servers, sent as hints to all forwarders that use these servers. A
+//! hint shifts load between servers and ejects none. A server is suspected only if two forwarders report it: a
+//! problem seen by one forwarder may be that forwarder's network.
 
 use super::slice::Name;
 use super::{Forwarder, PublishError, Publisher};
@@ -11,69 +10,71 @@
 use laurelroute_policy::interface::{AttemptOutcome, Nanos};
 use std::collections::BTreeMap;
 
-/// Servers that one forwarder may report on; it says the rest when it has dropped some.
-const MOST_REPORTED: usize = 1_024;
-/// Forwarders that have to say so before a server is suspected.
-const WITNESSES: usize = 2;
-/// Share of failures at a forwarder from which it is a witness.
-const FAULTY: f32 = 0.35;
+/// Maximum number of servers that one forwarder may report on. It can report further ones after it has dropped
+/// some.
+const MAX_REPORTED_SERVERS: usize = 1_024;
+/// Minimum number of forwarders that must report a server as failing before it is suspected.
+const MIN_WITNESSES: usize = 2;
+/// Failure rate from which a forwarder counts as a witness against a server.
+const WITNESS_FAILURE_RATE: f32 = 0.35;
 
-/// What one forwarder has met of a server.
+/// One forwarder's observation of a server.
 #[derive(Clone, Copy, Debug, Default)]
-struct Met {
-    accomplished: f32,
-    /// It is out of use there, or fails too often.
-    against: bool,
-    /// No connection came about more often than an answer came.
+struct Observation {
+    score: f32,
+    /// Whether the server is ejected at this forwarder or its failure rate is too high.
+    failing: bool,
+    /// Whether more connection attempts failed than requests succeeded.
     refuses: bool,
 }
 
-/// What is said of one server.
+/// The aggregated reports on one server.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ReportSummary {
-    met: BTreeMap<u32, Met>,
-    /// Sums over all of it.
-    accomplished: f64,
-    against: usize,
+    by_forwarder: BTreeMap<u32, Observation>,
+    /// Sums over all forwarders.
+    score: f64,
+    failing: usize,
     refuses: usize,
     pub(super) grade: u32,
     pub(super) suspicion: Suspicion,
-    /// The number of the last change of it.
-    pub(super) number: u64,
+    /// The hint number of the last change.
+    pub(super) changed_at: u64,
 }
 
 impl ReportSummary {
     pub(super) fn reporters(&self) -> impl Iterator<Item = u32> + '_ {
-        self.met.keys().copied()
+        self.by_forwarder.keys().copied()
     }
 
-    /// Takes what one forwarder has met in place of what it had, `None` for nothing; whether all word on the server together
-    /// makes a difference now. Sums are kept along: many report on one server, each several times a minute.
-    fn hear(&mut self, forwarder: u32, met: Option<Met>) -> bool {
+    /// Replaces a forwarder's observation (`None` removes it) and returns whether the aggregate has changed
+    /// noticeably. The sums are maintained incrementally, since many forwarders report on a server several times a
+    /// minute.
+    fn update(&mut self, forwarder: u32, met: Option<Observation>) -> bool {
         let before = match met {
-            Some(met) => self.met.insert(forwarder, met),
-            None => self.met.remove(&forwarder),
+            Some(met) => self.by_forwarder.insert(forwarder, met),
+            None => self.by_forwarder.remove(&forwarder),
         };
         if let Some(before) = before {
-            self.accomplished -= f64::from(before.accomplished);
-            self.against -= usize::from(before.against);
-            self.refuses -= usize::from(before.against && before.refuses);
+            self.score -= f64::from(before.score);
+            self.failing -= usize::from(before.failing);
+            self.refuses -= usize::from(before.failing && before.refuses);
         }
         if let Some(met) = met {
-            self.accomplished += f64::from(met.accomplished);
-            self.against += usize::from(met.against);
-            self.refuses += usize::from(met.against && met.refuses);
+            self.score += f64::from(met.score);
+            self.failing += usize::from(met.failing);
+            self.refuses += usize::from(met.failing && met.refuses);
         }
-        if self.met.is_empty() {
-            self.accomplished = 0.0;
+        if self.by_forwarder.is_empty() {
+            self.score = 0.0;
         }
-        let suspected = self.against >= WITNESSES && 2 * self.against > self.met.len();
+        let suspected = self.failing >= MIN_WITNESSES && 2 * self.failing > self.by_forwarder.len();
         let suspicion = match suspected {
-            true if 2 * self.refuses > self.against => Suspicion::Refuses,
+            true if 2 * self.refuses > self.failing => Suspicion::Refuses,
             true => Suspicion::Fails,
             false => Suspicion::None,
         };
-        let grade = grade::of(self.accomplished.max(0.0));
+        let grade = grade::of(self.score.max(0.0));
         let differs = grade::differs(self.grade, grade) || suspicion != self.suspicion;
         if differs {
             (self.grade, self.suspicion) = (grade, suspicion);
@@ -83,70 +84,76 @@
 }
 
 impl Publisher {
-    /// What a forwarder has met. Rows name servers; classes and tenants are not looked at here. Nothing of it counts where any
-    /// figure makes no sense.
+    /// Applies a forwarder's report on servers; its class and tenant rates are ignored here. A report with an
+    /// invalid figure is rejected as a whole.
     pub fn report(&mut self, _now: Nanos, name: &str, report: &Report) -> Result<(), PublishError> {
-        let id = self.id_of(name)?;
+        let id = self.forwarder_id(name)?;
         check(report)?;
         for row in &report.rows {
-            self.met(id, &row.name, Some(row));
+            self.apply_report_row(id, &row.name, Some(row));
         }
         for name in &report.dropped {
-            self.met(id, name, None);
+            self.apply_report_row(id, name, None);
         }
         Ok(())
     }
 
-    fn met(&mut self, id: u32, server: &str, seen: Option<&ServerReport>) {
+    fn apply_report_row(&mut self, id: u32, server: &str, seen: Option<&ServerReport>) {
         self.stats.steps += 1;
         let Some((name, _)) = self.servers.get_key_value(server) else { return };
         let name = name.clone();
         let Some(f) = self.forwarders.get_mut(&id) else { return };
         let Some(server) = self.servers.get_mut(&name) else { return };
         match seen {
-            Some(_) if !f.reported.contains(&name) && f.reported.len() >= MOST_REPORTED => return,
-            Some(_) => drop(f.reported.insert(name.clone())),
-            None => drop(f.reported.remove(&name)),
+            Some(_)
+                if !f.reported_servers.contains(&name)
+                    && f.reported_servers.len() >= MAX_REPORTED_SERVERS =>
+            {
+                return
+            }
+            Some(_) => drop(f.reported_servers.insert(name.clone())),
+            None => drop(f.reported_servers.remove(&name)),
         }
-        if server.standing.hear(id, seen.map(met)) {
-            self.say(&name);
+        if server.reports.update(id, seen.map(observation)) {
+            self.announce_hint(&name);
         }
     }
 
-    /// All who use a server hear of what is said of it now.
-    fn say(&mut self, name: &Name) {
+    /// Queues a hint on a server for every forwarder subscribed to one of its services.
+    fn announce_hint(&mut self, name: &Name) {
         let Some(server) = self.servers.get_mut(name) else { return };
-        self.hint += 1;
-        server.standing.number = self.hint;
+        self.last_hint += 1;
+        server.reports.changed_at = self.last_hint;
         for id in &server.services {
             let Some(service) = self.services.get_mut(id) else { continue };
             let k = service.slice_of(name);
-            service.slices[k].hinted = self.hint;
+            service.slices[k].last_hint = self.last_hint;
             for f in &service.slices[k].subscribers {
                 self.stats.steps += 1;
                 if let Some(f) = self.forwarders.get_mut(f) {
-                    f.hints.insert(*id);
+                    f.pending_hints.insert(*id);
                 }
             }
         }
     }
 
-    /// What a forwarder has reported may be of an earlier life.
+    /// Discards a forwarder's reports, which may date from an earlier run of its process.
     pub(super) fn forget_reports(&mut self, id: u32) {
-        let reported = self.forwarders.get_mut(&id).map(|f: &mut Forwarder| std::mem::take(&mut f.reported));
+        let reported =
+            self.forwarders.get_mut(&id).map(|f: &mut Forwarder| std::mem::take(&mut f.reported_servers));
         for name in reported.into_iter().flatten() {
-            if self.servers.get_mut(&name).is_some_and(|server| server.standing.hear(id, None)) {
-                self.say(&name);
+            if self.servers.get_mut(&name).is_some_and(|server| server.reports.update(id, None)) {
+                self.announce_hint(&name);
             }
         }
     }
 }
 
-fn met(seen: &ServerReport) -> Met {
+fn observation(seen: &ServerReport) -> Observation {
     let count = |ending: AttemptOutcome| seen.outcomes.get(ending as usize).copied().unwrap_or(0);
-    Met {
-        accomplished: seen.score,
-        against: seen.ejected || seen.failure_rate >= FAULTY,
+    Observation {
+        score: seen.score,
+        failing: seen.ejected || seen.failure_rate >= WITNESS_FAILURE_RATE,
         refuses: count(AttemptOutcome::ConnectFailed) > count(AttemptOutcome::Ok),
     }
 }
--- a/crates/plan/src/services/publisher/list.rs
+++ b/crates/plan/src/services/publisher/list.rs
@@ -1,9 +1,9 @@
-//! The list of servers, as it changes services.
+//! Applies the server list, and its changes, to the services.
 
 use super::*;
 
 impl Publisher {
-    /// The list has spoken: a whole, or changes to it.
+    /// Applies a full list of servers, or changes to the last one.
     pub fn apply_list(
         &mut self,
         now: Nanos,
@@ -11,23 +11,23 @@
         whole: bool,
         entries: Vec<ListedServer>,
     ) -> Dropped {
-        if self.source.is_none() && !whole {
-            // Changes to a list that is not known: nobody may take the rest for gone.
+        if self.list_version.is_none() && !whole {
+            // Without a base, servers that the changes do not mention must not be taken for removed.
             return Dropped::default();
         }
-        let first = self.source.is_none();
-        let version = self.follow(version);
+        let first = self.list_version.is_none();
+        let version = self.advance_list_version(version);
         let named: BTreeSet<Name> = match whole {
             true => BTreeSet::new(),
             false => entries.iter().map(|e| Name::from(e.member.name.as_str())).collect(),
         };
         let before = named.iter().map(|name| self.listed_digest(name)).fold(0, u64::wrapping_add);
-        // What the list says counts from here on.
+        // The list supersedes what forwarders have reported about these servers.
         match whole {
-            true => self.overruled.clear(),
-            false => entries.iter().for_each(|e| drop(self.overruled.remove(e.member.name.as_str()))),
+            true => self.overrides.clear(),
+            false => entries.iter().for_each(|e| drop(self.overrides.remove(e.member.name.as_str()))),
         }
-        let dropped = self.take(now, (version, true), whole, entries);
+        let dropped = self.apply_entries(now, (version, true), whole, entries);
         let sum = |names: &mut dyn Iterator<Item = &Name>| {
             names.map(|name| self.listed_digest(name)).fold(0, u64::wrapping_add)
         };
@@ -36,29 +36,29 @@
             false => self.list_digest.wrapping_sub(before).wrapping_add(sum(&mut named.iter())),
         };
         self.history.push(VersionDigest { version, digest: self.list_digest });
-        // Those who held a later list than this one was.
-        let waiting: Vec<u32> = self.waiting.iter().copied().collect();
-        waiting.into_iter().for_each(|f| self.look_at_later(now, f));
+        // Unblocks the subscriptions that waited for this list version.
+        let waiting: Vec<u32> = self.blocked_forwarders.iter().copied().collect();
+        waiting.into_iter().for_each(|f| self.unblock_subscriptions(now, f));
         if first {
-            self.hear_early(now);
+            self.process_deferred_interests(now);
         }
         dropped
     }
 
-    /// The list has come to this number. Where it goes back, its source has started anew, and another epoch begins.
-    fn follow(&mut self, number: u64) -> ListVersion {
-        let epoch = match self.source {
+    /// Advances to this version number. If the number goes back, the source has restarted and a new epoch begins.
+    fn advance_list_version(&mut self, number: u64) -> ListVersion {
+        let epoch = match self.list_version {
             None => 0,
             Some(before) => before.epoch + u64::from(number < before.number),
         };
         let version = ListVersion { epoch, number };
-        self.source = Some(version);
+        self.list_version = Some(version);
         version
     }
 
-    /// What a server adds to the digest of the list, as the list told it.
+    /// Returns a server's contribution to the digest of the list, as the list describes it.
     fn listed_digest(&self, name: &str) -> u64 {
-        if let Some((_, own)) = self.overruled.get(name) {
+        if let Some((_, own)) = self.overrides.get(name) {
             return digest::entry_digest(
                 digest::member_digest(&own.member),
                 own.services.iter().map(String::as_str),
@@ -69,31 +69,31 @@
         digest::entry_digest(server.digest, services.map(|service| &*service.name))
     }
 
-    /// There is a list now: what was asked for before can be told.
-    fn hear_early(&mut self, now: Nanos) {
+    /// Processes the interests received before the first list.
+    fn process_deferred_interests(&mut self, now: Nanos) {
         let ids: Vec<u32> = self.forwarders.keys().copied().collect();
         for id in ids {
-            self.compare_histories(id);
-            let early = self.forwarders.get_mut(&id).map(|f| std::mem::take(&mut f.early));
+            self.determine_epoch_offset(id);
+            let early = self.forwarders.get_mut(&id).map(|f| std::mem::take(&mut f.deferred_interests));
             for interest in early.into_iter().flatten() {
-                // They were counted as they came.
-                let _ = self.interested(now, id, &interest);
+                // The limit was checked when the interest was received.
+                let _ = self.add_subscription(now, id, &interest);
             }
-            self.stirred.insert(id);
+            self.ready_forwarders.insert(id);
         }
     }
 
-    /// `told` says that the list did; else others' word of it is ahead of the list here.
-    pub(super) fn take(
+    /// Applies entries to the services. `from_list` is false for entries that a forwarder knows from a later list.
+    pub(super) fn apply_entries(
         &mut self,
         now: Nanos,
-        (version, told): (ListVersion, bool),
+        (version, from_list): (ListVersion, bool),
         whole: bool,
         entries: Vec<ListedServer>,
     ) -> Dropped {
         self.batch += 1;
         let mut dropped = Dropped::default();
-        // Of a change and its opposite in one word the last one counts.
+        // If a batch has several entries for one server, the last one applies.
         let mut last: BTreeMap<&str, usize> = BTreeMap::new();
         entries.iter().enumerate().for_each(|(k, e)| {
             last.insert(&e.member.name, k);
@@ -106,20 +106,20 @@
             if name.is_empty() || name.len() > MAX_NAME_BYTES {
                 dropped.names += 1;
             } else if keep {
-                self.take_one(entry, &mut touched, &mut dropped);
+                self.apply_entry(entry, &mut touched, &mut dropped);
             }
         }
         if whole {
             let batch = self.batch;
-            let absent = self.servers.iter().filter(|(_, s)| s.named != batch);
+            let absent = self.servers.iter().filter(|(_, s)| s.listed_in_batch != batch);
             let absent: Vec<Name> = absent.map(|(name, _)| name.clone()).collect();
-            absent.into_iter().for_each(|name| self.remove(&name, &mut touched));
+            absent.into_iter().for_each(|name| self.remove_server(&name, &mut touched));
         }
-        self.end_batch(now, (version, told), touched);
+        self.finish_batch(now, (version, from_list), touched);
         dropped
     }
 
-    fn take_one(
+    fn apply_entry(
         &mut self,
         ListedServer { services, member }: ListedServer,
         touched: &mut BTreeSet<(u32, usize)>,
@@ -128,14 +128,14 @@
         self.stats.steps += 1;
         let known = self.servers.get_key_value(member.name.as_str()).map(|(name, _)| name.clone());
         if member.server.phase == Phase::Removed {
-            return known.into_iter().for_each(|name| self.remove(&name, touched));
+            return known.into_iter().for_each(|name| self.remove_server(&name, touched));
         }
         if known.is_none() && self.servers.len() >= MAX_SERVERS {
             dropped.servers += 1;
             return;
         }
         let name = known.unwrap_or_else(|| Arc::from(member.name.as_str()));
-        let ids = self.ids_of(services, dropped);
+        let ids = self.service_ids_for(services, dropped);
         let digest = digest::member_digest(&member);
         let closed = member.server.phase != Phase::Ready;
         let batch = self.batch;
@@ -145,28 +145,30 @@
             None => (false, Vec::new()),
         };
         match before {
-            Some(s) => (s.member, s.digest, s.named, s.services) = (member, digest, batch, ids.clone()),
+            Some(s) => {
+                (s.member, s.digest, s.listed_in_batch, s.services) = (member, digest, batch, ids.clone())
+            }
             None => {
                 let server = Server {
                     member,
                     services: ids.clone(),
                     digest,
-                    named: batch,
-                    standing: ReportSummary::default(),
+                    listed_in_batch: batch,
+                    reports: ReportSummary::default(),
                 };
                 self.servers.insert(name.clone(), server);
             }
         }
         for &id in former.iter().filter(|id| !ids.contains(id)) {
-            self.put(id, &name, (false, false, 0), touched);
+            self.update_row(id, &name, (false, false, 0), touched);
         }
         for &id in ids.iter().filter(|id| !same || !former.contains(id)) {
-            self.put(id, &name, (true, closed, digest), touched);
+            self.update_row(id, &name, (true, closed, digest), touched);
         }
     }
 
-    /// The numbers of services by their names; new ones are made.
-    fn ids_of(&mut self, services: Vec<String>, dropped: &mut Dropped) -> Vec<u32> {
+    /// Returns the ids of services by name, creating services that do not exist.
+    fn service_ids_for(&mut self, services: Vec<String>, dropped: &mut Dropped) -> Vec<u32> {
         let mut ids = Vec::with_capacity(services.len().max(1));
         let unnamed = services.is_empty().then(String::new);
         for name in services.into_iter().chain(unnamed) {
@@ -174,26 +176,27 @@
                 dropped.names += 1;
                 continue;
             }
-            if self.services.len() >= MAX_SERVICES && !self.by_name.contains_key(name.as_str()) {
-                self.forget_all_unused();
+            if self.services.len() >= MAX_SERVICES && !self.service_ids.contains_key(name.as_str()) {
+                self.drop_unused_services();
             }
-            let id = match self.by_name.get(name.as_str()) {
+            let id = match self.service_ids.get(name.as_str()) {
                 Some(&id) => id,
                 None if self.services.len() >= MAX_SERVICES => {
                     dropped.services += 1;
                     continue;
                 }
                 None => {
-                    let (id, name) = (self.next_service, Name::from(name));
-                    self.next_service += 1;
-                    self.by_name.insert(name.clone(), id);
-                    // A slice's version grows by two a batch at most, where it is cut anew in it.
+                    let (id, name) = (self.next_service_id, Name::from(name));
+                    self.next_service_id += 1;
+                    self.service_ids.insert(name.clone(), id);
+                    // The version of a slice grows by at most two per batch, namely when the service is divided
+                    // anew in it.
                     let first = 2 * self.batch + 4;
                     self.services.insert(id, Service::new(name, first));
                     id
                 }
             };
-            if ids.len() >= MOST_SERVED {
+            if ids.len() >= MAX_SERVICES_PER_SERVER {
                 dropped.services += 1;
             } else if !ids.contains(&id) {
                 ids.push(id);
@@ -202,19 +205,19 @@
         ids
     }
 
-    fn remove(&mut self, name: &Name, touched: &mut BTreeSet<(u32, usize)>) {
+    fn remove_server(&mut self, name: &Name, touched: &mut BTreeSet<(u32, usize)>) {
         let Some(server) = self.servers.remove(name) else { return };
-        for f in server.standing.reporters() {
-            self.forwarders.get_mut(&f).map(|f| f.reported.remove(name));
+        for f in server.reports.reporters() {
+            self.forwarders.get_mut(&f).map(|f| f.reported_servers.remove(name));
         }
-        server.services.into_iter().for_each(|id| self.put(id, name, (false, false, 0), touched));
+        server.services.into_iter().for_each(|id| self.update_row(id, name, (false, false, 0), touched));
     }
 
-    fn put(
+    fn update_row(
         &mut self,
         id: u32,
         name: &Name,
-        (there, closed, digest): (bool, bool, u64),
+        (present, closed, digest): (bool, bool, u64),
         touched: &mut BTreeSet<(u32, usize)>,
     ) {
         let Some(service) = self.services.get_mut(&id) else { return };
@@ -224,121 +227,132 @@
             slice.batch = self.batch;
             slice.version += 1;
         }
-        slice.put(name, there, closed, digest);
+        slice.set_row(name, present, closed, digest);
         touched.insert((id, k));
         self.stats.steps += 1;
     }
 
-    /// Tells all who use what has changed, once for all of a word.
-    fn end_batch(
+    /// Notifies the subscribers of all slices that have changed, once per batch.
+    fn finish_batch(
         &mut self,
         now: Nanos,
-        (source, told): (ListVersion, bool),
+        (source, from_list): (ListVersion, bool),
         touched: BTreeSet<(u32, usize)>,
     ) {
         let batch = self.batch;
-        let mut record =
-            Record { listed_at: now, source: source.number, touched: Vec::new(), waiting: 0, since: None };
+        let mut record = ChangeRecord {
+            listed_at: now,
+            list_number: source.number,
+            affected: Vec::new(),
+            pending: 0,
+            completed_at: None,
+        };
         let mut cut: BTreeSet<u32> = BTreeSet::new();
         for (id, k) in touched {
             let Some(service) = self.services.get_mut(&id) else { continue };
-            if let Some(number) = service.other_number() {
+            if let Some(number) = service.desired_slice_count() {
                 cut.insert(id);
-                self.cut(id, number, source);
+                self.reslice(id, number, source);
             }
             if cut.contains(&id) {
                 continue;
             }
-            self.services.get_mut(&id).into_iter().for_each(|s| s.slices[k].log(source, batch));
-            self.tell(id, k, &mut record);
+            self.services.get_mut(&id).into_iter().for_each(|s| s.slices[k].log_version(source, batch));
+            self.notify_subscribers(id, k, &mut record);
         }
         for id in cut {
             let number = self.services.get(&id).map_or(0, |s| s.slices.len());
-            (0..number).for_each(|k| self.tell(id, k, &mut record));
+            (0..number).for_each(|k| self.notify_subscribers(id, k, &mut record));
         }
-        if record.touched.is_empty() {
-            // A version that comes again, after the source's restart, no longer says what it said.
-            if told {
-                self.batches.remove(&source.number);
+        if record.affected.is_empty() {
+            // After a restart of the source, a version number may return with another meaning.
+            if from_list {
+                self.batch_by_version.remove(&source.number);
             }
             return;
         }
-        record.since = (record.waiting == 0).then_some(now);
-        self.records.insert(batch, record);
-        if told {
-            self.batches.insert(source.number, batch);
+        record.completed_at = (record.pending == 0).then_some(now);
+        self.changes.insert(batch, record);
+        if from_list {
+            self.batch_by_version.insert(source.number, batch);
         }
-        while self.records.len() > MOST_RECORDS {
-            let Some((old, record)) = self.records.pop_first() else { break };
-            if self.batches.get(&record.source) == Some(&old) {
-                self.batches.remove(&record.source);
+        while self.changes.len() > MAX_RECORDED_CHANGES {
+            let Some((old, record)) = self.changes.pop_first() else { break };
+            if self.batch_by_version.get(&record.list_number) == Some(&old) {
+                self.batch_by_version.remove(&record.list_number);
             }
-            record.touched.iter().for_each(|(id, ..)| self.forget_unused(*id));
+            record.affected.iter().for_each(|(id, ..)| self.drop_unused_service(*id));
         }
     }
 
-    /// Forgets a service that has no servers and no subscribers, once no change of it is followed any longer. Until then a
-    /// forwarder may come that still holds what it was, and that has to count as lacking the change that emptied it.
-    pub(super) fn forget_unused(&mut self, id: u32) {
-        let Some(service) = self.services.get(&id).filter(|service| service.unused()) else { return };
-        if self.records.contains_key(&service.last_batch()) {
+    /// Drops a service that has neither servers nor subscribers, once no recorded change affects it. Until then, a
+    /// forwarder that still holds the service may reconnect and must count as lacking the change that emptied it.
+    pub(super) fn drop_unused_service(&mut self, id: u32) {
+        let Some(service) = self.services.get(&id).filter(|service| service.is_unused()) else { return };
+        if self.changes.contains_key(&service.last_batch()) {
             return;
         }
-        self.by_name.remove(&service.name);
+        self.service_ids.remove(&service.name);
         self.services.remove(&id);
     }
 
-    /// Forgets all services without servers and subscribers, to make room for others.
-    fn forget_all_unused(&mut self) {
-        let unused = self.services.iter().filter(|(_, service)| service.unused());
+    /// Drops every service without servers and subscribers to make room for new ones.
+    fn drop_unused_services(&mut self) {
+        let unused = self.services.iter().filter(|(_, service)| service.is_unused());
         let unused: Vec<u32> = unused.map(|(id, _)| *id).collect();
         for id in unused {
             let service = self.services.remove(&id);
-            service.map(|service| self.by_name.remove(&service.name));
+            service.map(|service| self.service_ids.remove(&service.name));
         }
     }
 
-    fn tell(&mut self, id: u32, k: usize, record: &mut Record) {
+    fn notify_subscribers(&mut self, id: u32, k: usize, record: &mut ChangeRecord) {
         let Some(service) = self.services.get_mut(&id) else { return };
         let slices = service.slices.len();
         let slice = &mut service.slices[k];
-        slice.fewer();
+        slice.lower_announced_count();
         let urgent = slice.urgent.last().is_some_and(|(changed, _)| *changed == slice.version);
-        record.touched.push((id, k, slices));
-        record.waiting += slice.subscribers.len();
+        record.affected.push((id, k, slices));
+        record.pending += slice.subscribers.len();
         for f in &slice.subscribers {
             self.stats.steps += 1;
             let Some(f_) = self.forwarders.get_mut(f) else { continue };
             let Some(s) = f_.subscriptions.get_mut(&id) else { continue };
-            if s.owes.len() >= MOST_OWED {
-                s.owes.pop_front();
+            if s.unacknowledged.len() >= MAX_UNACKNOWLEDGED_CHANGES {
+                s.unacknowledged.pop_front();
             }
-            s.owes.push_back((slice.version, self.batch));
-            f_.dirty.insert(id);
+            s.unacknowledged.push_back((slice.version, self.batch));
+            f_.pending.insert(id);
             if urgent {
                 f_.urgent.insert(id);
             }
-            self.stirred.insert(*f);
+            self.ready_forwarders.insert(*f);
         }
     }
 
-    /// Cuts a service into so many slices; all who use it are dealt to them anew and get their slice whole.
-    pub(super) fn cut(&mut self, id: u32, number: usize, source: ListVersion) {
+    /// Divides a service into `number` slices. Its subscribers are reassigned and each receives a snapshot of its
+    /// slice.
+    pub(super) fn reslice(&mut self, id: u32, number: usize, source: ListVersion) {
         let Some(service) = self.services.get_mut(&id) else { return };
         let users: BTreeSet<u32> =
             service.slices.iter().flat_map(|s| s.subscribers.iter().copied()).collect();
         let former = service.slices.len();
-        service.cut(number, source, self.batch);
+        service.reslice(number, source, self.batch);
         for user in users {
             let Some(f) = self.forwarders.get_mut(&user) else { continue };
             let Some(s) = f.subscriptions.get_mut(&id) else { continue };
-            let k = service.choose(&f.name, (s.slice, former));
-            let owes = std::mem::take(&mut s.owes);
-            *s = Subscription { owes, stale: s.stale, later: s.later, ..Subscription::whole(k) };
+            let k = service.choose_slice(&f.name, (s.slice, former));
+            let unacknowledged = std::mem::take(&mut s.unacknowledged);
+            *s = Subscription {
+                unacknowledged,
+                stale: s.stale,
+                blocked_until: s.blocked_until,
+                ..Subscription::from_snapshot(k)
+            };
             service.slices[k].subscribers.insert(user);
-            f.dirty.insert(id);
+            f.pending.insert(id);
             f.urgent.insert(id);
-            self.stirred.insert(user);
+            self.ready_forwarders.insert(user);
         }
     }
 }
--- a/crates/plan/src/services/publisher/mod.rs
+++ b/crates/plan/src/services/publisher/mod.rs
@@ -1,13 +1,14 @@
-//! A planner's side: the list in, changes of services out, and where each change is in force.
+//! The planner's side of service subscriptions: applies the server list, sends changes to subscribers and tracks
+//! which forwarders have acknowledged each change.
 //!
-//! All state is soft. Work follows changes: one of a server costs what the subscribers of its slice cost, a forwarder's
-//! word costs what it names, and a beat costs its message. Nothing walks over all services, servers or forwarders but a
-//! whole list, which names them all.
+//! All state is soft. The cost follows the changes: a change to a server costs as much as its slice has
+//! subscribers, a message from a forwarder as much as it names, and a heartbeat one message. Only a full list,
+//! which names every server, makes the planner visit all services, servers or forwarders.
 
-mod force;
 mod forwarders;
 mod hints;
 mod list;
+mod rollout;
 mod slice;
 mod stream;
 
@@ -27,141 +28,142 @@
 
 const MS: Nanos = 1_000_000;
 const S: Nanos = 1_000 * MS;
-/// Services held at most.
+/// Maximum number of services.
 pub const MAX_SERVICES: usize = 50_000;
-/// Servers held at most.
+/// Maximum number of servers.
 pub const MAX_SERVERS: usize = 1_000_000;
-/// Services that one server may serve.
-const MOST_SERVED: usize = 64;
-/// Services that one forwarder may subscribe to.
+/// Maximum number of services that one server may belong to.
+const MAX_SERVICES_PER_SERVER: usize = 64;
+/// Maximum number of services that one forwarder may subscribe to.
 pub const MAX_SUBSCRIPTIONS: usize = 16_384;
-/// A forwarder that has connected says anew what it wants, and when that was all; what it has not named again by then, or
-/// within this, it no longer wants.
-const ANEW: Nanos = 30 * S;
-/// A forwarder that is lost lags for so long; then it is no longer one of the fleet.
+/// Time within which a forwarder that has connected renews its subscriptions, unless it says earlier that it has
+/// sent them all. Those not renewed by then are removed.
+const RESUBSCRIBE_TIMEOUT: Nanos = 30 * S;
+/// Time after which a disconnected forwarder is forgotten. Until then it counts as lagging.
 pub const FORWARDER_EXPIRY: Nanos = 600 * S;
-/// A forwarder that holds a later list than this planner keeps it; where this planner's list does not come up to it within this,
-/// the source has lost its versions, and the earlier one counts.
+/// Time for which a forwarder keeps its state if it comes from a later list than this planner's. If the planner's
+/// list has not caught up by then, the source has lost its versions and the planner's list becomes authoritative.
 pub const STALE_LIST_TIMEOUT: Nanos = 10 * S;
-/// Changes of the list whose being in force is followed.
-const MOST_RECORDS: usize = 4_096;
-/// Changes that one subscription may owe; of further ones the first are never counted as in force there.
-const MOST_OWED: usize = 256;
-/// Something is said to each forwarder at least this often.
+/// Maximum number of list changes whose rollout is tracked.
+const MAX_RECORDED_CHANGES: usize = 4_096;
+/// Maximum number of unacknowledged changes tracked per subscription. When there are more, the oldest ones are
+/// dropped and never count as acknowledged there.
+const MAX_UNACKNOWLEDGED_CHANGES: usize = 256;
+/// Maximum time between two messages to a forwarder.
 pub const HEARTBEAT_INTERVAL: Nanos = 1_000 * MS;
 
-/// What a publisher is told at its start.
+/// Settings of a [`Publisher`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The installation.
+    /// Name of the installation.
     pub site: String,
-    /// When this life began, Unix time in milliseconds: of two lives the later one counts.
+    /// Start time of this planner process, Unix time in milliseconds. Of two incarnations the later one is valid.
     pub incarnation: u64,
-    /// Planners of this installation, running or not.
+    /// Number of planners of this installation, running or not.
     pub planners: u32,
-    /// Forwarders that this planner takes at most; further ones are sent to another.
+    /// Maximum number of connected forwarders. Further ones are refused and try another planner.
     pub max_forwarders: usize,
-    /// Bytes a second to one forwarder.
+    /// Rate limit for updates to one forwarder, in bytes per second.
     pub bytes_per_second: f64,
-    /// Bytes beyond that at once, after a rest.
+    /// Bytes that may be sent at once after an idle period.
     pub burst: f64,
-    /// The same for drains and leavings, which go ahead of all else.
+    /// Additional rate for drains and removals, which are sent before everything else, in bytes per second.
     pub drain_bytes_per_second: f64,
-    /// See `drain_bytes_per_second`.
+    /// Bytes of drains and removals that may be sent at once, in addition to `burst`.
     pub drain_burst: f64,
 }
 
-/// One server of the list, with the services that it serves; none is the service without a name.
+/// A server of the list and the services that it belongs to. No service stands for the service without a name.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedServer {
-    /// The services.
+    /// Names of the services.
     pub services: Vec<String>,
     /// The server.
     pub member: Member,
 }
 
-/// What of a list could not be taken in, for the log: nothing is dropped in silence.
+/// Counts of the list entries that were dropped, for the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Dropped {
     /// Servers beyond the limit.
     pub servers: usize,
     /// Services beyond the limit.
     pub services: usize,
-    /// Names that are too long or empty.
+    /// Names that are empty or too long.
     pub names: usize,
 }
 
-/// Word of a forwarder that cannot be used.
+/// Reasons to refuse a forwarder or its message.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PublishError {
-    /// Nobody of this name has joined.
+    /// No forwarder of this name is registered.
     #[error("`{0}` has not joined")]
     NotConnected(String),
-    /// There are as many forwarders as this planner takes.
+    /// The maximum number of forwarders is connected.
     #[error("{0} forwarders are here already")]
     AtCapacity(usize),
     /// A name is empty or too long.
     #[error("a name of {0} bytes")]
     InvalidName(usize),
-    /// More interests than one forwarder may have.
+    /// The forwarder has more subscriptions than allowed.
     #[error("over {0} services for one forwarder")]
     TooManySubscriptions(usize),
-    /// It has acknowledged nothing for too long.
+    /// The forwarder has not acknowledged an update in time.
     #[error("nothing was acknowledged for {0} s")]
     Unresponsive(u64),
-    /// A report makes no sense.
+    /// A report holds an invalid value.
     #[error("{0}")]
     Report(#[from] ReportError),
 }
 
-/// Where a change of the list is in force.
+/// Rollout of a list change to the subscribed forwarders.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RolloutStatus {
-    /// When the list told it.
+    /// When this planner received the change.
     pub listed_at: Nanos,
-    /// Forwarders that use what it changed, counted once a service.
+    /// Number of subscriptions to the services that the change affects.
     pub subscriptions: usize,
-    /// Those of them that have acknowledged it.
+    /// Number of those subscriptions that have acknowledged the change.
     pub acknowledged: usize,
-    /// When the last of them had, if all have.
+    /// When the last acknowledgement arrived, if all have arrived.
     pub completed_at: Option<Nanos>,
-    /// Some of those that lag, and why.
+    /// Some of the lagging forwarders, and why each one lags.
     pub lagging: Vec<(String, LagReason)>,
 }
 
 /// Why a forwarder lags.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LagReason {
-    /// It is not connected, since then.
+    /// It has been disconnected since this time.
     Disconnected(Nanos),
-    /// It has been sent the change and has not acknowledged it.
+    /// The change was sent and has not been acknowledged.
     Unacknowledged,
-    /// Its bytes are used up for now.
+    /// Its rate limit delays the change.
     Throttled,
     /// It holds a later list than this planner.
     NewerList,
 }
 
-/// Counts for measurements.
+/// Counters for measurements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// Services held.
+    /// Services that have servers or subscribers.
     pub services: usize,
-    /// Servers held.
+    /// Servers.
     pub servers: usize,
-    /// Forwarders connected.
+    /// Connected forwarders.
     pub forwarders: usize,
     /// Subscriptions of all forwarders.
     pub subscriptions: usize,
-    /// Servers that have left and are still remembered, counted once a service.
+    /// Removed servers that are still remembered, counted once per service.
     pub removed_servers: usize,
-    /// Wholes sent so far.
+    /// Snapshots sent.
     pub snapshots: u64,
-    /// Updates sent so far.
+    /// Updates sent.
     pub updates: u64,
-    /// Bytes of updates sent so far.
+    /// Bytes of updates sent.
     pub bytes: u64,
-    /// Servers and subscriptions looked at so far: what changes cost, counted.
+    /// Servers and subscriptions visited, as a measure of the cost of changes.
     pub steps: u64,
 }
 
@@ -170,183 +172,186 @@
     member: Member,
     services: Vec<u32>,
     digest: u64,
-    /// The whole list that last named it.
-    named: u64,
-    standing: ReportSummary,
+    /// The batch of the last full list that named the server.
+    listed_in_batch: u64,
+    reports: ReportSummary,
 }
 
-/// How far one forwarder has been told of one slice.
+/// How much of a slice has been sent to one forwarder.
 #[derive(Clone, Debug)]
 struct Subscription {
     slice: usize,
-    /// All changes up to this one have been sent.
-    sent: (u64, Option<Name>),
-    /// Of those that take nothing new, all up to this one.
-    ahead: (u64, Option<Name>),
-    /// The version that it holds once all that was sent is taken in; `None` until a whole is.
-    held: Option<u64>,
-    /// A whole is under way, begun at this version.
-    whole: Option<u64>,
-    /// What it holds has this digest and is what the slice had; it only has to be told the version.
-    same: Option<u64>,
+    /// Position in the order of changes up to which everything has been sent.
+    sent_up_to: (u64, Option<Name>),
+    /// Position up to which drains and removals have been sent.
+    urgent_sent_up_to: (u64, Option<Name>),
+    /// The version that the forwarder will hold once it has applied everything sent; `None` until a complete
+    /// snapshot has been sent.
+    sent_version: Option<u64>,
+    /// The version at which the snapshot in progress began.
+    snapshot_version: Option<u64>,
+    /// Digest to confirm: the forwarder already holds the slice's present state and only needs the version.
+    confirmed_digest: Option<u64>,
     /// Hints up to this number have been sent.
-    hinted: u64,
-    acknowledged: Option<u64>,
-    /// Changes that it has not acknowledged: the slice's version and the batch.
-    owes: VecDeque<(u64, u64)>,
-    /// Nothing is sent before the list has come to this version, or until then.
-    later: Option<(ListVersion, Nanos)>,
-    /// It has not been named since the forwarder connected.
+    last_hint: u64,
+    acknowledged_version: Option<u64>,
+    /// Changes not yet acknowledged: the slice version and the batch of each.
+    unacknowledged: VecDeque<(u64, u64)>,
+    /// Nothing is sent until the planner's list reaches this version or this time has passed.
+    blocked_until: Option<(ListVersion, Nanos)>,
+    /// Whether the subscription has not been renewed since the forwarder connected.
     stale: bool,
-    /// The number of subscribers that it was told last.
-    told: u32,
+    /// The subscriber count last sent to the forwarder.
+    announced_subscribers: u32,
 }
 
 #[derive(Clone, Debug)]
 struct Forwarder {
     name: String,
     zone: u8,
-    /// Since when it is not connected.
-    left_at: Option<Nanos>,
+    /// When the forwarder disconnected; `None` while it is connected.
+    disconnected_at: Option<Nanos>,
     /// When it last connected.
-    joined_at: Nanos,
+    connected_at: Nanos,
     subscriptions: BTreeMap<u32, Subscription>,
-    /// Services of which it has been told nothing yet, in the order in which it named them.
-    fresh: VecDeque<u32>,
-    /// Services of which there is more to tell.
-    dirty: BTreeSet<u32>,
-    /// The service that was told of last, for taking turns.
-    turn: u32,
-    /// Services with drains or leavings that it has not been told of.
+    /// Services not sent at all so far, in the order of subscription.
+    new_services: VecDeque<u32>,
+    /// Services with changes to send.
+    pending: BTreeSet<u32>,
+    /// The service last sent from `pending`, for round-robin order.
+    last_served: u32,
+    /// Services with drains or removals to send.
     urgent: BTreeSet<u32>,
-    /// Services with hints that it has not been told of.
-    hints: BTreeSet<u32>,
-    /// Services that it has asked for and that do not exist.
-    absent: BTreeSet<String>,
-    /// What it wants, as long as there is no list to tell of.
-    early: Vec<Interest>,
-    /// What it has followed of the list, as it came; kept as long as there is no list here.
-    followed: Vec<VersionDigest>,
-    /// How far its epochs are ahead of the own ones; not known before it has said what it has followed.
-    epochs_ahead: Option<i64>,
+    /// Services with hints to send.
+    pending_hints: BTreeSet<u32>,
+    /// Names of requested services that do not exist, to be sent.
+    unknown_services: BTreeSet<String>,
+    /// Interests received before the first list.
+    deferred_interests: Vec<Interest>,
+    /// List versions that the forwarder has followed, kept until this planner has a list.
+    version_history: Vec<VersionDigest>,
+    /// How far the forwarder's epochs are ahead of the local ones; `None` until its version history is known.
+    epoch_offset: Option<i64>,
     /// Servers that it has reported on.
-    reported: BTreeSet<Name>,
+    reported_servers: BTreeSet<Name>,
     tokens: f64,
     drain_tokens: f64,
-    tokens_at: Nanos,
-    number: u64,
-    /// Updates that are not acknowledged: number, when, and the versions that they bring.
-    under_way: VecDeque<UnderWay>,
-    sent_at: Nanos,
+    refilled_at: Nanos,
+    last_update: u64,
+    /// Updates that have not been acknowledged, oldest first.
+    in_flight: VecDeque<UpdateInFlight>,
+    last_sent_at: Nanos,
 }
 
-/// Services, and for each the version that is held once an update is taken in, where it brings one.
+/// Services with the version that an update brings each of them to, if it completes one.
 type Versions = Vec<(u32, Option<u64>)>;
 
-/// An update that is not acknowledged: its number, when it was sent, and what it brings.
-type UnderWay = (u64, Nanos, Versions);
+/// An unacknowledged update: its number, the time it was sent, and the versions that it carries.
+type UpdateInFlight = (u64, Nanos, Versions);
 
-/// Where a change of the list is on its way.
+/// Rollout state of a list change.
 #[derive(Clone, Debug)]
-struct Record {
+struct ChangeRecord {
     listed_at: Nanos,
-    source: u64,
-    /// Service, slice, and how many slices there were.
-    touched: Vec<(u32, usize, usize)>,
-    /// Subscriptions that have not acknowledged it.
-    waiting: usize,
-    since: Option<Nanos>,
+    list_number: u64,
+    /// Service, slice index, and number of slices at the time of the change.
+    affected: Vec<(u32, usize, usize)>,
+    /// Number of subscriptions that have not acknowledged the change.
+    pending: usize,
+    completed_at: Option<Nanos>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    /// What a forwarder has not named again.
-    Stale(u32),
-    /// A lost forwarder.
-    Forget(u32),
-    /// A forwarder that holds a later list.
-    Later(u32),
-    /// Servers that were closed by others' word.
-    Overruled,
+enum Timer {
+    /// Remove a forwarder's subscriptions that were not renewed.
+    RemoveStale(u32),
+    /// Forget a disconnected forwarder.
+    ForgetForwarder(u32),
+    /// Check the subscriptions of a forwarder that holds a later list.
+    Unblock(u32),
+    /// Expire the closings that forwarders reported from a later list.
+    ExpireOverrides,
 }
 
-/// One planner's services and their subscribers.
+/// The services of one planner and their subscribers.
 #[derive(Clone, Debug)]
 pub struct Publisher {
     settings: Settings,
-    source: Option<ListVersion>,
-    /// Versions of the list that were told here.
+    list_version: Option<ListVersion>,
+    /// List versions that this planner has applied.
     history: History,
-    /// The digest of the list as it was told, whatever others' word says of its servers.
+    /// Digest of the list as received, without the closings that forwarders reported.
     list_digest: u64,
     servers: BTreeMap<Name, Server>,
     services: BTreeMap<u32, Service>,
-    by_name: BTreeMap<Name, u32>,
-    next_service: u32,
+    service_ids: BTreeMap<Name, u32>,
+    next_service_id: u32,
     forwarders: BTreeMap<u32, Forwarder>,
     forwarder_ids: BTreeMap<String, u32>,
-    next_forwarder: u32,
+    next_forwarder_id: u32,
     connected: usize,
-    /// Forwarders that wait for the list to come to a version.
-    waiting: BTreeSet<u32>,
-    /// Changes of the list by the batch that took them in, and the batch of each version: versions may come again.
-    records: BTreeMap<u64, Record>,
-    batches: BTreeMap<u64, u64>,
-    /// Servers that are closed here by others' word of a later list, as the own list has them, and until when that counts.
-    overruled: BTreeMap<Name, (Nanos, ListedServer)>,
-    due: BTreeSet<(Nanos, Due)>,
-    stirred: BTreeSet<u32>,
+    /// Forwarders with subscriptions that wait for a list version.
+    blocked_forwarders: BTreeSet<u32>,
+    /// Recorded list changes by batch, and the batch of each list version. Version numbers may repeat, batches do
+    /// not.
+    changes: BTreeMap<u64, ChangeRecord>,
+    batch_by_version: BTreeMap<u64, u64>,
+    /// Servers closed on the report of a forwarder with a later list: the expiry of the override, and the entry of
+    /// the own list.
+    overrides: BTreeMap<Name, (Nanos, ListedServer)>,
+    timers: BTreeSet<(Nanos, Timer)>,
+    ready_forwarders: BTreeSet<u32>,
     batch: u64,
-    /// Counts what is said of servers.
-    hint: u64,
+    /// The number of the last hint.
+    last_hint: u64,
     stats: Stats,
 }
 
 impl Publisher {
-    /// A publisher that knows nothing yet. It says nothing of services before the first list.
+    /// Creates a publisher. It sends nothing about services until it has received a list.
     pub fn new(_now: Nanos, settings: Settings) -> Self {
         Publisher {
             settings,
-            source: None,
-            history: History::new(MOST_RECORDS),
+            list_version: None,
+            history: History::new(MAX_RECORDED_CHANGES),
             list_digest: 0,
             servers: BTreeMap::new(),
             services: BTreeMap::new(),
-            by_name: BTreeMap::new(),
-            next_service: 0,
+            service_ids: BTreeMap::new(),
+            next_service_id: 0,
             forwarders: BTreeMap::new(),
             forwarder_ids: BTreeMap::new(),
-            next_forwarder: 0,
+            next_forwarder_id: 0,
             connected: 0,
-            waiting: BTreeSet::new(),
-            records: BTreeMap::new(),
-            batches: BTreeMap::new(),
-            overruled: BTreeMap::new(),
-            due: BTreeSet::new(),
-            stirred: BTreeSet::new(),
+            blocked_forwarders: BTreeSet::new(),
+            changes: BTreeMap::new(),
+            batch_by_version: BTreeMap::new(),
+            overrides: BTreeMap::new(),
+            timers: BTreeSet::new(),
+            ready_forwarders: BTreeSet::new(),
             batch: 0,
-            hint: 0,
+            last_hint: 0,
             stats: Stats::default(),
         }
     }
 
-    /// The version of the list that it goes by.
+    /// Returns the number of the list version in use.
     pub fn source(&self) -> Option<u64> {
-        self.source.map(|source| source.number)
+        self.list_version.map(|source| source.number)
     }
 
-    /// The same with the epoch of that version.
+    /// Returns the list version in use, with its epoch.
     pub fn list_version(&self) -> Option<ListVersion> {
-        self.source
+        self.list_version
     }
 
-    /// Counts for measurements. Walks over all services.
+    /// Returns counters for measurements. Visits all services.
     pub fn stats(&self) -> Stats {
         let subscriptions = self.forwarders.values().map(|f| f.subscriptions.len()).sum();
         let slices = self.services.values().flat_map(|s| &s.slices);
         Stats {
             removed_servers: slices.map(|s| s.rows.len() - s.size).sum(),
-            services: self.services.values().filter(|service| !service.unused()).count(),
+            services: self.services.values().filter(|service| !service.is_unused()).count(),
             servers: self.servers.len(),
             forwarders: self.connected,
             subscriptions,
@@ -354,96 +359,98 @@
         }
     }
 
-    /// A service's servers, by name, as this planner has them, for those who look on.
+    /// Returns a service's servers as this planner holds them, for inspection.
     pub fn members_of(&self, service: &str) -> Vec<&Member> {
-        let slices = self.by_name.get(service).and_then(|id| self.services.get(id)).map(|s| &s.slices[..]);
-        let there = slices.unwrap_or_default().iter().flat_map(|s| &s.rows).filter(|(_, row)| row.there);
+        let slices =
+            self.service_ids.get(service).and_then(|id| self.services.get(id)).map(|s| &s.slices[..]);
+        let there = slices.unwrap_or_default().iter().flat_map(|s| &s.rows).filter(|(_, row)| row.present);
         there.filter_map(|(name, _)| self.servers.get(name)).map(|s| &s.member).collect()
     }
 
-    /// The servers that a forwarder is to hold of a service, by name, for those who look on; `None` where it has not
-    /// subscribed to it.
+    /// Returns the servers of the slice that a forwarder is assigned of a service, for inspection, or `None` if it
+    /// has not subscribed to the service.
     pub fn assigned_members(&self, forwarder: &str, service: &str) -> Option<Vec<&Member>> {
         let f = self.forwarders.get(self.forwarder_ids.get(forwarder)?)?;
-        let id = self.by_name.get(service)?;
+        let id = self.service_ids.get(service)?;
         let slice = self.services.get(id)?.slices.get(f.subscriptions.get(id)?.slice)?;
-        let there = slice.rows.iter().filter(|(_, row)| row.there);
+        let there = slice.rows.iter().filter(|(_, row)| row.present);
         Some(there.filter_map(|(name, _)| self.servers.get(name)).map(|s| &s.member).collect())
     }
 
-    /// What time brings; to be called some times a second. Costs what is due.
+    /// Runs the timers that are due. To be called several times a second.
     pub fn poll(&mut self, now: Nanos) {
-        while let Some(&(at, due)) = self.due.first() {
+        while let Some(&(at, due)) = self.timers.first() {
             if at > now {
                 break;
             }
-            self.due.pop_first();
+            self.timers.pop_first();
             match due {
-                Due::Stale(id) => self.withdraw_stale(now, id),
-                Due::Forget(id) => {
+                Timer::RemoveStale(id) => self.remove_stale_subscriptions(now, id),
+                Timer::ForgetForwarder(id) => {
                     let long = |f: &Forwarder| {
-                        f.left_at.is_some_and(|at| now.saturating_sub(at) >= FORWARDER_EXPIRY)
+                        f.disconnected_at.is_some_and(|at| now.saturating_sub(at) >= FORWARDER_EXPIRY)
                     };
                     if self.forwarders.get(&id).is_some_and(long) {
-                        self.forget(now, id);
+                        self.forget_forwarder(now, id);
                     }
                 }
-                Due::Later(id) => self.look_at_later(now, id),
-                Due::Overruled => self.look_at_overruled(now),
+                Timer::Unblock(id) => self.unblock_subscriptions(now, id),
+                Timer::ExpireOverrides => self.expire_overrides(now),
             }
         }
     }
 
-    /// A forwarder that held a later list is told where this one's has come up to it, or has insisted for long enough.
-    pub(super) fn look_at_later(&mut self, now: Nanos, id: u32) {
-        let source = self.source.unwrap_or_default();
+    /// Resumes a forwarder's subscriptions that wait for a list version which has been reached, or whose wait has
+    /// timed out.
+    pub(super) fn unblock_subscriptions(&mut self, now: Nanos, id: u32) {
+        let source = self.list_version.unwrap_or_default();
         let Some(f) = self.forwarders.get_mut(&id) else { return };
         let mut waits = false;
         for (service, s) in &mut f.subscriptions {
-            if s.later.is_some_and(|(version, until)| version <= source || until <= now) {
-                s.later = None;
-                f.dirty.insert(*service);
+            if s.blocked_until.is_some_and(|(version, until)| version <= source || until <= now) {
+                s.blocked_until = None;
+                f.pending.insert(*service);
                 f.urgent.insert(*service);
-                self.stirred.insert(id);
+                self.ready_forwarders.insert(id);
             }
-            waits |= s.later.is_some();
+            waits |= s.blocked_until.is_some();
         }
         if !waits {
-            self.waiting.remove(&id);
+            self.blocked_forwarders.remove(&id);
         }
     }
 
-    /// Names of the forwarders for whom there is news since the last call.
+    /// Returns the names of the forwarders with new updates since the last call.
     pub fn take_ready_forwarders(&mut self) -> Vec<String> {
-        let stirred = std::mem::take(&mut self.stirred);
-        stirred.iter().filter_map(|f| self.forwarders.get(f)).map(|f| f.name.clone()).collect()
+        let ready = std::mem::take(&mut self.ready_forwarders);
+        ready.iter().filter_map(|f| self.forwarders.get(f)).map(|f| f.name.clone()).collect()
     }
 }
 
 impl Subscription {
-    /// Nothing told yet: the whole is to come.
-    fn whole(slice: usize) -> Subscription {
+    /// Creates a subscription that begins with a snapshot.
+    fn from_snapshot(slice: usize) -> Subscription {
         Subscription {
             slice,
-            sent: (0, None),
-            ahead: (0, None),
-            held: None,
-            whole: None,
-            same: None,
-            hinted: 0,
-            acknowledged: None,
-            owes: VecDeque::new(),
-            later: None,
+            sent_up_to: (0, None),
+            urgent_sent_up_to: (0, None),
+            sent_version: None,
+            snapshot_version: None,
+            confirmed_digest: None,
+            last_hint: 0,
+            acknowledged_version: None,
+            unacknowledged: VecDeque::new(),
+            blocked_until: None,
             stale: false,
-            told: 0,
+            announced_subscribers: 0,
         }
     }
 
-    /// It holds this version.
+    /// Continues from this version, which the forwarder holds.
     fn resume(&mut self, version: u64) {
-        self.sent = (version + 1, None);
-        self.ahead = (version + 1, None);
-        self.held = Some(version);
-        self.acknowledged = Some(version);
+        self.sent_up_to = (version + 1, None);
+        self.urgent_sent_up_to = (version + 1, None);
+        self.sent_version = Some(version);
+        self.acknowledged_version = Some(version);
     }
 }
--- a/crates/plan/src/services/publisher/force.rs
+++ b/crates/plan/src/services/publisher/rollout.rs
@@ -1,22 +1,23 @@
-//! Where a change of the list is in force, and what a planner answers to people.
+//! Rollout of list changes to the subscribed forwarders, and the planner's answers to `explain` requests.
 
 use super::*;
 use crate::wire::ExplainRequest;
 use std::fmt::Write;
 
-/// Forwarders that are named; the rest are counted.
-const MOST_NAMED: usize = 40;
+/// Maximum number of forwarders, slices or services listed in an answer; further ones are only counted.
+const MAX_ENTRIES: usize = 40;
 
 impl Publisher {
-    /// Where the change of the list with this version is in force; `None` where it is not known (any longer). Looks at all who
-    /// use what it touched.
+    /// Returns how far the list change with this version has been acknowledged, or `None` if the change is not
+    /// recorded (any longer). Visits every subscriber of the slices that the change affected.
     pub fn rollout_status(&self, change: u64) -> Option<RolloutStatus> {
-        let batch = *self.batches.get(&change)?;
-        let record = self.records.get(&batch)?;
+        let batch = *self.batch_by_version.get(&change)?;
+        let record = self.changes.get(&batch)?;
         let mut rollout = RolloutStatus { listed_at: record.listed_at, ..RolloutStatus::default() };
-        // A slice that was cut anew since is met under another number: one user counts once a service.
+        // A slice that has been divided again since then has another index, so each subscriber is counted once per
+        // service.
         let mut seen = BTreeSet::new();
-        for &(id, slice, slices) in &record.touched {
+        for &(id, slice, slices) in &record.affected {
             let Some(service) = self.services.get(&id) else { continue };
             let alike = slices.min(service.slices.len());
             let places = (0..service.slices.len()).filter(|k| k % alike == slice % alike);
@@ -27,7 +28,7 @@
                 rollout.subscriptions += 1;
                 match self.lag(*user, id, batch) {
                     None => rollout.acknowledged += 1,
-                    Some(lag) if rollout.lagging.len() < MOST_NAMED => {
+                    Some(lag) if rollout.lagging.len() < MAX_ENTRIES => {
                         let name = self.forwarders.get(user).map_or("", |f| &f.name);
                         rollout.lagging.push((name.to_owned(), lag));
                     }
@@ -35,27 +36,29 @@
                 }
             }
         }
-        rollout.completed_at = record.since.filter(|_| rollout.acknowledged == rollout.subscriptions);
+        rollout.completed_at = record.completed_at.filter(|_| rollout.acknowledged == rollout.subscriptions);
         Some(rollout)
     }
 
-    /// Why a forwarder has not acknowledged a change of this service; `None` where it has.
+    /// Returns why a forwarder has not acknowledged a change of this service, or `None` if it has.
     fn lag(&self, forwarder: u32, service: u32, batch: u64) -> Option<LagReason> {
         let f = self.forwarders.get(&forwarder)?;
         let s = f.subscriptions.get(&service)?;
-        let owed = s.owes.iter().find(|(_, owed)| *owed == batch).map(|(version, _)| *version);
-        if owed.is_none() && s.acknowledged.is_some() {
+        let owed = s.unacknowledged.iter().find(|(_, owed)| *owed == batch).map(|(version, _)| *version);
+        if owed.is_none() && s.acknowledged_version.is_some() {
             return None;
         }
-        Some(match (f.left_at, s.later) {
+        Some(match (f.disconnected_at, s.blocked_until) {
             (Some(at), _) => LagReason::Disconnected(at),
             (None, Some(_)) => LagReason::NewerList,
-            (None, None) if s.held.is_some_and(|held| held >= owed.unwrap_or(0)) => LagReason::Unacknowledged,
+            (None, None) if s.sent_version.is_some_and(|held| held >= owed.unwrap_or(0)) => {
+                LagReason::Unacknowledged
+            }
             (None, None) => LagReason::Throttled,
         })
     }
 
-    /// Lines for people: of a change of the list, of a service, of a server, or of all.
+    /// Answers an operator's question about a list change, a service, a server, or the whole planner.
     pub fn explain(&self, now: Nanos, ask: &ExplainRequest) -> String {
         if ask.change > 0 {
             return self.explain_change(now, ask.change);
@@ -116,7 +119,7 @@
     }
 
     fn explain_service(&self, name: &str) -> String {
-        let Some(service) = self.by_name.get(name).and_then(|id| self.services.get(id)) else {
+        let Some(service) = self.service_ids.get(name).and_then(|id| self.services.get(id)) else {
             return format!("no service is named `{}`\n", shown(name));
         };
         let mut text = format!(
@@ -125,19 +128,19 @@
             service.size(),
             service.slices.len()
         );
-        for (k, slice) in service.slices.iter().enumerate().take(MOST_NAMED) {
-            let closed = slice.rows.values().filter(|r| r.there && r.closed).count();
+        for (k, slice) in service.slices.iter().enumerate().take(MAX_ENTRIES) {
+            let closed = slice.rows.values().filter(|r| r.present && r.closed).count();
             let _ = writeln!(
                 text,
                 "  slice {k}: version {} by list {}, {} servers ({closed} draining), {} subscribers",
                 slice.version,
-                slice.source.number,
+                slice.list_version.number,
                 slice.size,
                 slice.subscribers.len()
             );
         }
-        if service.slices.len() > MOST_NAMED {
-            let _ = writeln!(text, "  and {} more", service.slices.len() - MOST_NAMED);
+        if service.slices.len() > MAX_ENTRIES {
+            let _ = writeln!(text, "  and {} more", service.slices.len() - MAX_ENTRIES);
         }
         text
     }
@@ -152,12 +155,12 @@
             Phase::Removed => "gone: nothing new goes there",
         };
         let services = server.services.iter().filter_map(|id| self.services.get(id)).map(|s| &*s.name);
-        let services: Vec<String> = services.take(MOST_NAMED).map(|name| format!("`{name}`")).collect();
+        let services: Vec<String> = services.take(MAX_ENTRIES).map(|name| format!("`{name}`")).collect();
         format!(
             "box {name}: {phase}\nin the services {}\nreported by {} forwarders, {}\n",
             services.join(", "),
-            server.standing.reporters().count(),
-            match server.standing.suspicion {
+            server.reports.reporters().count(),
+            match server.reports.suspicion {
                 crate::wire::Suspicion::None => "not suspected",
                 _ => "suspected",
             }
--- a/crates/plan/src/services/publisher/slice.rs
+++ b/crates/plan/src/services/publisher/slice.rs
@@ -1,4 +1,4 @@
-//! A service's servers in slices, each with the version that last changed each of them.
+//! The slices of a service, and the version that last changed each server.
 
 use crate::services::list_version::ListVersion;
 use crate::services::slice_index;
@@ -6,122 +6,125 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// A service is cut anew so that its slices have some [`WANTED`] servers, where they have come to over so many in the mean ...
-const MOST: usize = 64;
-/// ... or under so many.
-const LEAST: usize = 12;
-const WANTED: usize = 32;
-/// Servers that have left are remembered, for those who come back, as long as there are no more of them than servers, or than this.
+/// Mean number of servers per slice above which a service is divided again, so that a slice has about
+/// [`TARGET_SERVERS`].
+const MAX_MEAN_SERVERS: usize = 64;
+/// Mean number of servers per slice below which a service with several slices is divided again.
+const MIN_MEAN_SERVERS: usize = 12;
+const TARGET_SERVERS: usize = 32;
+/// Minimum number of removed servers remembered per slice, for forwarders that reconnect. A larger slice remembers
+/// as many as it has servers.
 pub const MAX_REMOVED: usize = 64;
-/// Versions whose place in the list is remembered, for those who come back.
-const LOG: usize = 256;
+/// Number of versions whose list version is remembered, for forwarders that reconnect.
+const MAX_LOGGED_VERSIONS: usize = 256;
 
-/// A server's name, shared by all who mention it.
+/// A server's name, shared by all tables.
 pub(super) type Name = Arc<str>;
 
-/// Where one server stands in a slice.
+/// State of one server in a slice.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Row {
     /// The version that last changed it.
-    pub(super) changed: u64,
-    /// It is in the service; else it has left.
-    pub(super) there: bool,
-    /// It takes nothing new.
+    pub(super) changed_in: u64,
+    /// Whether the server is in the service; otherwise it has been removed.
+    pub(super) present: bool,
+    /// Whether the server takes no new requests.
     pub(super) closed: bool,
     digest: u64,
 }
 
-/// One part of a service, the unit of subscriptions.
+/// A part of a service, the unit of subscription.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Slice {
     pub(super) rows: BTreeMap<Name, Row>,
-    /// Every row under the version that last changed it.
-    pub(super) changes: BTreeSet<(u64, Name)>,
-    /// Those of them that take nothing new or have left.
+    /// All rows, ordered by the version that last changed them.
+    pub(super) by_version: BTreeSet<(u64, Name)>,
+    /// Those rows of `by_version` that are closed or removed.
     pub(super) urgent: BTreeSet<(u64, Name)>,
     pub(super) version: u64,
-    /// Who holds an older version may lack the leaving of a server that is forgotten here.
-    pub(super) horizon: u64,
-    /// The version of the list that last changed it.
-    pub(super) source: ListVersion,
+    /// A holder of a version older than this may lack the removal of a server that is no longer remembered.
+    pub(super) removed_horizon: u64,
+    /// The list version that last changed the slice.
+    pub(super) list_version: ListVersion,
     pub(super) digest: u64,
     pub(super) subscribers: BTreeSet<u32>,
-    /// Versions, oldest first, with those of the list and the batches that made them.
-    pub(super) log: VecDeque<(u64, ListVersion, u64)>,
-    /// Servers that are there.
+    /// Slice versions, oldest first, each with the list version and the batch that made it.
+    pub(super) version_log: VecDeque<(u64, ListVersion, u64)>,
+    /// Number of servers present.
     pub(super) size: usize,
     /// The batch that made the present version.
     pub(super) batch: u64,
-    /// Forwarders as last told to all: an upper bound, in steps.
-    pub(super) told: u32,
-    /// The number of the last hint on any of its servers.
-    pub(super) hinted: u64,
-    /// All of its rows, deflated, as of a version and a hint.
-    pub(super) packed: Option<((u64, u64), Vec<u8>)>,
+    /// The announced subscriber count, an upper bound that changes in steps.
+    pub(super) announced_subscribers: u32,
+    /// The number of the last hint on any of the servers.
+    pub(super) last_hint: u64,
+    /// The compressed rows of all servers, with the version and hint number that they were made at.
+    pub(super) compressed: Option<((u64, u64), Vec<u8>)>,
 }
 
 impl Slice {
-    /// A server is, or is no longer, in the service as of the present version.
-    pub(super) fn put(&mut self, name: &Name, there: bool, closed: bool, digest: u64) {
-        let row = Row { changed: self.version, there, closed, digest };
+    /// Sets a server's row as of the present version.
+    pub(super) fn set_row(&mut self, name: &Name, present: bool, closed: bool, digest: u64) {
+        let row = Row { changed_in: self.version, present, closed, digest };
         if let Some(before) = self.rows.insert(name.clone(), row) {
-            self.changes.remove(&(before.changed, name.clone()));
-            self.urgent.remove(&(before.changed, name.clone()));
+            self.by_version.remove(&(before.changed_in, name.clone()));
+            self.urgent.remove(&(before.changed_in, name.clone()));
             self.digest = self.digest.wrapping_sub(before.digest);
-            self.size -= usize::from(before.there);
+            self.size -= usize::from(before.present);
         }
-        self.changes.insert((self.version, name.clone()));
-        if closed || !there {
+        self.by_version.insert((self.version, name.clone()));
+        if closed || !present {
             self.urgent.insert((self.version, name.clone()));
         }
         self.digest = self.digest.wrapping_add(digest);
-        self.size += usize::from(there);
-        self.forget();
+        self.size += usize::from(present);
+        self.evict_removed();
     }
 
-    /// Forgets the servers that left first, where too many are remembered.
-    fn forget(&mut self) {
+    /// Forgets the servers that were removed first when too many are remembered.
+    fn evict_removed(&mut self) {
         while self.rows.len() - self.size > MAX_REMOVED.max(self.size) {
-            let left = |(_, name): &&(u64, Name)| self.rows.get(name).is_some_and(|r| !r.there);
+            let left = |(_, name): &&(u64, Name)| self.rows.get(name).is_some_and(|r| !r.present);
             let Some((changed, name)) = self.urgent.iter().find(left).cloned() else { return };
             self.rows.remove(&name);
-            self.changes.remove(&(changed, name.clone()));
+            self.by_version.remove(&(changed, name.clone()));
             self.urgent.remove(&(changed, name));
-            self.horizon = self.horizon.max(changed);
+            self.removed_horizon = self.removed_horizon.max(changed);
         }
     }
 
-    /// The present version was made from this version of the list.
-    pub(super) fn log(&mut self, source: ListVersion, batch: u64) {
-        self.source = source;
-        self.log.push_back((self.version, source, batch));
-        if self.log.len() > LOG {
-            self.log.pop_front();
+    /// Records the list version and the batch that made the present version.
+    pub(super) fn log_version(&mut self, source: ListVersion, batch: u64) {
+        self.list_version = source;
+        self.version_log.push_back((self.version, source, batch));
+        if self.version_log.len() > MAX_LOGGED_VERSIONS {
+            self.version_log.pop_front();
         }
     }
 
-    /// The last version of this slice that was made from no later list than this.
-    pub(super) fn made_from(&self, source: ListVersion) -> u64 {
+    /// Returns the last slice version made from this list version or an earlier one.
+    pub(super) fn last_version_from(&self, source: ListVersion) -> u64 {
         let older = |(_, from, _): &&(u64, ListVersion, u64)| *from <= source;
-        let before = self.log.front().map_or(self.version, |(first, ..)| first.saturating_sub(1));
-        self.log.iter().rev().find(older).map_or(before, |(version, ..)| *version)
+        let before = self.version_log.front().map_or(self.version, |(first, ..)| first.saturating_sub(1));
+        self.version_log.iter().rev().find(older).map_or(before, |(version, ..)| *version)
     }
 
-    /// A bound on its subscribers in steps of the double: only then is a new count worth telling to all.
-    pub(super) fn step(&self) -> u32 {
+    /// Returns an upper bound on the number of subscribers that changes in powers of two, so that small changes
+    /// need not be announced.
+    pub(super) fn subscriber_bound(&self) -> u32 {
         (self.subscribers.len() as u32).next_power_of_two()
     }
 
-    /// Where far fewer use it than all were told, they are told so with its next change.
-    pub(super) fn fewer(&mut self) {
-        let step = self.step();
-        if 8 * step <= self.told {
-            self.told = 2 * step;
+    /// Lowers the announced subscriber count if it is far too high. It is sent with the next change.
+    pub(super) fn lower_announced_count(&mut self) {
+        let step = self.subscriber_bound();
+        if 8 * step <= self.announced_subscribers {
+            self.announced_subscribers = 2 * step;
         }
     }
 }
 
-/// One service.
+/// A service and its slices.
 #[derive(Clone, Debug)]
 pub(super) struct Service {
     pub(super) name: Name,
@@ -129,57 +132,59 @@
 }
 
 impl Service {
-    /// Its versions begin after `first`, which is above those of any former service of this name.
+    /// Creates a service whose versions begin after `first`, which must be above those of any former service of
+    /// this name.
     pub(super) fn new(name: Name, first: u64) -> Service {
-        Service { name, slices: vec![Slice { version: first, horizon: first, ..Slice::default() }] }
+        Service { name, slices: vec![Slice { version: first, removed_horizon: first, ..Slice::default() }] }
     }
 
-    /// Servers that it has.
+    /// Returns the number of servers.
     pub(super) fn size(&self) -> usize {
         self.slices.iter().map(|s| s.size).sum()
     }
 
-    /// Whether it has neither servers nor subscribers, and is no longer being filled.
-    pub(super) fn unused(&self) -> bool {
-        self.size() == 0 && self.slices.iter().all(|s| s.subscribers.is_empty() && !s.log.is_empty())
+    /// Returns whether the service has neither servers nor subscribers and is not being filled for the first time.
+    pub(super) fn is_unused(&self) -> bool {
+        self.size() == 0 && self.slices.iter().all(|s| s.subscribers.is_empty() && !s.version_log.is_empty())
     }
 
-    /// The last batch of the list that changed it.
+    /// Returns the last batch that changed the service.
     pub(super) fn last_batch(&self) -> u64 {
-        let last = self.slices.iter().filter_map(|s| s.log.back());
+        let last = self.slices.iter().filter_map(|s| s.version_log.back());
         last.map(|(_, _, batch)| *batch).max().unwrap_or(0)
     }
 
-    /// The slice that has, or would have, a server of this name.
+    /// Returns the index of the slice that holds, or would hold, this server.
     pub(super) fn slice_of(&self, server: &str) -> usize {
         slice_index(server, self.slices.len())
     }
 
-    /// How many slices it should have, where that is another number than it has.
-    pub(super) fn other_number(&self) -> Option<usize> {
+    /// Returns the number of slices that the service should have, if it differs from the present number.
+    pub(super) fn desired_slice_count(&self) -> Option<usize> {
         let (size, number) = (self.size(), self.slices.len());
-        let outside = size > MOST * number || (number > 1 && size < LEAST * number);
-        let wanted = (size / WANTED).next_power_of_two().max(1);
+        let outside = size > MAX_MEAN_SERVERS * number || (number > 1 && size < MIN_MEAN_SERVERS * number);
+        let wanted = (size / TARGET_SERVERS).next_power_of_two().max(1);
         (outside && wanted != number).then_some(wanted)
     }
 
-    /// Cuts it anew. All that was held of it is another slice's now; versions go on from the highest.
-    pub(super) fn cut(&mut self, number: usize, source: ListVersion, batch: u64) {
+    /// Divides the service into `number` slices. Former slices become invalid; versions continue from the highest
+    /// one.
+    pub(super) fn reslice(&mut self, number: usize, source: ListVersion, batch: u64) {
         let version = 1 + self.slices.iter().map(|s| s.version).max().unwrap_or(0);
         let old = std::mem::replace(&mut self.slices, vec![Slice::default(); number]);
         for slice in &mut self.slices {
-            (slice.version, slice.horizon) = (version, version - 1);
-            slice.log(source, batch);
+            (slice.version, slice.removed_horizon) = (version, version - 1);
+            slice.log_version(source, batch);
         }
-        for (name, row) in old.into_iter().flat_map(|s| s.rows).filter(|(_, row)| row.there) {
+        for (name, row) in old.into_iter().flat_map(|s| s.rows).filter(|(_, row)| row.present) {
             let k = slice_index(&name, number);
-            self.slices[k].put(&name, true, row.closed, row.digest);
+            self.slices[k].set_row(&name, true, row.closed, row.digest);
         }
     }
 
-    /// The slice for a forwarder: of two by hash the one with fewer subscribers, among those that go on from the one that it
-    /// holds, of so many, where it holds one.
-    pub(super) fn choose(&self, forwarder: &str, (slice, slices): (usize, usize)) -> usize {
+    /// Chooses a forwarder's slice: the less subscribed one of two picked by hash, among the slices that descend
+    /// from the one the forwarder holds (`slice` of `slices`), if it holds one.
+    pub(super) fn choose_slice(&self, forwarder: &str, (slice, slices): (usize, usize)) -> usize {
         let slices = if slices.is_power_of_two() { slices.min(self.slices.len()) } else { 1 };
         let (first, more) = (slice & (slices - 1), self.slices.len() / slices);
         let hash = stable_hash(stable_hash(12, forwarder.as_bytes()), self.name.as_bytes());
--- a/crates/plan/src/services/subscriber/held.rs
+++ b/crates/plan/src/services/subscriber/held_service.rs
@@ -1,4 +1,4 @@
-//! One service as it is held here, and how its planner's word changes it.
+//! State of one subscribed service and how updates change it.
 
 use super::{Change, PlannedServer};
 use crate::grade;
@@ -9,22 +9,23 @@
 use laurelroute_policy::interface::{Nanos, Phase};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Rows that one word on a service may have.
-const MOST_ROWS: usize = 4_096;
-/// Servers of one service: a slice has some dozens.
+/// Maximum number of rows in one message about a service.
+const MAX_ROWS: usize = 4_096;
+/// Maximum number of servers of one service. A slice has a few dozen.
 const MAX_SERVERS: usize = 65_536;
-/// How long the largest number of subscribers counts: after a planner's start fewer are known than there are.
-const REMEMBER: Nanos = 60_000_000_000;
-/// Servers that have left and are remembered for planners with an earlier list.
+/// Time for which the largest subscriber count is kept: a planner that has just started knows only a part of the
+/// forwarders.
+const SUBSCRIBER_COUNT_TTL: Nanos = 60_000_000_000;
+/// Maximum number of removed servers remembered for planners with an earlier list.
 const MAX_REMOVED: usize = 1_024;
 
-/// A server that has left.
+/// A server that was removed.
 #[derive(Clone, Debug)]
-pub(super) struct Left {
+pub(super) struct RemovedServer {
     pub(super) name: String,
     pub(super) started_at: Nanos,
-    pub(super) source: ListVersion,
-    pub(super) at: Nanos,
+    pub(super) list_version: ListVersion,
+    pub(super) removed_at: Nanos,
 }
 
 #[derive(Clone, Debug)]
@@ -35,86 +36,87 @@
     suspicion: Suspicion,
 }
 
-/// What has changed and was not told yet.
+/// Changes that have not been reported yet.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Changed {
-    /// Servers; those that left as they were last.
+pub(super) struct PendingChange {
+    /// PendingChange servers; removed ones in their last state.
     members: BTreeMap<String, Member>,
     hints: bool,
     subscribers: bool,
 }
 
 #[derive(Clone, Debug)]
-pub(super) struct Held {
+pub(super) struct HeldService {
     pub(super) servers: BTreeMap<String, Server>,
-    /// The life of the planner whose version this is; 0 for none.
-    pub(super) life: u64,
+    /// Incarnation of the planner that issued `version`; 0 for none.
+    pub(super) incarnation: u64,
     pub(super) version: u64,
-    pub(super) source: ListVersion,
+    pub(super) list_version: ListVersion,
     pub(super) digest: u64,
     pub(super) slice: u32,
     pub(super) slices: u32,
-    /// Something of it has come.
-    pub(super) known: bool,
-    /// Names that the whole which is under way has had so far.
-    pub(super) whole: Option<BTreeSet<String>>,
+    /// Whether any of the service has been received.
+    pub(super) received: bool,
+    /// Names received so far of the snapshot in progress.
+    pub(super) snapshot_names: Option<BTreeSet<String>>,
     subscribers: u32,
     counted_at: Nanos,
-    pub(super) used_at: Nanos,
+    pub(super) last_used_at: Nanos,
 }
 
 type Rows = Vec<(ServerRow, Option<Member>)>;
 
-impl Held {
-    pub(super) fn new(now: Nanos) -> Held {
-        Held {
+impl HeldService {
+    pub(super) fn new(now: Nanos) -> HeldService {
+        HeldService {
             servers: BTreeMap::new(),
-            life: 0,
+            incarnation: 0,
             version: 0,
-            source: ListVersion::default(),
+            list_version: ListVersion::default(),
             digest: 0,
             slice: 0,
             slices: 0,
-            known: false,
-            whole: None,
+            received: false,
+            snapshot_names: None,
             subscribers: 0,
             counted_at: now,
-            used_at: now,
+            last_used_at: now,
         }
     }
 
-    /// Takes in what a planner of this life says by this version of the list. What is refused changes nothing, but where the
-    /// planner's own digest says that something has been lost.
-    pub(super) fn take(
+    /// Applies a planner's changes, made from the list version `source`. A rejected message changes nothing, unless
+    /// the planner's digest shows that an update was lost.
+    pub(super) fn apply(
         &mut self,
         now: Nanos,
-        (life, source): (u64, ListVersion),
+        (incarnation, source): (u64, ListVersion),
         changes: &ServiceChanges,
-        changed: &mut Changed,
-        left: &mut VecDeque<Left>,
+        changed: &mut PendingChange,
+        removed: &mut VecDeque<RemovedServer>,
     ) -> Result<(), RejectReason> {
-        let rows = checked(changes)?;
+        let rows = validate(changes)?;
         let piece = changes.chunk();
-        let mine = self.life == life && self.slices == changes.slices && self.slice == changes.slice;
+        let same_state =
+            self.incarnation == incarnation && self.slices == changes.slices && self.slice == changes.slice;
         match piece {
             Chunk::Unchanged => {
-                // It says what is held: nothing of it may have changed since it was asked.
+                // The planner confirms the held state, which must not have changed since it was reported.
                 if self.digest != changes.digest || self.slices != changes.slices {
                     return Err(RejectReason::UnknownBase);
                 }
-                (self.life, self.version, self.source) = (life, changes.version, source);
-                (self.slice, self.whole) = (changes.slice, None);
+                (self.incarnation, self.version, self.list_version) = (incarnation, changes.version, source);
+                (self.slice, self.snapshot_names) = (changes.slice, None);
                 return Ok(());
             }
             Chunk::OutOfBand => {
-                self.aside(now, source, rows, changes, changed, left);
-                // An earlier list is not to undo it, also not one of the planner whose version this was.
-                self.raise(life, source);
+                self.apply_out_of_band(now, source, rows, changes, changed, removed);
+                // An earlier list must not undo this, even one of the planner that issued the held version.
+                self.raise_list_version(incarnation, source);
                 return Ok(());
             }
-            Chunk::First | Chunk::Full => self.begin(now, source, changes, changed),
-            _ if changes.base == 0 && self.whole.is_none() => return Err(RejectReason::UnknownBase),
-            _ if changes.base != 0 && !(mine && changes.base <= self.version) => {
+            Chunk::First | Chunk::Full => self.begin_snapshot(now, source, changes, changed),
+            _ if changes.base == 0 && self.snapshot_names.is_none() => return Err(RejectReason::UnknownBase),
+            _ if changes.base != 0 && !(same_state && changes.base <= self.version) => {
                 return Err(RejectReason::UnknownBase)
             }
             _ => {}
@@ -123,80 +125,87 @@
             return Err(RejectReason::Invalid);
         }
         for (row, member) in rows {
-            if let Some(mentioned) = &mut self.whole {
-                mentioned.insert(row.name.clone());
+            if let Some(named) = &mut self.snapshot_names {
+                named.insert(row.name.clone());
             }
-            self.put(&row, member, changed);
+            self.set_server(&row, member, changed);
         }
         for name in &changes.removed {
-            if let Some(mentioned) = &mut self.whole {
-                mentioned.remove(name);
+            if let Some(named) = &mut self.snapshot_names {
+                named.remove(name);
             }
-            self.remove(now, source, name, changed, left);
+            self.remove(now, source, name, changed, removed);
         }
-        self.known = true;
-        self.raise(life, source);
+        self.received = true;
+        self.raise_list_version(incarnation, source);
         if matches!(piece, Chunk::Last | Chunk::Full) {
             if changes.base == 0 {
-                let mentioned = self.whole.take().unwrap_or_default();
+                let named = self.snapshot_names.take().unwrap_or_default();
                 let absent: Vec<String> =
-                    self.servers.keys().filter(|name| !mentioned.contains(*name)).cloned().collect();
-                absent.iter().for_each(|name| self.remove(now, source, name, changed, left));
+                    self.servers.keys().filter(|name| !named.contains(*name)).cloned().collect();
+                absent.iter().for_each(|name| self.remove(now, source, name, changed, removed));
             }
             if self.digest != changes.digest {
-                (self.life, self.version) = (0, 0);
+                (self.incarnation, self.version) = (0, 0);
                 return Err(RejectReason::UnknownBase);
             }
-            (self.life, self.version, self.source) = (life, changes.version, source);
+            (self.incarnation, self.version, self.list_version) = (incarnation, changes.version, source);
             (self.slice, self.slices) = (changes.slice, changes.slices);
         }
         Ok(())
     }
 
-    /// Something of this list has been taken in.
-    fn raise(&mut self, life: u64, source: ListVersion) {
-        if self.life != life {
-            (self.life, self.version) = (0, 0);
+    /// Raises the list version after changes from `source` were applied.
+    fn raise_list_version(&mut self, incarnation: u64, source: ListVersion) {
+        if self.incarnation != incarnation {
+            (self.incarnation, self.version) = (0, 0);
         }
-        self.source = self.source.max(source);
+        self.list_version = self.list_version.max(source);
     }
 
-    /// A whole begins. What is another slice's now goes at once: nobody would tell of its drains.
-    fn begin(&mut self, now: Nanos, source: ListVersion, changes: &ServiceChanges, changed: &mut Changed) {
-        self.whole = Some(BTreeSet::new());
+    /// Begins a snapshot. Servers that belong to other slices are dropped at once, since their drains would not be
+    /// received.
+    fn begin_snapshot(
+        &mut self,
+        now: Nanos,
+        source: ListVersion,
+        changes: &ServiceChanges,
+        changed: &mut PendingChange,
+    ) {
+        self.snapshot_names = Some(BTreeSet::new());
         if self.slices == changes.slices && self.slice == changes.slice {
             return;
         }
         let (slice, slices) = (changes.slice as usize, changes.slices as usize);
         let other: Vec<String> =
             self.servers.keys().filter(|name| slice_index(name, slices) != slice).cloned().collect();
-        // They have not left the list: no planner is to be told so.
-        let mut moved = VecDeque::new();
-        other.iter().for_each(|name| self.remove(now, source, name, changed, &mut moved));
-        (self.life, self.version) = (0, 0);
+        // These servers have not left the list, so no planner is told that they have.
+        let mut reassigned = VecDeque::new();
+        other.iter().for_each(|name| self.remove(now, source, name, changed, &mut reassigned));
+        (self.incarnation, self.version) = (0, 0);
         (self.slice, self.slices) = (changes.slice, changes.slices);
     }
 
-    /// Drains and leavings ahead of their turn, and hints.
-    fn aside(
+    /// Applies drains and removals sent ahead of their order, and hints.
+    fn apply_out_of_band(
         &mut self,
         now: Nanos,
         source: ListVersion,
         rows: Rows,
         changes: &ServiceChanges,
-        changed: &mut Changed,
-        left: &mut VecDeque<Left>,
+        changed: &mut PendingChange,
+        removed: &mut VecDeque<RemovedServer>,
     ) {
         for (row, member) in rows {
-            let closes = member.as_ref().is_none_or(|m| m.server.phase != Phase::Ready);
-            if closes && self.servers.contains_key(&row.name) {
-                self.put(&row, member, changed);
+            let closed = member.as_ref().is_none_or(|m| m.server.phase != Phase::Ready);
+            if closed && self.servers.contains_key(&row.name) {
+                self.set_server(&row, member, changed);
             }
         }
-        changes.removed.iter().for_each(|name| self.remove(now, source, name, changed, left));
+        changes.removed.iter().for_each(|name| self.remove(now, source, name, changed, removed));
     }
 
-    fn put(&mut self, row: &ServerRow, member: Option<Member>, changed: &mut Changed) {
+    fn set_server(&mut self, row: &ServerRow, member: Option<Member>, changed: &mut PendingChange) {
         let suspicion = row.suspicion();
         let Some(member) = member else {
             if let Some(server) = self.servers.get_mut(&row.name) {
@@ -221,41 +230,60 @@
         now: Nanos,
         source: ListVersion,
         name: &str,
-        changed: &mut Changed,
-        left: &mut VecDeque<Left>,
+        changed: &mut PendingChange,
+        removed: &mut VecDeque<RemovedServer>,
     ) {
         let Some(server) = self.servers.remove(name) else { return };
         self.digest = self.digest.wrapping_sub(server.digest);
         let started_at = server.member.server.started_at;
-        // One that did not drain may only have left this service.
+        // A server that was not draining may only have left this service.
         if server.member.server.phase == Phase::Draining {
-            left.push_back(Left { name: name.to_owned(), started_at, source, at: now });
+            removed.push_back(RemovedServer {
+                name: name.to_owned(),
+                started_at,
+                list_version: source,
+                removed_at: now,
+            });
         }
-        if left.len() > MAX_REMOVED {
-            left.pop_front();
+        if removed.len() > MAX_REMOVED {
+            removed.pop_front();
         }
         changed.members.insert(name.to_owned(), server.member.in_phase(Phase::Removed));
     }
 
-    /// The service is there no longer: all of its servers have left.
-    pub(super) fn empty(&mut self, now: Nanos, changed: &mut Changed, left: &mut VecDeque<Left>) {
+    /// Removes all servers, because the service no longer exists.
+    pub(super) fn remove_all(
+        &mut self,
+        now: Nanos,
+        changed: &mut PendingChange,
+        removed: &mut VecDeque<RemovedServer>,
+    ) {
         let all: Vec<String> = self.servers.keys().cloned().collect();
-        let source = self.source;
-        all.iter().for_each(|name| self.remove(now, source, name, changed, left));
-        (self.life, self.version, self.whole) = (0, 0, None);
+        let source = self.list_version;
+        all.iter().for_each(|name| self.remove(now, source, name, changed, removed));
+        (self.incarnation, self.version, self.snapshot_names) = (0, 0, None);
     }
 
-    /// So many forwarders use it. The largest count of the last minute stands: what is split among them must not come to more
-    /// than the whole.
-    pub(super) fn count(&mut self, now: Nanos, subscribers: u32, changed: &mut Changed) {
-        if subscribers >= self.subscribers || now.saturating_sub(self.counted_at) >= REMEMBER {
+    /// Sets the number of forwarders that use the service. The largest count of the last minute is kept, so that
+    /// shares of a rate that is split among them do not add up to more than the whole.
+    pub(super) fn update_subscriber_count(
+        &mut self,
+        now: Nanos,
+        subscribers: u32,
+        changed: &mut PendingChange,
+    ) {
+        if subscribers >= self.subscribers || now.saturating_sub(self.counted_at) >= SUBSCRIBER_COUNT_TTL {
             changed.subscribers |= subscribers != self.subscribers;
             (self.subscribers, self.counted_at) = (subscribers, now);
         }
     }
 
-    /// What has changed, for who sends requests.
-    pub(super) fn told(&self, service: String, changed: Changed) -> impl Iterator<Item = Change> {
+    /// Converts the changes to events for the request path.
+    pub(super) fn changes_to_report(
+        &self,
+        service: String,
+        changed: PendingChange,
+    ) -> impl Iterator<Item = Change> {
         let words = || {
             let word = |s: &Server| PlannedServer {
                 name: s.member.name.clone(),
@@ -277,12 +305,12 @@
     }
 }
 
-/// The rows with who they are, or why the changes cannot be used.
-fn checked(changes: &ServiceChanges) -> Result<Rows, RejectReason> {
+/// Validates the changes and returns their rows with the decoded servers.
+fn validate(changes: &ServiceChanges) -> Result<Rows, RejectReason> {
     let bad_name = |name: &String| name.is_empty() || name.len() > MAX_NAME_BYTES;
     let slices = changes.slices as usize;
     let sliced = slices.is_power_of_two() && (changes.slice as usize) < slices;
-    if changes.rows.len() + changes.removed.len() > MOST_ROWS
+    if changes.rows.len() + changes.removed.len() > MAX_ROWS
         || !sliced
         || changes.removed.iter().any(bad_name)
     {
--- a/crates/plan/src/services/subscriber/mod.rs
+++ b/crates/plan/src/services/subscriber/mod.rs
@@ -1,11 +1,13 @@
-//! A forwarder's side: the services that its requests name, held as one planner tells them.
+//! The forwarder's side of service subscriptions: holds the services that requests name, as sent by one planner at
+//! a time.
 //!
-//! What is held outlives its planner: a connection that ends takes nothing away, and the next planner is told what is held.
-//! What is in use is never dropped to make room; what strangers name and does not exist takes room of its own.
+//! HeldService state outlives the connection: losing the planner removes nothing, and the next planner is sent what is
+//! held. Services in use are never dropped to make room. Names of services that do not exist have a separate limit,
+//! so that they cannot displace services.
 
-mod choice;
-mod held;
-mod words;
+mod held_service;
+mod messages;
+mod planner_choice;
 
 use super::publisher::{FRAMING_BYTES, HEARTBEAT_INTERVAL};
 use crate::follower::PlannedServer;
@@ -14,194 +16,196 @@
 use crate::wire::{
     Chunk, ClosedServer, RejectReason, RejectedService, ServiceChanges, Subscribe, Update, UpdateAck,
 };
-use choice::Choice;
-use held::{Held, Left};
+use held_service::{HeldService, RemovedServer};
 use laurelroute_policy::interface::{Nanos, Phase};
+use planner_choice::PlannerChoice;
 use prost::Message;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 const MS: Nanos = 1_000_000;
 const S: Nanos = 1_000 * MS;
-/// Services that have been asked for and of which nothing has come yet. They are none of those that are held.
+/// Maximum number of requested services of which nothing has been received. They do not count as held.
 pub const MAX_PENDING_SERVICES: usize = 1_024;
-/// A service of which nothing has come for so long, and that nobody asks for, is forgotten.
-const WAITS: Nanos = 10 * S;
-/// Names of services that do not exist.
+/// Time after which a service of which nothing has been received, and that no request names, is forgotten.
+const PENDING_TIMEOUT: Nanos = 10 * S;
+/// Maximum number of remembered names of services that do not exist.
 pub const MAX_UNKNOWN_SERVICES: usize = 4_096;
-/// A use is noted at most this often: what is least used is told by seconds.
-const USE_STEP: Nanos = S;
-/// A planner whose list is earlier than what is held is believed after this: its source has lost its versions.
+/// Granularity of the last use of a service.
+const LAST_USE_GRANULARITY: Nanos = S;
+/// Time after which a planner with an earlier list than the held state is believed: its source has lost its
+/// versions.
 const STALE_LIST_TIMEOUT: Nanos = 9 * S;
-/// Before a service is asked for again that its planner has refused to know, or told badly.
-const AGAIN: Nanos = 5 * S;
-/// Bytes that a server takes here, about: in these tables, in the decision module and at the sockets.
+/// Delay before a service is requested again after an unusable or unbelieved answer.
+const RETRY_DELAY: Nanos = 5 * S;
+/// Approximate memory per server, in these tables, in the decision module and for its sockets.
 const SERVER_BYTES: usize = 1_200;
-/// Bytes that a service takes beside its servers.
+/// Approximate memory per service beside its servers.
 const SERVICE_BYTES: usize = 8_000;
 
-/// Versions of the list that a forwarder remembers, and the time between two of them: together well over the time by which
-/// one planner's list is later than another's.
+/// Number of list versions that a forwarder remembers, and the time between two of them. The product is well above
+/// the delay by which planners' lists differ.
 pub const MAX_VERSION_HISTORY: usize = 24;
-const FOLLOW_STEP: Nanos = 400 * MS;
+const VERSION_HISTORY_INTERVAL: Nanos = 400 * MS;
 
-/// A planner that has said nothing for so long is taken for lost: well above the beats that one misses which is met by a
-/// third of all forwarders at once.
+/// Time without a message after which a planner is considered lost. It is well above the number of heartbeats that
+/// a planner misses when a third of all forwarders connect to it at once.
 pub const PLANNER_SILENCE_TIMEOUT: Nanos = 6 * HEARTBEAT_INTERVAL;
 
-/// What a subscriber is told at its start.
+/// Settings of a [`Subscriber`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// This forwarder.
+    /// Name of this forwarder.
     pub name: String,
-    /// The installation.
+    /// Name of the installation.
     pub site: String,
-    /// The planners, known by their place here.
+    /// Addresses of the planners; planners are identified by their index here.
     pub planners: Vec<String>,
-    /// Services held at most.
+    /// Maximum number of held services.
     pub max_services: usize,
-    /// Bytes that they may take at most, about.
+    /// Approximate maximum memory of the held services, in bytes.
     pub max_bytes: usize,
-    /// A service that no request has named for so long is dropped.
+    /// Time after which a service that no request has named is dropped.
     pub unused_timeout: Nanos,
-    /// That a service does not exist is remembered for so long.
+    /// Time for which it is remembered that a service does not exist.
     pub unknown_ttl: Nanos,
-    /// Bytes a second that it says.
+    /// Rate limit for sent messages, in bytes per second.
     pub bytes_per_second: f64,
-    /// Bytes beyond that at once, after a rest.
+    /// Bytes that may be sent at once after an idle period.
     pub burst: f64,
-    /// Bytes a second that it takes; a planner that it comes to hears how many are left.
+    /// Rate limit for received updates, in bytes per second. A new planner is sent the remaining budget.
     pub receive_bytes_per_second: f64,
-    /// Bytes beyond that at once, after a rest.
+    /// Bytes that may be received at once after an idle period.
     pub receive_burst: f64,
-    /// Settles how it is spread out in time.
+    /// Seed of the random delays.
     pub seed: u64,
 }
 
-/// How a service stands here as a request names it.
+/// Status of a service that a request names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServiceStatus {
-    /// Its servers are known: the request may go on.
+    /// Its servers are known; the request can be sent.
     Available,
-    /// It has been subscribed to, and nothing has come yet.
+    /// It has been subscribed to and nothing has been received yet.
     Pending,
-    /// There is no such service.
+    /// The service does not exist.
     Unknown,
-    /// There is no room for it: all that is held is in use.
+    /// There is no room for it: every held service is in use.
     AtCapacity,
 }
 
-/// What has changed for who sends requests.
+/// A change that concerns the request path.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// Servers of a service that are new, changed, or gone (by their phase).
+    /// Servers of a service that are new, changed or removed, according to their phase.
     Members {
         /// The service.
         service: String,
-        /// The servers that have changed.
+        /// The changed servers.
         members: Vec<Member>,
-        /// Forwarders that use the service, all planners together, at least: the larger count of the last minute.
+        /// Minimum number of forwarders that use the service with all planners: the largest count of the last
+        /// minute.
         subscribers: u32,
     },
-    /// What others have met of a service's servers; all that is said of them, each replaces the one before.
+    /// What other forwarders report about a service's servers. Replaces all earlier hints of the service.
     Hints {
         /// The service.
         service: String,
-        /// By server.
+        /// Hints by server.
         words: Vec<PlannedServer>,
     },
-    /// There is no such service: requests that wait for it are answered so.
+    /// The service does not exist; requests waiting for it fail.
     Unknown(String),
-    /// A service is no longer held; requests of it are none under way.
+    /// A service is no longer held. It has no requests in flight.
     Dropped(String),
 }
 
-/// Counts for measurements.
+/// Counters for measurements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// Services held.
+    /// HeldService services.
     pub services: usize,
-    /// Servers held in them.
+    /// Servers of the held services.
     pub servers: usize,
-    /// Bytes that they take, about.
+    /// Their approximate memory in bytes.
     pub bytes: usize,
-    /// Services known not to exist.
+    /// Names remembered as services that do not exist.
     pub unknown: usize,
-    /// Bytes of updates received and of words sent so far.
+    /// Bytes of received updates.
     pub received: u64,
-    /// See `received`.
+    /// Bytes of sent messages.
     pub sent: u64,
 }
 
-/// A forwarder's subscriptions.
+/// The subscriptions of a forwarder.
 #[derive(Clone, Debug)]
 pub struct Subscriber {
     settings: Settings,
-    services: BTreeMap<String, Held>,
-    /// Requests under way by service. A request may outlast what was held of its service as it began: counted there, its end
-    /// would be taken off those of a later holding.
-    under_way: BTreeMap<String, u32>,
-    /// Services by when they were last used.
-    by_use: BTreeSet<(Nanos, String)>,
-    waiting: usize,
+    services: BTreeMap<String, HeldService>,
+    /// Requests in flight by service. They are counted apart from the held services, since a request may outlast
+    /// the service that it began with, and its end must not be counted against a later one of the same name.
+    in_flight: BTreeMap<String, u32>,
+    /// Services ordered by their last use.
+    by_last_use: BTreeSet<(Nanos, String)>,
+    pending_services: usize,
     servers: usize,
     bytes: usize,
-    /// Names of services that do not exist, and until when that counts.
+    /// Names of services that do not exist, and until when they are remembered.
     unknown: BTreeMap<String, Nanos>,
     unknown_order: VecDeque<(Nanos, String)>,
-    choice: Choice,
-    /// Services that the planner is to be asked for, the first ones first.
-    to_ask: VecDeque<String>,
-    /// Services that it is to be told are no longer wanted.
-    unwanted: BTreeSet<String>,
-    /// Services that are to be asked for again then.
-    again: BTreeSet<(Nanos, String)>,
-    /// Servers that have left, for a planner with an earlier list.
-    left: VecDeque<Left>,
-    say_closed: bool,
-    /// Versions of the list that planners went by, and when the last was noted.
+    choice: PlannerChoice,
+    /// Services to request from the planner, in order.
+    to_request: VecDeque<String>,
+    /// Services whose subscription is to be ended.
+    to_unsubscribe: BTreeSet<String>,
+    /// Services to request again, by time.
+    retries: BTreeSet<(Nanos, String)>,
+    /// Removed servers, for planners with an earlier list.
+    removed: VecDeque<RemovedServer>,
+    send_closed: bool,
+    /// List versions of the connected planners, and when the last one was recorded.
     history: History,
-    noted_at: Nanos,
-    /// The planner has not been told yet how many bytes are left.
-    say_allowance: bool,
-    /// The planner has not been told yet that it has heard of all that is wanted.
-    say_all: bool,
+    recorded_at: Nanos,
+    /// Whether the planner has yet to be sent the remaining receive budget.
+    send_allowance: bool,
+    /// Whether the planner has yet to be sent that all subscriptions were named.
+    send_all_named: bool,
     tokens: f64,
-    takes: f64,
-    tokens_at: Nanos,
-    changed: BTreeMap<String, held::Changed>,
-    ended: Vec<Change>,
+    receive_tokens: f64,
+    refilled_at: Nanos,
+    pending_changes: BTreeMap<String, held_service::PendingChange>,
+    ended_services: Vec<Change>,
     reported: BTreeMap<String, (f32, bool)>,
     stats: Stats,
 }
 
 impl Subscriber {
-    /// A forwarder that holds nothing yet.
+    /// Creates a subscriber that holds no services.
     pub fn new(now: Nanos, settings: Settings) -> Self {
         Subscriber {
-            choice: Choice::new(now, &settings.name, &settings.planners, settings.seed),
+            choice: PlannerChoice::new(now, &settings.name, &settings.planners, settings.seed),
             tokens: settings.burst,
-            takes: settings.receive_burst,
-            tokens_at: now,
+            receive_tokens: settings.receive_burst,
+            refilled_at: now,
             settings,
             services: BTreeMap::new(),
-            under_way: BTreeMap::new(),
-            by_use: BTreeSet::new(),
-            waiting: 0,
+            in_flight: BTreeMap::new(),
+            by_last_use: BTreeSet::new(),
+            pending_services: 0,
             servers: 0,
             bytes: 0,
             unknown: BTreeMap::new(),
             unknown_order: VecDeque::new(),
-            to_ask: VecDeque::new(),
-            unwanted: BTreeSet::new(),
-            again: BTreeSet::new(),
-            left: VecDeque::new(),
+            to_request: VecDeque::new(),
+            to_unsubscribe: BTreeSet::new(),
+            retries: BTreeSet::new(),
+            removed: VecDeque::new(),
             history: History::new(MAX_VERSION_HISTORY),
-            noted_at: now,
-            say_closed: false,
-            say_allowance: false,
-            say_all: false,
-            changed: BTreeMap::new(),
-            ended: Vec::new(),
+            recorded_at: now,
+            send_closed: false,
+            send_allowance: false,
+            send_all_named: false,
+            pending_changes: BTreeMap::new(),
+            ended_services: Vec::new(),
             reported: BTreeMap::new(),
             stats: Stats::default(),
         }
@@ -209,15 +213,15 @@
 
     // ---- Requests ----
 
-    /// A request names this service: it is subscribed to where it is not, and counts as used now.
+    /// Returns the status of a service that a request names. Subscribes to it if necessary and records its use.
     pub fn lookup(&mut self, now: Nanos, service: &str) -> ServiceStatus {
         if let Some(held) = self.services.get_mut(service) {
-            if now.saturating_sub(held.used_at) >= USE_STEP {
-                self.by_use.remove(&(held.used_at, service.to_owned()));
-                held.used_at = now;
-                self.by_use.insert((now, service.to_owned()));
+            if now.saturating_sub(held.last_used_at) >= LAST_USE_GRANULARITY {
+                self.by_last_use.remove(&(held.last_used_at, service.to_owned()));
+                held.last_used_at = now;
+                self.by_last_use.insert((now, service.to_owned()));
             }
-            return if held.known { ServiceStatus::Available } else { ServiceStatus::Pending };
+            return if held.received { ServiceStatus::Available } else { ServiceStatus::Pending };
         }
         if self.unknown.get(service).is_some_and(|until| now < *until) {
             return ServiceStatus::Unknown;
@@ -225,115 +229,121 @@
         if service.len() > MAX_NAME_BYTES {
             return ServiceStatus::Unknown;
         }
-        if self.waiting >= MAX_PENDING_SERVICES {
+        if self.pending_services >= MAX_PENDING_SERVICES {
             return ServiceStatus::AtCapacity;
         }
-        self.unwanted.remove(service);
-        self.services.insert(service.to_owned(), Held::new(now));
-        self.by_use.insert((now, service.to_owned()));
-        self.waiting += 1;
-        self.to_ask.push_back(service.to_owned());
+        self.to_unsubscribe.remove(service);
+        self.services.insert(service.to_owned(), HeldService::new(now));
+        self.by_last_use.insert((now, service.to_owned()));
+        self.pending_services += 1;
+        self.to_request.push_back(service.to_owned());
         ServiceStatus::Pending
     }
 
-    /// A request of this service is under way (also while it waits): the service is not dropped before it has `request_finished`.
+    /// Records that a request of this service is in flight or waiting. The service is not dropped before the
+    /// matching `request_finished`.
     pub fn request_started(&mut self, service: &str) {
-        *self.under_way.entry(service.to_owned()).or_insert(0) += 1;
+        *self.in_flight.entry(service.to_owned()).or_insert(0) += 1;
     }
 
-    /// A request of this service is no longer under way.
+    /// Records that a request of this service has ended.
     pub fn request_finished(&mut self, _now: Nanos, service: &str) {
-        let Some(requests) = self.under_way.get_mut(service) else { return };
+        let Some(requests) = self.in_flight.get_mut(service) else { return };
         *requests -= 1;
         if *requests == 0 {
-            self.under_way.remove(service);
-            // What could not be dropped may be now.
+            self.in_flight.remove(service);
+            // A service that was in use may be droppable now.
             self.make_room(service);
         }
     }
 
     // ---- Planners ----
 
-    /// The planner to connect to now, if there is one: to be asked some times a second. Until `connected` or `connect_failed` is
-    /// told for it, no other is named. One that is connected already may be left for a better one: `connected` then
-    /// replaces it, and the connection to the former is to be closed once `leave_message` is sent there.
+    /// Returns the planner to connect to now, if any; to be called several times a second. No other planner is
+    /// returned until `connected` or `connect_failed` is called for it. The connected planner may be replaced by a
+    /// preferred one: `connected` then switches to the new one, and the former connection is to be closed once
+    /// `leave_message` has been sent on it.
     pub fn try_next(&mut self, now: Nanos) -> Option<usize> {
         self.choice.try_next(now)
     }
 
-    /// The planner has greeted: it is the one that is spoken with from now on.
-    pub fn connected(&mut self, now: Nanos, planner: usize, life: u64) {
-        self.choice.connected(now, planner, life);
-        // All of it is asked for anew, what was used last first; the planner knows by the version held what is lacking.
-        self.unwanted.clear();
-        self.again.clear();
-        self.to_ask = self.by_use.iter().rev().map(|(_, service)| service.clone()).collect();
-        self.services.values_mut().for_each(|held| held.whole = None);
-        (self.say_closed, self.say_allowance, self.say_all) = (false, true, true);
+    /// Switches to a planner whose hello has been received.
+    pub fn connected(&mut self, now: Nanos, planner: usize, incarnation: u64) {
+        self.choice.connected(now, planner, incarnation);
+        // All services are requested anew, the most recently used ones first. The planner derives the missing
+        // changes from the held versions.
+        self.to_unsubscribe.clear();
+        self.retries.clear();
+        self.to_request = self.by_last_use.iter().rev().map(|(_, service)| service.clone()).collect();
+        self.services.values_mut().for_each(|held| held.snapshot_names = None);
+        (self.send_closed, self.send_allowance, self.send_all_named) = (false, true, true);
         self.reported.clear();
     }
 
-    /// It could not be reached.
+    /// Records that the planner could not be reached.
     pub fn connect_failed(&mut self, now: Nanos, planner: usize) {
         self.choice.connect_failed(now, planner);
     }
 
-    /// It was reached, and had no room or no time: it is left in peace for longer.
+    /// Records that the planner is reachable but at capacity or overloaded. It is retried after a longer delay.
     pub fn planner_at_capacity(&mut self, now: Nanos, planner: usize) {
         self.choice.planner_at_capacity(now, planner);
     }
 
-    /// The connection to it is lost. All that is held stays.
+    /// Records that the connection to the planner was lost. HeldService services stay.
     pub fn connection_lost(&mut self, now: Nanos, planner: usize) {
         self.choice.connection_lost(now, planner);
     }
 
-    /// The planner that it is connected to.
+    /// Returns the connected planner.
     pub fn planner(&self) -> Option<usize> {
         self.choice.planner()
     }
 
-    /// What to say to a planner that is left on purpose.
+    /// Returns the message for a planner that is left on purpose.
     pub fn leave_message() -> Subscribe {
         Subscribe { leaving: true, ..Subscribe::default() }
     }
 
-    // ---- What the planner says ----
+    // ---- Updates ----
 
-    /// Takes in an update, service by service; what is refused changes nothing. `None` where it needs no answer.
+    /// Applies an update, service by service; a rejected service is not changed. Returns the acknowledgement, or
+    /// `None` if the update needs none.
     pub fn receive(&mut self, now: Nanos, planner: usize, update: &Update) -> Option<UpdateAck> {
         self.refill(now);
         let size = update.encoded_len() + FRAMING_BYTES;
         self.stats.received += size as u64;
-        self.takes -= size as f64;
-        let life = self.choice.heard(now, planner)?;
+        self.receive_tokens -= size as f64;
+        let incarnation = self.choice.incarnation_of(now, planner)?;
         // A planner that does not count epochs is compared by its numbers alone.
-        let epoch = if update.epoch == 0 { self.newest().epoch } else { update.epoch };
+        let epoch = if update.epoch == 0 { self.latest_list().epoch } else { update.epoch };
         let source = ListVersion { epoch, number: update.source };
         let because = match () {
             () if update.site != self.settings.site => RejectReason::OtherSite,
-            () if update.incarnation != life => RejectReason::StaleIncarnation,
+            () if update.incarnation != incarnation => RejectReason::StaleIncarnation,
             () => RejectReason::Accepted,
         };
-        // What cannot be read is not acknowledged: the planner ends a connection on which that goes on.
+        // An unreadable update is not acknowledged; the planner closes the connection if that continues.
         let services = update.unpacked().ok()?;
         let mut refused: BTreeMap<&str, RejectReason> = BTreeMap::new();
         for changes in &services {
             let taken = match because {
-                RejectReason::Accepted => self.take(now, (update.incarnation, source), changes),
+                RejectReason::Accepted => self.apply_changes(now, (update.incarnation, source), changes),
                 _ => Err(because),
             };
             if taken.is_err() && changes.chunk() == Chunk::Unknown {
-                // It is said once: it is asked for again, until it is known or believed.
-                self.again.insert((now + AGAIN, changes.service.clone()));
+                // The planner sends this answer once, so the service is requested again until it is known or the
+                // answer is believed.
+                self.retries.insert((now + RETRY_DELAY, changes.service.clone()));
             }
             if let Err(because) = taken {
                 refused.insert(&changes.service, because);
             }
         }
         if because == RejectReason::Accepted && update.epoch > 0 {
-            self.follow(now, VersionDigest { version: source, digest: update.list_digest });
-            self.say_closed |= source < self.newest() && !self.choice.insists(now, STALE_LIST_TIMEOUT);
+            self.record_version(now, VersionDigest { version: source, digest: update.list_digest });
+            self.send_closed |=
+                source < self.latest_list() && !self.choice.connected_for(now, STALE_LIST_TIMEOUT);
         }
         let refused = refused.into_iter();
         let refused =
@@ -348,79 +358,79 @@
         Some(answer)
     }
 
-    /// Notes a version of the list that the planner goes by, some times a second and where the epoch changes.
-    fn follow(&mut self, now: Nanos, seen: VersionDigest) {
+    /// Records the planner's list version at intervals, and whenever the epoch changes.
+    fn record_version(&mut self, now: Nanos, followed: VersionDigest) {
         let last = self.history.iter().next_back().map(|last| last.version.epoch);
-        if last != Some(seen.version.epoch) || now >= self.noted_at + FOLLOW_STEP {
-            self.history.push(seen);
-            self.noted_at = now;
+        if last != Some(followed.version.epoch) || now >= self.recorded_at + VERSION_HISTORY_INTERVAL {
+            self.history.push(followed);
+            self.recorded_at = now;
         }
     }
 
-    /// The latest list of which anything here was made.
-    fn newest(&self) -> ListVersion {
-        self.choice.newest
+    /// Returns the latest list version from which any held state was made.
+    fn latest_list(&self) -> ListVersion {
+        self.choice.latest_list
     }
 
-    fn take(
+    fn apply_changes(
         &mut self,
         now: Nanos,
-        (life, source): (u64, ListVersion),
+        (incarnation, source): (u64, ListVersion),
         changes: &ServiceChanges,
     ) -> Result<(), RejectReason> {
-        let insists = self.choice.insists(now, STALE_LIST_TIMEOUT);
+        let believed = self.choice.connected_for(now, STALE_LIST_TIMEOUT);
         let planners = self.settings.planners.len().max(1) as u32;
-        // Dropped since it was asked for: it does not count as in force here.
+        // The service was dropped after it was requested, so its changes are not acknowledged.
         let Some(held) = self.services.get_mut(&changes.service) else {
             return Err(RejectReason::NotSubscribed);
         };
-        if held.life != life && source < held.source && !insists {
+        if held.incarnation != incarnation && source < held.list_version && !believed {
             return Err(RejectReason::StaleMembership);
         }
-        let was = (held.known, held.servers.len());
+        let was = (held.received, held.servers.len());
         if changes.chunk() == Chunk::Unknown {
-            self.no_such(now, &changes.service);
+            self.mark_unknown(now, &changes.service);
             return Ok(());
         }
-        let changed = self.changed.entry(changes.service.clone()).or_default();
-        let taken = held.take(now, (life, source), changes, changed, &mut self.left);
-        if held.known {
-            held.count(now, changes.subscribers.saturating_mul(planners), changed);
+        let changed = self.pending_changes.entry(changes.service.clone()).or_default();
+        let taken = held.apply(now, (incarnation, source), changes, changed, &mut self.removed);
+        if held.received {
+            held.update_subscriber_count(now, changes.subscribers.saturating_mul(planners), changed);
         }
-        let is = (held.known, held.servers.len());
-        self.count(was, is);
+        let is = (held.received, held.servers.len());
+        self.update_totals(was, is);
         if taken.is_ok() {
-            self.choice.newest = self.choice.newest.max(source);
+            self.choice.latest_list = self.choice.latest_list.max(source);
         }
         self.make_room(&changes.service);
         taken
     }
 
-    fn count(&mut self, (known, servers): (bool, usize), (knows, has): (bool, usize)) {
+    fn update_totals(&mut self, (known, servers): (bool, usize), (knows, has): (bool, usize)) {
         self.servers = self.servers + has - servers;
         self.bytes = self.bytes + has * SERVER_BYTES - servers * SERVER_BYTES;
         if knows && !known {
-            self.waiting -= 1;
+            self.pending_services -= 1;
             self.bytes += SERVICE_BYTES;
         }
     }
 
-    /// There is no such service (any longer).
-    fn no_such(&mut self, now: Nanos, service: &str) {
+    /// Handles the planner's answer that the service does not exist (any longer).
+    fn mark_unknown(&mut self, now: Nanos, service: &str) {
         let Some(held) = self.services.get_mut(service) else { return };
-        if self.under_way.contains_key(service) && held.known {
-            // Its requests are still under way: it stays, empty, and is asked for again.
-            let changed = self.changed.entry(service.to_owned()).or_default();
-            let was = (held.known, held.servers.len());
-            held.empty(now, changed, &mut self.left);
-            self.count(was, (true, 0));
-            self.again.insert((now + AGAIN, service.to_owned()));
+        if self.in_flight.contains_key(service) && held.received {
+            // The service has requests in flight, so it stays without servers and is requested again.
+            let changed = self.pending_changes.entry(service.to_owned()).or_default();
+            let was = (held.received, held.servers.len());
+            held.remove_all(now, changed, &mut self.removed);
+            self.update_totals(was, (true, 0));
+            self.retries.insert((now + RETRY_DELAY, service.to_owned()));
             return;
         }
-        let known = held.known;
-        self.remove(service);
-        self.unwanted.remove(service);
-        self.ended.push(if known {
+        let known = held.received;
+        self.remove_service(service);
+        self.to_unsubscribe.remove(service);
+        self.ended_services.push(if known {
             Change::Dropped(service.to_owned())
         } else {
             Change::Unknown(service.to_owned())
@@ -440,110 +450,111 @@
         }
     }
 
-    /// Keeps to the bounds by dropping what is least used and has no request under way; never for one that is in use. Where
-    /// there is nothing to drop, the one that has just come goes.
+    /// Enforces the limits by dropping the least recently used services that have no request in flight. If there is
+    /// none, `newcomer` is dropped.
     fn make_room(&mut self, newcomer: &str) {
         let over = |s: &Self| {
-            s.services.len() - s.waiting > s.settings.max_services || s.bytes > s.settings.max_bytes
+            s.services.len() - s.pending_services > s.settings.max_services || s.bytes > s.settings.max_bytes
         };
         while over(self) {
-            let idle = |(_, name): &&(Nanos, String)| name != newcomer && self.rests(name);
-            let least = self.by_use.iter().find(idle).map(|(_, name)| name.clone());
-            let Some(least) = least.or_else(|| self.rests(newcomer).then(|| newcomer.to_owned())) else {
+            let idle = |(_, name): &&(Nanos, String)| name != newcomer && self.is_idle(name);
+            let least = self.by_last_use.iter().find(idle).map(|(_, name)| name.clone());
+            let Some(least) = least.or_else(|| self.is_idle(newcomer).then(|| newcomer.to_owned())) else {
                 return;
             };
             self.drop_service(&least);
         }
     }
 
-    /// Whether a service is held and no request of it is under way.
-    fn rests(&self, service: &str) -> bool {
-        let known = self.services.get(service).is_some_and(|held| held.known);
-        known && !self.under_way.contains_key(service)
+    /// Returns whether a service is held and has no request in flight.
+    fn is_idle(&self, service: &str) -> bool {
+        let known = self.services.get(service).is_some_and(|held| held.received);
+        known && !self.in_flight.contains_key(service)
     }
 
     fn drop_service(&mut self, service: &str) {
-        let Some(held) = self.remove(service) else { return };
-        self.unwanted.insert(service.to_owned());
-        if held.known {
-            self.ended.push(Change::Dropped(service.to_owned()));
+        let Some(held) = self.remove_service(service) else { return };
+        self.to_unsubscribe.insert(service.to_owned());
+        if held.received {
+            self.ended_services.push(Change::Dropped(service.to_owned()));
         } else {
-            self.ended.push(Change::Unknown(service.to_owned()));
+            self.ended_services.push(Change::Unknown(service.to_owned()));
         }
     }
 
-    fn remove(&mut self, service: &str) -> Option<Held> {
+    fn remove_service(&mut self, service: &str) -> Option<HeldService> {
         let held = self.services.remove(service)?;
-        self.by_use.remove(&(held.used_at, service.to_owned()));
-        self.changed.remove(service);
+        self.by_last_use.remove(&(held.last_used_at, service.to_owned()));
+        self.pending_changes.remove(service);
         self.servers -= held.servers.len();
         self.bytes -= held.servers.len() * SERVER_BYTES;
-        match held.known {
+        match held.received {
             true => self.bytes -= SERVICE_BYTES,
-            false => self.waiting -= 1,
+            false => self.pending_services -= 1,
         }
         Some(held)
     }
 
     // ---- Time ----
 
-    /// What time brings; to be called some times a second. Costs what is due.
+    /// Runs everything that is due. To be called several times a second.
     pub fn poll(&mut self, now: Nanos) {
         self.refill(now);
         while self.unknown_order.front().is_some_and(|(until, _)| *until <= now) {
             self.forget_unknown();
         }
         let due = |(at, _): &&(Nanos, String)| *at <= now;
-        while let Some((at, service)) = self.again.first().filter(due).cloned() {
-            self.again.remove(&(at, service.clone()));
+        while let Some((at, service)) = self.retries.first().filter(due).cloned() {
+            self.retries.remove(&(at, service.clone()));
             if self.services.contains_key(&service) {
-                self.to_ask.push_back(service);
+                self.to_request.push_back(service);
             }
         }
-        // Those that wait are used for less long than the others: both are looked for from the least used on.
-        let wait = WAITS.min(self.settings.unused_timeout);
-        let old = self.by_use.iter().take_while(|(at, _)| now.saturating_sub(*at) >= wait);
+        // Pending services expire earlier than held ones; both are searched from the least recently used on.
+        let wait = PENDING_TIMEOUT.min(self.settings.unused_timeout);
+        let old = self.by_last_use.iter().take_while(|(at, _)| now.saturating_sub(*at) >= wait);
         let gone = |(at, name): &&(Nanos, String)| {
             let long = now.saturating_sub(*at) >= self.settings.unused_timeout;
-            let idle = !self.under_way.contains_key(name);
-            idle && self.services.get(name).is_some_and(|h| long || !h.known)
+            let idle = !self.in_flight.contains_key(name);
+            idle && self.services.get(name).is_some_and(|h| long || !h.received)
         };
-        let old: Vec<String> = old.take(LOOKED_AT).filter(gone).map(|(_, name)| name.clone()).collect();
+        let old: Vec<String> =
+            old.take(MAX_EXAMINED_SERVICES).filter(gone).map(|(_, name)| name.clone()).collect();
         old.iter().for_each(|service| self.drop_service(service));
     }
 
-    /// What has changed since the last call.
+    /// Returns the changes since the last call.
     pub fn changes(&mut self) -> Vec<Change> {
         let mut changes = Vec::new();
-        for (service, changed) in std::mem::take(&mut self.changed) {
+        for (service, changed) in std::mem::take(&mut self.pending_changes) {
             let Some(held) = self.services.get(&service) else { continue };
-            changes.extend(held.told(service, changed));
+            changes.extend(held.changes_to_report(service, changed));
         }
-        changes.append(&mut self.ended);
+        changes.append(&mut self.ended_services);
         changes
     }
 
-    /// The servers of a service as held here, for those who look on; `None` where it is not held.
+    /// Returns the servers of a held service, for inspection, or `None` if it is not held.
     pub fn members_of(&self, service: &str) -> Option<Vec<&Member>> {
-        let held = self.services.get(service).filter(|h| h.known)?;
+        let held = self.services.get(service).filter(|h| h.received)?;
         Some(held.servers.values().map(|s| &s.member).collect())
     }
 
-    /// The planner's life, the version and the list's version of what is held of a service, for those who look on; zeros
-    /// where a whole has not come yet.
+    /// Returns the planner's incarnation, the version and the list number of a service's held state, for
+    /// inspection; zeros before the first complete snapshot.
     pub fn version_of(&self, service: &str) -> Option<(u64, u64, u64)> {
-        self.services.get(service).map(|h| (h.life, h.version, h.source.number))
+        self.services.get(service).map(|h| (h.incarnation, h.version, h.list_version.number))
     }
 
-    /// The list's version of what is held of a service, with its epoch, for those who look on.
+    /// Returns the list version, with its epoch, of a service's held state, for inspection.
     pub fn list_version_of(&self, service: &str) -> Option<ListVersion> {
-        self.services.get(service).map(|held| held.source)
+        self.services.get(service).map(|held| held.list_version)
     }
 
-    /// Counts for measurements.
+    /// Returns counters for measurements.
     pub fn stats(&self) -> Stats {
         Stats {
-            services: self.services.len() - self.waiting,
+            services: self.services.len() - self.pending_services,
             servers: self.servers,
             bytes: self.bytes,
             unknown: self.unknown.len(),
@@ -552,5 +563,5 @@
     }
 }
 
-/// Services that one look at what is unused goes over; the rest is for the next.
-const LOOKED_AT: usize = 256;
+/// Maximum number of services examined in one search for unused ones; the next call continues.
+const MAX_EXAMINED_SERVICES: usize = 256;
