--- a/crates/plan/src/services/list_version.rs
+++ b/crates/plan/src/services/list_version.rs
@@ -38,7 +38,7 @@
 }
 
 impl History {
-    /// Creates a history of at capacity `capacity` versions.
+    /// Creates a history of at most `capacity` versions.
     pub fn new(capacity: usize) -> History {
         History { entries: VecDeque::new(), capacity }
     }
--- a/crates/plan/src/services/publisher/forwarders.rs
+++ b/crates/plan/src/services/publisher/forwarders.rs
@@ -12,13 +12,14 @@
             return Err(PublishError::InvalidName(name.len()));
         }
         let known = self.forwarder_ids.get(name).copied();
-        let here = known.and_then(|id| self.forwarders.get(&id)).is_some_and(|f| f.disconnected_at.is_none());
-        if !here && self.connected >= self.settings.max_forwarders {
+        let is_connected =
+            known.and_then(|id| self.forwarders.get(&id)).is_some_and(|f| f.disconnected_at.is_none());
+        if !is_connected && self.connected >= self.settings.max_forwarders {
             return Err(PublishError::AtCapacity(self.connected));
         }
         let id = known.unwrap_or_else(|| self.add_forwarder(now, name));
         let Some(f) = self.forwarders.get_mut(&id) else { return Ok(()) };
-        self.connected += usize::from(!here);
+        self.connected += usize::from(!is_connected);
         f.zone = zone;
         (f.disconnected_at, f.connected_at) = (None, now);
         f.in_flight.clear();
@@ -82,8 +83,8 @@
             self.remove_all_subscriptions(now, id);
             return Ok(());
         }
-        if let Some(bad) = subscribe.interests.iter().find(|i| i.service.len() > MAX_NAME_BYTES) {
-            return Err(PublishError::InvalidName(bad.service.len()));
+        if let Some(invalid) = subscribe.interests.iter().find(|i| i.service.len() > MAX_NAME_BYTES) {
+            return Err(PublishError::InvalidName(invalid.service.len()));
         }
         let allowance = subscribe.allowance;
         if let Some(f) = self.forwarders.get_mut(&id).filter(|_| allowance > 0) {
@@ -113,8 +114,8 @@
         if f.epoch_offset.is_some() {
             return;
         }
-        let seen = followed.iter().take(MAX_VERSION_HISTORY).map(FollowedVersion::seen);
-        f.version_history.extend(seen);
+        let versions = followed.iter().take(MAX_VERSION_HISTORY).map(FollowedVersion::version_digest);
+        f.version_history.extend(versions);
         f.version_history.truncate(MAX_VERSION_HISTORY);
         self.determine_epoch_offset(id);
     }
@@ -126,16 +127,16 @@
         if f.disconnected_at.is_some() || f.epoch_offset.is_some() {
             return;
         }
-        let latest = f.version_history.last().map_or(INITIAL_EPOCH, |seen| seen.version.epoch);
-        let by_number = latest as i64 - source.epoch as i64;
-        f.epoch_offset = Some(self.history.epoch_offset(&f.version_history).unwrap_or(by_number));
+        let latest = f.version_history.last().map_or(INITIAL_EPOCH, |last| last.version.epoch);
+        let assumed_offset = latest as i64 - source.epoch as i64;
+        f.epoch_offset = Some(self.history.epoch_offset(&f.version_history).unwrap_or(assumed_offset));
         f.version_history = Vec::new();
     }
 
     /// Removes the subscriptions that a forwarder has not renewed since it connected.
     pub(super) fn remove_stale_subscriptions(&mut self, now: Nanos, id: u32) {
-        let here = |f: &&Forwarder| f.disconnected_at.is_none();
-        let stale = self.forwarders.get(&id).filter(here).into_iter().flat_map(|f| &f.subscriptions);
+        let is_connected = |f: &&Forwarder| f.disconnected_at.is_none();
+        let stale = self.forwarders.get(&id).filter(is_connected).into_iter().flat_map(|f| &f.subscriptions);
         let stale: Vec<u32> = stale.filter(|(_, s)| s.stale).map(|(service, _)| *service).collect();
         stale.into_iter().for_each(|service| self.remove_subscription(now, id, service));
     }
@@ -160,9 +161,9 @@
             return Ok(());
         }
         let service_id = self.service_ids.get(interest.service.as_str()).copied();
-        let empty = |s: &u32| self.services.get(s).is_none_or(|s| s.size() == 0);
+        let is_empty = |s: &u32| self.services.get(s).is_none_or(|s| s.size() == 0);
         let known = service_id;
-        let Some(service_id) = service_id.filter(|s| interest.incarnation != 0 || !empty(s)) else {
+        let Some(service_id) = service_id.filter(|s| interest.incarnation != 0 || !is_empty(s)) else {
             // The forwarder's state from before it dropped the service is of no use as a base for updates.
             known.into_iter().for_each(|service| self.remove_subscription(now, id, service));
             let Some(f) = self.forwarders.get_mut(&id) else { return Ok(()) };
@@ -173,7 +174,7 @@
             return Ok(());
         };
         self.remove_subscription(now, id, service_id);
-        let own_life = self.settings.incarnation;
+        let own_incarnation = self.settings.incarnation;
         let Some(f) = self.forwarders.get_mut(&id) else { return Ok(()) };
         let Some(service) = self.services.get_mut(&service_id) else {
             f.unknown_services.insert(interest.service.clone());
@@ -182,49 +183,50 @@
         if f.subscriptions.len() >= MAX_SUBSCRIPTIONS {
             return Err(PublishError::TooManySubscriptions(MAX_SUBSCRIPTIONS));
         }
-        let holds = interest.incarnation != 0;
-        let alike = holds && interest.slices as usize == service.slices.len();
-        let k = if alike && (interest.slice as usize) < service.slices.len() {
+        let holds_state = interest.incarnation != 0;
+        let same_slices = holds_state && interest.slices as usize == service.slices.len();
+        let k = if same_slices && (interest.slice as usize) < service.slices.len() {
             interest.slice as usize
         } else {
             service.choose_slice(&f.name, (interest.slice as usize, interest.slices as usize))
         };
         let slice = &mut service.slices[k];
-        let told = ListVersion { epoch: f.local_epoch(interest.epoch), number: interest.source };
+        let known_version = ListVersion { epoch: f.local_epoch(interest.epoch), number: interest.source };
         let mut s = Subscription::from_snapshot(k);
-        let resumes = alike && interest.incarnation == own_life && interest.version > 0;
+        let can_resume = same_slices && interest.incarnation == own_incarnation && interest.version > 0;
         let held = interest.version;
         // A forwarder that holds the present version must have the same digest; otherwise an update was lost.
-        let sound = held != slice.version || interest.digest == slice.digest;
-        if resumes && sound && (slice.removed_horizon..=slice.version).contains(&held) {
+        let is_consistent = held != slice.version || interest.digest == slice.digest;
+        if can_resume && is_consistent && (slice.removed_horizon..=slice.version).contains(&held) {
             // Every change up to that version has been applied, so the next one is the first to send.
             s.resume(held);
-        } else if alike && interest.digest == slice.digest {
+        } else if same_slices && interest.digest == slice.digest {
             s.resume(slice.version);
             (s.confirmed_digest, s.acknowledged_version) = (Some(slice.digest), None);
-        } else if !holds {
+        } else if !holds_state {
             s.urgent_sent_up_to = (slice.version + 1, None);
         }
-        let lacks_from = match (resumes, holds) {
+        let missing_after = match (can_resume, holds_state) {
             (true, _) => held,
-            (false, true) => slice.last_version_from(told),
+            (false, true) => slice.last_version_from(known_version),
             (false, false) => slice.version,
         };
-        for &(version, _, batch) in slice.version_log.iter().filter(|(version, ..)| *version > lacks_from) {
+        for &(version, _, batch) in slice.version_log.iter().filter(|(version, ..)| *version > missing_after)
+        {
             if let Some(record) = self.changes.get_mut(&batch) {
                 (record.pending, record.completed_at) = (record.pending + 1, None);
                 s.unacknowledged.push_back((version, batch));
             }
         }
         slice.subscribers.insert(id);
-        if told > self.list_version.unwrap_or_default() {
+        if known_version > self.list_version.unwrap_or_default() {
             // Counted from the connection, however often the forwarder asks; otherwise it could wait forever.
             let until = (f.connected_at + STALE_LIST_TIMEOUT).max(now);
-            s.blocked_until = Some((told, until));
+            s.blocked_until = Some((known_version, until));
             self.blocked_forwarders.insert(id);
             self.timers.insert((until, Timer::Unblock(id)));
         }
-        if holds {
+        if holds_state {
             f.pending.insert(service_id);
             f.urgent.insert(service_id);
             f.pending_hints.insert(service_id);
@@ -240,11 +242,11 @@
     /// them must not add up to more than the whole.
     pub(super) fn announce_subscriber_count(&mut self, service: u32, k: usize) {
         let Some(slice) = self.services.get_mut(&service).map(|s| &mut s.slices[k]) else { return };
-        let step = slice.subscriber_bound();
-        if step <= slice.announced_subscribers {
+        let bound = slice.subscriber_bound();
+        if bound <= slice.announced_subscribers {
             return;
         }
-        slice.announced_subscribers = step;
+        slice.announced_subscribers = bound;
         for f in &slice.subscribers {
             self.stats.steps += 1;
             if let Some(f) = self.forwarders.get_mut(f) {
@@ -257,17 +259,20 @@
     /// Closes servers that drain or were removed according to a later list than this planner's.
     fn apply_closed_servers(&mut self, now: Nanos, id: u32, closed: &[ClosedServer]) {
         let Some(source) = self.list_version else { return };
-        let Some(own_epoch) = self.forwarders.get(&id).map(|f| f.epoch_offset) else { return };
+        let Some(epoch_offset) = self.forwarders.get(&id).map(|f| f.epoch_offset) else { return };
         let mut entries = Vec::new();
-        for word in closed {
-            let Some(server) = self.servers.get(word.name.as_str()) else { continue };
-            let same_life = server.member.server.started_at / MS <= word.started_ms;
-            let told = ListVersion { epoch: to_local_epoch(word.epoch, own_epoch), number: word.membership };
-            if told > source && same_life {
-                let phase = if word.removed { Phase::Removed } else { Phase::Draining };
+        for closed_server in closed {
+            let Some(server) = self.servers.get(closed_server.name.as_str()) else { continue };
+            let same_incarnation = server.member.server.started_at / MS <= closed_server.started_ms;
+            let known_version = ListVersion {
+                epoch: to_local_epoch(closed_server.epoch, epoch_offset),
+                number: closed_server.membership,
+            };
+            if known_version > source && same_incarnation {
+                let phase = if closed_server.removed { Phase::Removed } else { Phase::Draining };
                 let names = server.services.iter().filter_map(|id| self.services.get(id));
                 let services: Vec<String> = names.map(|s| s.name.to_string()).collect();
-                let (name, own) = (Name::from(word.name.as_str()), server.member.clone());
+                let (name, own) = (Name::from(closed_server.name.as_str()), server.member.clone());
                 entries
                     .push(ListedServer { services: services.clone(), member: own.clone().in_phase(phase) });
                 self.overrides
@@ -285,12 +290,12 @@
     /// lost its versions, so the own list is authoritative.
     pub(super) fn expire_overrides(&mut self, now: Nanos) {
         let Some(source) = self.list_version else { return };
-        let due: Vec<Name> =
+        let expired: Vec<Name> =
             self.overrides.iter().filter(|(_, (until, _))| *until <= now).map(|(n, _)| n.clone()).collect();
-        let back = due.iter().filter_map(|name| self.overrides.remove(name));
-        let back: Vec<ListedServer> = back.map(|(_, listed)| listed).collect();
-        if !back.is_empty() {
-            self.apply_entries(now, (source, false), false, back);
+        let restored = expired.iter().filter_map(|name| self.overrides.remove(name));
+        let restored: Vec<ListedServer> = restored.map(|(_, listed)| listed).collect();
+        if !restored.is_empty() {
+            self.apply_entries(now, (source, false), false, restored);
         }
     }
 
@@ -340,22 +345,22 @@
     }
 
     /// Processes the acknowledgement of an update, which accepts or rejects each of its services.
-    pub fn acknowledge(&mut self, now: Nanos, name: &str, acknowledge: &UpdateAck) {
+    pub fn acknowledge(&mut self, now: Nanos, name: &str, ack: &UpdateAck) {
         let Some(&id) = self.forwarder_ids.get(name) else { return };
-        if acknowledge.incarnation != self.settings.incarnation {
+        if ack.incarnation != self.settings.incarnation {
             return;
         }
-        let refused = acknowledge.refused.iter();
-        let refused: BTreeMap<u32, RejectReason> =
-            refused.filter_map(|r| Some((*self.service_ids.get(r.service.as_str())?, r.reason()))).collect();
+        let rejected = ack.refused.iter();
+        let rejected: BTreeMap<u32, RejectReason> =
+            rejected.filter_map(|r| Some((*self.service_ids.get(r.service.as_str())?, r.reason()))).collect();
         while let Some(f) = self.forwarders.get_mut(&id) {
-            if f.in_flight.front().is_none_or(|(number, ..)| *number > acknowledge.number) {
+            if f.in_flight.front().is_none_or(|(number, ..)| *number > ack.number) {
                 break;
             }
             let Some((number, _, versions)) = f.in_flight.pop_front() else { break };
             for (service, version) in versions {
-                let because = refused.get(&service).filter(|_| number == acknowledge.number);
-                match (because, version) {
+                let reason = rejected.get(&service).filter(|_| number == ack.number);
+                match (reason, version) {
                     // The message that ends the subscription is on its way.
                     (Some(RejectReason::NotSubscribed), _) => self.remove_subscription(now, id, service),
                     (Some(_), _) => self.restart_subscription(id, service),
@@ -391,9 +396,9 @@
             return;
         }
         s.acknowledged_version = s.acknowledged_version.max(Some(version));
-        let paid = s.unacknowledged.iter().take_while(|(owed, _)| *owed <= version).count();
-        let paid: Vec<u64> = s.unacknowledged.drain(..paid).map(|(_, batch)| batch).collect();
-        paid.into_iter().for_each(|batch| self.settle_change(now, batch));
+        let settled = s.unacknowledged.iter().take_while(|(changed_in, _)| *changed_in <= version).count();
+        let settled: Vec<u64> = s.unacknowledged.drain(..settled).map(|(_, batch)| batch).collect();
+        settled.into_iter().for_each(|batch| self.settle_change(now, batch));
     }
 
     pub(super) fn settle_change(&mut self, now: Nanos, batch: u64) {
@@ -408,22 +413,22 @@
 
 impl Forwarder {
     /// Converts an epoch of this forwarder to a local one.
-    fn local_epoch(&self, theirs: u64) -> u64 {
-        to_local_epoch(theirs, self.epoch_offset)
+    fn local_epoch(&self, remote: u64) -> u64 {
+        to_local_epoch(remote, self.epoch_offset)
     }
 
     /// Converts a local epoch to one of this forwarder; 0 while the offset is unknown.
-    pub(super) fn remote_epoch(&self, own: u64) -> u64 {
-        self.epoch_offset.map_or(0, |ahead| own.saturating_add_signed(ahead))
+    pub(super) fn remote_epoch(&self, local: u64) -> u64 {
+        self.epoch_offset.map_or(0, |offset| local.saturating_add_signed(offset))
     }
 }
 
-fn to_local_epoch(theirs: u64, ahead: Option<i64>) -> u64 {
-    theirs.saturating_add_signed(-ahead.unwrap_or(0))
+fn to_local_epoch(remote: u64, offset: Option<i64>) -> u64 {
+    remote.saturating_add_signed(-offset.unwrap_or(0))
 }
 
 impl FollowedVersion {
-    fn seen(&self) -> VersionDigest {
+    fn version_digest(&self) -> VersionDigest {
         VersionDigest { version: ListVersion { epoch: self.epoch, number: self.number }, digest: self.digest }
     }
 }
--- a/crates/plan/src/services/publisher/hints.rs
+++ b/crates/plan/src/services/publisher/hints.rs
@@ -50,9 +50,9 @@
     /// Replaces a forwarder's observation (`None` removes it) and returns whether the aggregate has changed
     /// noticeably. The sums are maintained incrementally, since many forwarders report on a server several times a
     /// minute.
-    fn update(&mut self, forwarder: u32, met: Option<Observation>) -> bool {
-        let before = match met {
-            Some(met) => self.by_forwarder.insert(forwarder, met),
+    fn update(&mut self, forwarder: u32, observation: Option<Observation>) -> bool {
+        let before = match observation {
+            Some(observation) => self.by_forwarder.insert(forwarder, observation),
             None => self.by_forwarder.remove(&forwarder),
         };
         if let Some(before) = before {
@@ -60,10 +60,10 @@
             self.failing -= usize::from(before.failing);
             self.refuses -= usize::from(before.failing && before.refuses);
         }
-        if let Some(met) = met {
-            self.score += f64::from(met.score);
-            self.failing += usize::from(met.failing);
-            self.refuses += usize::from(met.failing && met.refuses);
+        if let Some(observation) = observation {
+            self.score += f64::from(observation.score);
+            self.failing += usize::from(observation.failing);
+            self.refuses += usize::from(observation.failing && observation.refuses);
         }
         if self.by_forwarder.is_empty() {
             self.score = 0.0;
@@ -98,13 +98,13 @@
         Ok(())
     }
 
-    fn apply_report_row(&mut self, id: u32, server: &str, seen: Option<&ServerReport>) {
+    fn apply_report_row(&mut self, id: u32, server: &str, report: Option<&ServerReport>) {
         self.stats.steps += 1;
         let Some((name, _)) = self.servers.get_key_value(server) else { return };
         let name = name.clone();
         let Some(f) = self.forwarders.get_mut(&id) else { return };
         let Some(server) = self.servers.get_mut(&name) else { return };
-        match seen {
+        match report {
             Some(_)
                 if !f.reported_servers.contains(&name)
                     && f.reported_servers.len() >= MAX_REPORTED_SERVERS =>
@@ -114,7 +114,7 @@
             Some(_) => drop(f.reported_servers.insert(name.clone())),
             None => drop(f.reported_servers.remove(&name)),
         }
-        if server.reports.update(id, seen.map(observation)) {
+        if server.reports.update(id, report.map(to_observation)) {
             self.announce_hint(&name);
         }
     }
@@ -149,11 +149,11 @@
     }
 }
 
-fn observation(seen: &ServerReport) -> Observation {
-    let count = |ending: AttemptOutcome| seen.outcomes.get(ending as usize).copied().unwrap_or(0);
+fn to_observation(report: &ServerReport) -> Observation {
+    let count = |outcome: AttemptOutcome| report.outcomes.get(outcome as usize).copied().unwrap_or(0);
     Observation {
-        score: seen.score,
-        failing: seen.ejected || seen.failure_rate >= WITNESS_FAILURE_RATE,
+        score: report.score,
+        failing: report.ejected || report.failure_rate >= WITNESS_FAILURE_RATE,
         refuses: count(AttemptOutcome::ConnectFailed) > count(AttemptOutcome::Ok),
     }
 }
--- a/crates/plan/src/services/publisher/list.rs
+++ b/crates/plan/src/services/publisher/list.rs
@@ -8,37 +8,37 @@
         &mut self,
         now: Nanos,
         version: u64,
-        whole: bool,
+        full: bool,
         entries: Vec<ListedServer>,
     ) -> Dropped {
-        if self.list_version.is_none() && !whole {
+        if self.list_version.is_none() && !full {
             // Without a base, servers that the changes do not mention must not be taken for removed.
             return Dropped::default();
         }
         let first = self.list_version.is_none();
         let version = self.advance_list_version(version);
-        let named: BTreeSet<Name> = match whole {
+        let named: BTreeSet<Name> = match full {
             true => BTreeSet::new(),
             false => entries.iter().map(|e| Name::from(e.member.name.as_str())).collect(),
         };
         let before = named.iter().map(|name| self.listed_digest(name)).fold(0, u64::wrapping_add);
         // The list supersedes what forwarders have reported about these servers.
-        match whole {
+        match full {
             true => self.overrides.clear(),
             false => entries.iter().for_each(|e| drop(self.overrides.remove(e.member.name.as_str()))),
         }
-        let dropped = self.apply_entries(now, (version, true), whole, entries);
+        let dropped = self.apply_entries(now, (version, true), full, entries);
         let sum = |names: &mut dyn Iterator<Item = &Name>| {
             names.map(|name| self.listed_digest(name)).fold(0, u64::wrapping_add)
         };
-        self.list_digest = match whole {
+        self.list_digest = match full {
             true => sum(&mut self.servers.keys()),
             false => self.list_digest.wrapping_sub(before).wrapping_add(sum(&mut named.iter())),
         };
         self.history.push(VersionDigest { version, digest: self.list_digest });
         // Unblocks the subscriptions that waited for this list version.
-        let waiting: Vec<u32> = self.blocked_forwarders.iter().copied().collect();
-        waiting.into_iter().for_each(|f| self.unblock_subscriptions(now, f));
+        let blocked: Vec<u32> = self.blocked_forwarders.iter().copied().collect();
+        blocked.into_iter().for_each(|f| self.unblock_subscriptions(now, f));
         if first {
             self.process_deferred_interests(now);
         }
@@ -74,8 +74,8 @@
         let ids: Vec<u32> = self.forwarders.keys().copied().collect();
         for id in ids {
             self.determine_epoch_offset(id);
-            let early = self.forwarders.get_mut(&id).map(|f| std::mem::take(&mut f.deferred_interests));
-            for interest in early.into_iter().flatten() {
+            let deferred = self.forwarders.get_mut(&id).map(|f| std::mem::take(&mut f.deferred_interests));
+            for interest in deferred.into_iter().flatten() {
                 // The limit was checked when the interest was received.
                 let _ = self.add_subscription(now, id, &interest);
             }
@@ -88,7 +88,7 @@
         &mut self,
         now: Nanos,
         (version, from_list): (ListVersion, bool),
-        whole: bool,
+        full: bool,
         entries: Vec<ListedServer>,
     ) -> Dropped {
         self.batch += 1;
@@ -100,35 +100,35 @@
         });
         let mut keep = vec![false; entries.len()];
         last.into_values().for_each(|k| keep[k] = true);
-        let mut touched = BTreeSet::new();
+        let mut affected = BTreeSet::new();
         for (entry, keep) in entries.into_iter().zip(keep) {
             let name = entry.member.name.as_str();
             if name.is_empty() || name.len() > MAX_NAME_BYTES {
                 dropped.names += 1;
             } else if keep {
-                self.apply_entry(entry, &mut touched, &mut dropped);
+                self.apply_entry(entry, &mut affected, &mut dropped);
             }
         }
-        if whole {
+        if full {
             let batch = self.batch;
             let absent = self.servers.iter().filter(|(_, s)| s.listed_in_batch != batch);
             let absent: Vec<Name> = absent.map(|(name, _)| name.clone()).collect();
-            absent.into_iter().for_each(|name| self.remove_server(&name, &mut touched));
+            absent.into_iter().for_each(|name| self.remove_server(&name, &mut affected));
         }
-        self.finish_batch(now, (version, from_list), touched);
+        self.finish_batch(now, (version, from_list), affected);
         dropped
     }
 
     fn apply_entry(
         &mut self,
         ListedServer { services, member }: ListedServer,
-        touched: &mut BTreeSet<(u32, usize)>,
+        affected: &mut BTreeSet<(u32, usize)>,
         dropped: &mut Dropped,
     ) {
         self.stats.steps += 1;
         let known = self.servers.get_key_value(member.name.as_str()).map(|(name, _)| name.clone());
         if member.server.phase == Phase::Removed {
-            return known.into_iter().for_each(|name| self.remove_server(&name, touched));
+            return known.into_iter().for_each(|name| self.remove_server(&name, affected));
         }
         if known.is_none() && self.servers.len() >= MAX_SERVERS {
             dropped.servers += 1;
@@ -160,10 +160,10 @@
             }
         }
         for &id in former.iter().filter(|id| !ids.contains(id)) {
-            self.update_row(id, &name, (false, false, 0), touched);
+            self.update_row(id, &name, (false, false, 0), affected);
         }
         for &id in ids.iter().filter(|id| !same || !former.contains(id)) {
-            self.update_row(id, &name, (true, closed, digest), touched);
+            self.update_row(id, &name, (true, closed, digest), affected);
         }
     }
 
@@ -205,12 +205,12 @@
         ids
     }
 
-    fn remove_server(&mut self, name: &Name, touched: &mut BTreeSet<(u32, usize)>) {
+    fn remove_server(&mut self, name: &Name, affected: &mut BTreeSet<(u32, usize)>) {
         let Some(server) = self.servers.remove(name) else { return };
         for f in server.reports.reporters() {
             self.forwarders.get_mut(&f).map(|f| f.reported_servers.remove(name));
         }
-        server.services.into_iter().for_each(|id| self.update_row(id, name, (false, false, 0), touched));
+        server.services.into_iter().for_each(|id| self.update_row(id, name, (false, false, 0), affected));
     }
 
     fn update_row(
@@ -218,7 +218,7 @@
         id: u32,
         name: &Name,
         (present, closed, digest): (bool, bool, u64),
-        touched: &mut BTreeSet<(u32, usize)>,
+        affected: &mut BTreeSet<(u32, usize)>,
     ) {
         let Some(service) = self.services.get_mut(&id) else { return };
         let k = service.slice_of(name);
@@ -228,7 +228,7 @@
             slice.version += 1;
         }
         slice.set_row(name, present, closed, digest);
-        touched.insert((id, k));
+        affected.insert((id, k));
         self.stats.steps += 1;
     }
 
@@ -236,45 +236,45 @@
     fn finish_batch(
         &mut self,
         now: Nanos,
-        (source, from_list): (ListVersion, bool),
-        touched: BTreeSet<(u32, usize)>,
+        (list_version, from_list): (ListVersion, bool),
+        affected: BTreeSet<(u32, usize)>,
     ) {
         let batch = self.batch;
         let mut record = ChangeRecord {
             listed_at: now,
-            list_number: source.number,
+            list_number: list_version.number,
             affected: Vec::new(),
             pending: 0,
             completed_at: None,
         };
-        let mut cut: BTreeSet<u32> = BTreeSet::new();
-        for (id, k) in touched {
+        let mut resliced: BTreeSet<u32> = BTreeSet::new();
+        for (id, k) in affected {
             let Some(service) = self.services.get_mut(&id) else { continue };
             if let Some(number) = service.desired_slice_count() {
-                cut.insert(id);
-                self.reslice(id, number, source);
+                resliced.insert(id);
+                self.reslice(id, number, list_version);
             }
-            if cut.contains(&id) {
+            if resliced.contains(&id) {
                 continue;
             }
-            self.services.get_mut(&id).into_iter().for_each(|s| s.slices[k].log_version(source, batch));
+            self.services.get_mut(&id).into_iter().for_each(|s| s.slices[k].log_version(list_version, batch));
             self.notify_subscribers(id, k, &mut record);
         }
-        for id in cut {
+        for id in resliced {
             let number = self.services.get(&id).map_or(0, |s| s.slices.len());
             (0..number).for_each(|k| self.notify_subscribers(id, k, &mut record));
         }
         if record.affected.is_empty() {
             // After a restart of the source, a version number may return with another meaning.
             if from_list {
-                self.batch_by_version.remove(&source.number);
+                self.batch_by_version.remove(&list_version.number);
             }
             return;
         }
         record.completed_at = (record.pending == 0).then_some(now);
         self.changes.insert(batch, record);
         if from_list {
-            self.batch_by_version.insert(source.number, batch);
+            self.batch_by_version.insert(list_version.number, batch);
         }
         while self.changes.len() > MAX_RECORDED_CHANGES {
             let Some((old, record)) = self.changes.pop_first() else { break };
@@ -316,15 +316,15 @@
         record.pending += slice.subscribers.len();
         for f in &slice.subscribers {
             self.stats.steps += 1;
-            let Some(f_) = self.forwarders.get_mut(f) else { continue };
-            let Some(s) = f_.subscriptions.get_mut(&id) else { continue };
+            let Some(forwarder) = self.forwarders.get_mut(f) else { continue };
+            let Some(s) = forwarder.subscriptions.get_mut(&id) else { continue };
             if s.unacknowledged.len() >= MAX_UNACKNOWLEDGED_CHANGES {
                 s.unacknowledged.pop_front();
             }
             s.unacknowledged.push_back((slice.version, self.batch));
-            f_.pending.insert(id);
+            forwarder.pending.insert(id);
             if urgent {
-                f_.urgent.insert(id);
+                forwarder.urgent.insert(id);
             }
             self.ready_forwarders.insert(*f);
         }
@@ -332,14 +332,14 @@
 
     /// Divides a service into `number` slices. Its subscribers are reassigned and each receives a snapshot of its
     /// slice.
-    pub(super) fn reslice(&mut self, id: u32, number: usize, source: ListVersion) {
+    pub(super) fn reslice(&mut self, id: u32, number: usize, list_version: ListVersion) {
         let Some(service) = self.services.get_mut(&id) else { return };
-        let users: BTreeSet<u32> =
+        let subscribers: BTreeSet<u32> =
             service.slices.iter().flat_map(|s| s.subscribers.iter().copied()).collect();
         let former = service.slices.len();
-        service.reslice(number, source, self.batch);
-        for user in users {
-            let Some(f) = self.forwarders.get_mut(&user) else { continue };
+        service.reslice(number, list_version, self.batch);
+        for subscriber in subscribers {
+            let Some(f) = self.forwarders.get_mut(&subscriber) else { continue };
             let Some(s) = f.subscriptions.get_mut(&id) else { continue };
             let k = service.choose_slice(&f.name, (s.slice, former));
             let unacknowledged = std::mem::take(&mut s.unacknowledged);
@@ -349,10 +349,10 @@
                 blocked_until: s.blocked_until,
                 ..Subscription::from_snapshot(k)
             };
-            service.slices[k].subscribers.insert(user);
+            service.slices[k].subscribers.insert(subscriber);
             f.pending.insert(id);
             f.urgent.insert(id);
-            self.ready_forwarders.insert(user);
+            self.ready_forwarders.insert(subscriber);
         }
     }
 }
--- a/crates/plan/src/services/publisher/mod.rs
+++ b/crates/plan/src/services/publisher/mod.rs
@@ -363,8 +363,8 @@
     pub fn members_of(&self, service: &str) -> Vec<&Member> {
         let slices =
             self.service_ids.get(service).and_then(|id| self.services.get(id)).map(|s| &s.slices[..]);
-        let there = slices.unwrap_or_default().iter().flat_map(|s| &s.rows).filter(|(_, row)| row.present);
-        there.filter_map(|(name, _)| self.servers.get(name)).map(|s| &s.member).collect()
+        let present = slices.unwrap_or_default().iter().flat_map(|s| &s.rows).filter(|(_, row)| row.present);
+        present.filter_map(|(name, _)| self.servers.get(name)).map(|s| &s.member).collect()
     }
 
     /// Returns the servers of the slice that a forwarder is assigned of a service, for inspection, or `None` if it
@@ -373,8 +373,8 @@
         let f = self.forwarders.get(self.forwarder_ids.get(forwarder)?)?;
         let id = self.service_ids.get(service)?;
         let slice = self.services.get(id)?.slices.get(f.subscriptions.get(id)?.slice)?;
-        let there = slice.rows.iter().filter(|(_, row)| row.present);
-        Some(there.filter_map(|(name, _)| self.servers.get(name)).map(|s| &s.member).collect())
+        let present = slice.rows.iter().filter(|(_, row)| row.present);
+        Some(present.filter_map(|(name, _)| self.servers.get(name)).map(|s| &s.member).collect())
     }
 
     /// Runs the timers that are due. To be called several times a second.
--- a/crates/plan/src/services/publisher/rollout.rs
+++ b/crates/plan/src/services/publisher/rollout.rs
@@ -19,17 +19,17 @@
         let mut seen = BTreeSet::new();
         for &(id, slice, slices) in &record.affected {
             let Some(service) = self.services.get(&id) else { continue };
-            let alike = slices.min(service.slices.len());
-            let places = (0..service.slices.len()).filter(|k| k % alike == slice % alike);
-            for user in places.flat_map(|k| &service.slices[k].subscribers) {
-                if !seen.insert((id, *user)) {
+            let common = slices.min(service.slices.len());
+            let indices = (0..service.slices.len()).filter(|k| k % common == slice % common);
+            for subscriber in indices.flat_map(|k| &service.slices[k].subscribers) {
+                if !seen.insert((id, *subscriber)) {
                     continue;
                 }
                 rollout.subscriptions += 1;
-                match self.lag(*user, id, batch) {
+                match self.lag(*subscriber, id, batch) {
                     None => rollout.acknowledged += 1,
                     Some(lag) if rollout.lagging.len() < MAX_ENTRIES => {
-                        let name = self.forwarders.get(user).map_or("", |f| &f.name);
+                        let name = self.forwarders.get(subscriber).map_or("", |f| &f.name);
                         rollout.lagging.push((name.to_owned(), lag));
                     }
                     Some(_) => {}
@@ -44,14 +44,15 @@
     fn lag(&self, forwarder: u32, service: u32, batch: u64) -> Option<LagReason> {
         let f = self.forwarders.get(&forwarder)?;
         let s = f.subscriptions.get(&service)?;
-        let owed = s.unacknowledged.iter().find(|(_, owed)| *owed == batch).map(|(version, _)| *version);
-        if owed.is_none() && s.acknowledged_version.is_some() {
+        let changed_in =
+            s.unacknowledged.iter().find(|(_, changed_in)| *changed_in == batch).map(|(version, _)| *version);
+        if changed_in.is_none() && s.acknowledged_version.is_some() {
             return None;
         }
         Some(match (f.disconnected_at, s.blocked_until) {
             (Some(at), _) => LagReason::Disconnected(at),
             (None, Some(_)) => LagReason::NewerList,
-            (None, None) if s.sent_version.is_some_and(|held| held >= owed.unwrap_or(0)) => {
+            (None, None) if s.sent_version.is_some_and(|sent| sent >= changed_in.unwrap_or(0)) => {
                 LagReason::Unacknowledged
             }
             (None, None) => LagReason::Throttled,
@@ -59,15 +60,15 @@
     }
 
     /// Answers an operator's question about a list change, a service, a server, or the whole planner.
-    pub fn explain(&self, now: Nanos, ask: &ExplainRequest) -> String {
-        if ask.change > 0 {
-            return self.explain_change(now, ask.change);
+    pub fn explain(&self, now: Nanos, request: &ExplainRequest) -> String {
+        if request.change > 0 {
+            return self.explain_change(now, request.change);
         }
-        if let Some(service) = &ask.service {
+        if let Some(service) = &request.service {
             return self.explain_service(service);
         }
-        if !ask.server.is_empty() {
-            return self.explain_server(&ask.server);
+        if !request.server.is_empty() {
+            return self.explain_server(&request.server);
         }
         let stats = self.stats();
         let version = self.source().map_or("none yet".to_owned(), |v| v.to_string());
@@ -103,24 +104,24 @@
             None => writeln!(text, "in force at {} of {}", rollout.acknowledged, rollout.subscriptions),
         };
         for (name, lag) in &rollout.lagging {
-            let why = match lag {
+            let reason = match lag {
                 LagReason::Disconnected(at) => format!("not connected for {:.1} s", ago(*at)),
                 LagReason::Unacknowledged => "sent and not acknowledged".to_owned(),
                 LagReason::Throttled => "waits for its bytes".to_owned(),
                 LagReason::NewerList => "holds a later list than this planner".to_owned(),
             };
-            let _ = writeln!(text, "  {name} lags: {why}");
+            let _ = writeln!(text, "  {name} lags: {reason}");
         }
-        let named = rollout.lagging.len();
-        if rollout.subscriptions - rollout.acknowledged > named {
-            let _ = writeln!(text, "  and {} more", rollout.subscriptions - rollout.acknowledged - named);
+        let listed = rollout.lagging.len();
+        if rollout.subscriptions - rollout.acknowledged > listed {
+            let _ = writeln!(text, "  and {} more", rollout.subscriptions - rollout.acknowledged - listed);
         }
         text
     }
 
     fn explain_service(&self, name: &str) -> String {
         let Some(service) = self.service_ids.get(name).and_then(|id| self.services.get(id)) else {
-            return format!("no service is named `{}`\n", shown(name));
+            return format!("no service is named `{}`\n", truncated(name));
         };
         let mut text = format!(
             "service `{}`: {} servers in {} slices\n",
@@ -147,7 +148,7 @@
 
     fn explain_server(&self, name: &str) -> String {
         let Some(server) = self.servers.get(name) else {
-            return format!("no box is named `{}`\n", shown(name));
+            return format!("no box is named `{}`\n", truncated(name));
         };
         let phase = match server.member.server.phase {
             Phase::Ready => "ready",
@@ -168,6 +169,6 @@
     }
 }
 
-fn shown(name: &str) -> String {
+fn truncated(name: &str) -> String {
     name.chars().take(MAX_NAME_BYTES).collect()
 }
--- a/crates/plan/src/services/publisher/stream.rs
+++ b/crates/plan/src/services/publisher/stream.rs
@@ -66,12 +66,12 @@
             }
         }
         let Some(f) = self.forwarders.get_mut(&id) else { return Ok(None) };
-        let beat = now.saturating_sub(f.last_sent_at) >= HEARTBEAT_INTERVAL;
-        if beat {
+        let heartbeat_due = now.saturating_sub(f.last_sent_at) >= HEARTBEAT_INTERVAL;
+        if heartbeat_due {
             f.last_sent_at = now;
             f.tokens -= (update.encoded_len() + FRAMING_BYTES) as f64;
         }
-        Ok(beat.then_some(update))
+        Ok(heartbeat_due.then_some(update))
     }
 
     /// Assigns a number to an update and charges its bytes.
@@ -102,7 +102,7 @@
         // The size is tracked incrementally; measuring the whole update for each added service would take quadratic
         // time.
         let mut size = update.encoded_len();
-        let mut put =
+        let mut add =
             |size: &mut usize, update: &mut Update, service: u32, (changes, version): VersionedChanges| {
                 *size += changes.encoded_len() + CHANGES_OVERHEAD_BYTES;
                 update.services.push(changes);
@@ -115,16 +115,16 @@
             }
             let Some(changes) = self.urgent_changes(id, service, remaining(size)) else { continue };
             self.take_drain_bytes(id, (EXPECTED_COMPRESSION * changes.0.encoded_len() as f64) as usize);
-            put(&mut size, update, service, changes);
+            add(&mut size, update, service, changes);
         }
         let has_budget = |publisher: &Publisher, size: usize| {
             publisher.forwarders.get(&id).is_some_and(|f| f.tokens > EXPECTED_COMPRESSION * size as f64)
         };
         while remaining(size) > 0 && has_budget(self, size) {
             let Some(f) = self.forwarders.get_mut(&id) else { break };
-            if let Some(absent) = f.unknown_services.pop_first() {
+            if let Some(name) = f.unknown_services.pop_first() {
                 let unknown = ServiceChanges {
-                    service: absent,
+                    service: name,
                     chunk: Chunk::Unknown as i32,
                     ..ServiceChanges::default()
                 };
@@ -133,11 +133,11 @@
             } else if let Some(service) = f.new_services.pop_front() {
                 f.pending.insert(service);
                 if let Some(first) = self.next_changes(id, service, remaining(size), FIRST_PIECE_SERVERS) {
-                    put(&mut size, update, service, first);
+                    add(&mut size, update, service, first);
                 }
             } else if let Some(service) = f.next_pending() {
                 match self.next_changes(id, service, remaining(size), usize::MAX) {
-                    Some(changes) => put(&mut size, update, service, changes),
+                    Some(changes) => add(&mut size, update, service, changes),
                     None => drop(self.forwarders.get_mut(&id).map(|f| f.pending.remove(&service))),
                 }
             } else {
@@ -146,14 +146,14 @@
         }
         let only_hints = update.services.is_empty();
         while only_hints && remaining(size) > 0 {
-            let spent = EXPECTED_COMPRESSION * size as f64;
-            let Some(f) = self.forwarders.get_mut(&id).filter(|f| f.tokens - spent > HINT_RESERVE_BYTES)
+            let charged = EXPECTED_COMPRESSION * size as f64;
+            let Some(f) = self.forwarders.get_mut(&id).filter(|f| f.tokens - charged > HINT_RESERVE_BYTES)
             else {
                 break;
             };
             let Some(service) = f.pending_hints.pop_first() else { break };
             if let Some(hints) = self.hint_changes(id, service) {
-                put(&mut size, update, service, (hints, None));
+                add(&mut size, update, service, (hints, None));
             }
         }
         versions
@@ -166,10 +166,10 @@
     /// Charges the bytes of drains and removals to their own budget as far as it goes.
     fn take_drain_bytes(&mut self, id: u32, bytes: usize) {
         if let Some(f) = self.forwarders.get_mut(&id) {
-            let own = (bytes as f64).min(f.drain_tokens.max(0.0));
-            f.drain_tokens -= own;
+            let charged = (bytes as f64).min(f.drain_tokens.max(0.0));
+            f.drain_tokens -= charged;
             // `finish_update` charges all bytes of the update to the general budget.
-            f.tokens += own;
+            f.tokens += charged;
         }
     }
 
@@ -196,21 +196,21 @@
             ..slice.changes_header(&self.services[&service_id].name)
         };
         (changes.slice, changes.slices) = (s.slice as u32, self.services[&service_id].slices.len() as u32);
-        let (mut size, mut ahead, mut all) = (0, s.urgent_sent_up_to.clone(), true);
+        let (mut size, mut position, mut complete) = (0, s.urgent_sent_up_to.clone(), true);
         for (changed, name) in changes_after(&slice.urgent, &s.urgent_sent_up_to) {
             if size >= remaining {
-                all = false;
+                complete = false;
                 break;
             }
             self.stats.steps += 1;
             size += self.servers.add_row(slice, name, &mut changes);
-            ahead = (*changed, Some(name.clone()));
+            position = (*changed, Some(name.clone()));
         }
-        if all {
+        if complete {
             f.urgent.remove(&service_id);
         }
         if let Some(s) = f.subscriptions.get_mut(&service_id) {
-            s.urgent_sent_up_to = ahead;
+            s.urgent_sent_up_to = position;
         }
         (size > 0).then_some((changes, None))
     }
@@ -221,12 +221,12 @@
         id: u32,
         service_id: u32,
         remaining: usize,
-        most: usize,
+        max_rows: usize,
     ) -> Option<VersionedChanges> {
         let f = self.forwarders.get_mut(&id)?;
         let (s, slice) = f.sendable(service_id, &self.services)?;
         let slices = self.services[&service_id].slices.len() as u32;
-        let head = ServiceChanges {
+        let header = ServiceChanges {
             slice: s.slice as u32,
             slices,
             ..slice.changes_header(&self.services[&service_id].name)
@@ -236,31 +236,31 @@
             let version = s.sent_version?;
             s.announced_subscribers = slice.announced_subscribers;
             return Some((
-                ServiceChanges { version, digest, chunk: Chunk::Unchanged as i32, ..head },
+                ServiceChanges { version, digest, chunk: Chunk::Unchanged as i32, ..header },
                 Some(version),
             ));
         }
-        let begins = s.sent_version.is_none() && s.snapshot_version.is_none();
-        if begins {
+        let starting = s.sent_version.is_none() && s.snapshot_version.is_none();
+        if starting {
             self.stats.snapshots += 1;
-            if let Some(packed) = self.compressed_snapshot(service_id, head.slice as usize) {
-                return self.snapshot_piece(id, service_id, ServiceChanges { packed, ..head });
+            if let Some(packed) = self.compressed_snapshot(service_id, header.slice as usize) {
+                return self.snapshot_piece(id, service_id, ServiceChanges { packed, ..header });
             }
         }
         let f = self.forwarders.get_mut(&id)?;
         let s = f.subscriptions.get_mut(&service_id)?;
         let slice = self.services.get(&service_id)?.slices.get(s.slice)?;
-        if begins {
+        if starting {
             s.snapshot_version = Some(slice.version);
         }
         let mut changes = ServiceChanges {
             base: s.sent_version.filter(|_| s.snapshot_version.is_none()).unwrap_or(0),
-            ..head
+            ..header
         };
-        let (mut size, mut sent, mut rows, mut all) = (0, s.sent_up_to.clone(), 0, true);
+        let (mut size, mut position, mut rows, mut complete) = (0, s.sent_up_to.clone(), 0, true);
         for (changed, name) in changes_after(&slice.by_version, &s.sent_up_to) {
-            if size >= remaining || rows >= most {
-                all = false;
+            if size >= remaining || rows >= max_rows {
+                complete = false;
                 break;
             }
             self.stats.steps += 1;
@@ -270,26 +270,26 @@
                 size += self.servers.add_row(slice, name, &mut changes);
                 rows += 1;
             }
-            sent = (*changed, Some(name.clone()));
+            position = (*changed, Some(name.clone()));
         }
-        let told = slice.announced_subscribers;
-        if !begins
-            && all
+        let announced = slice.announced_subscribers;
+        if !starting
+            && complete
             && rows == 0
             && s.sent_version == Some(slice.version)
             && s.snapshot_version.is_none()
-            && s.announced_subscribers == told
+            && s.announced_subscribers == announced
         {
             return None;
         }
-        s.announced_subscribers = told;
-        if !all {
-            s.sent_up_to = sent;
-            changes.chunk = if begins { Chunk::First } else { Chunk::Continued } as i32;
+        s.announced_subscribers = announced;
+        if !complete {
+            s.sent_up_to = position;
+            changes.chunk = if starting { Chunk::First } else { Chunk::Continued } as i32;
             return Some((changes, None));
         }
-        let whole = s.snapshot_version.take().is_some();
-        changes.chunk = if whole && begins { Chunk::Full } else { Chunk::Last } as i32;
+        let completes_snapshot = s.snapshot_version.take().is_some();
+        changes.chunk = if completes_snapshot && starting { Chunk::Full } else { Chunk::Last } as i32;
         Some(f.mark_up_to_date(service_id, slice, changes))
     }
 
@@ -332,12 +332,12 @@
         let f = self.forwarders.get_mut(&id)?;
         let (s, slice) = f.sendable(service_id, &self.services)?;
         let service = &self.services[&service_id];
-        let head = slice.changes_header(&service.name);
+        let header = slice.changes_header(&service.name);
         let mut changes = ServiceChanges {
             chunk: Chunk::OutOfBand as i32,
             slice: s.slice as u32,
             slices: service.slices.len() as u32,
-            ..head
+            ..header
         };
         // A slice has a few dozen servers, so all are visited when one has a hint; no order of hints is kept.
         let hinted = slice.last_hint > s.last_hint;
@@ -353,9 +353,9 @@
         let number = self.last_hint;
         let s = f.subscriptions.get_mut(&service_id)?;
         s.last_hint = number;
-        let more = std::mem::replace(&mut s.announced_subscribers, slice.announced_subscribers)
+        let count_changed = std::mem::replace(&mut s.announced_subscribers, slice.announced_subscribers)
             != slice.announced_subscribers;
-        (more || !changes.rows.is_empty()).then_some(changes)
+        (count_changed || !changes.rows.is_empty()).then_some(changes)
     }
 
     /// Returns when `next_update` may next return an update without new input: when the budget allows, for a
@@ -363,27 +363,28 @@
     pub fn next_wakeup(&self, now: Nanos, name: &str) -> Nanos {
         let f = self.forwarder_ids.get(name).and_then(|id| self.forwarders.get(id));
         let Some(f) = f.filter(|f| f.disconnected_at.is_none()) else { return Nanos::MAX };
-        let beat = f.last_sent_at.saturating_add(HEARTBEAT_INTERVAL);
-        let patience = f.in_flight.front().map_or(Nanos::MAX, |(_, at, _)| at.saturating_add(ACK_TIMEOUT));
-        let waits = !(f.pending.is_empty()
+        let heartbeat_at = f.last_sent_at.saturating_add(HEARTBEAT_INTERVAL);
+        let ack_deadline =
+            f.in_flight.front().map_or(Nanos::MAX, |(_, at, _)| at.saturating_add(ACK_TIMEOUT));
+        let has_changes = !(f.pending.is_empty()
             && f.new_services.is_empty()
             && f.urgent.is_empty()
             && f.unknown_services.is_empty());
-        let hints = !f.pending_hints.is_empty();
-        let wanted = if waits { 1.0 } else { HINT_RESERVE_BYTES + 1.0 };
-        let short = (wanted - f.tokens).max(0.0) / self.settings.bytes_per_second.max(1.0);
-        let short = match f.urgent.is_empty() {
-            true => short,
+        let has_hints = !f.pending_hints.is_empty();
+        let needed = if has_changes { 1.0 } else { HINT_RESERVE_BYTES + 1.0 };
+        let shortfall = (needed - f.tokens).max(0.0) / self.settings.bytes_per_second.max(1.0);
+        let shortfall = match f.urgent.is_empty() {
+            true => shortfall,
             false => {
-                short.min((1.0 - f.drain_tokens).max(0.0) / self.settings.drain_bytes_per_second.max(1.0))
+                shortfall.min((1.0 - f.drain_tokens).max(0.0) / self.settings.drain_bytes_per_second.max(1.0))
             }
         };
         // Never at once, because everything that could be sent now has been fetched.
-        let bytes = match (waits || hints) && f.in_flight.len() < MAX_UPDATES_IN_FLIGHT {
-            true => now.saturating_add(((short * 1e9) as Nanos).max(10 * MS)),
+        let bytes = match (has_changes || has_hints) && f.in_flight.len() < MAX_UPDATES_IN_FLIGHT {
+            true => now.saturating_add(((shortfall * 1e9) as Nanos).max(10 * MS)),
             false => Nanos::MAX,
         };
-        beat.min(patience).min(bytes)
+        heartbeat_at.min(ack_deadline).min(bytes)
     }
 }
 
@@ -467,8 +468,8 @@
 
 impl AddRow for BTreeMap<Name, Server> {
     fn add_row(&self, slice: &Slice, name: &Name, changes: &mut ServiceChanges) -> usize {
-        let there = slice.rows.get(name).is_some_and(|r| r.present);
-        match self.get(name).filter(|_| there) {
+        let present = slice.rows.get(name).is_some_and(|r| r.present);
+        match self.get(name).filter(|_| present) {
             Some(server) => {
                 let row = ServerRow {
                     attributes: Some(server.member.attributes()),
@@ -486,11 +487,11 @@
     }
 }
 
-fn hint_row(name: &Name, standing: &ReportSummary) -> ServerRow {
+fn hint_row(name: &Name, summary: &ReportSummary) -> ServerRow {
     ServerRow {
         name: name.to_string(),
-        grade: standing.grade,
-        suspicion: standing.suspicion as i32,
+        grade: summary.grade,
+        suspicion: summary.suspicion as i32,
         ..ServerRow::default()
     }
 }
--- a/crates/plan/src/services/subscriber/held_service.rs
+++ b/crates/plan/src/services/subscriber/held_service.rs
@@ -39,7 +39,7 @@
 /// Changes that have not been reported yet.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PendingChange {
-    /// PendingChange servers; removed ones in their last state.
+    /// Changed servers; removed ones in their last state.
     members: BTreeMap<String, Member>,
     hints: bool,
     subscribers: bool,
@@ -95,10 +95,10 @@
         removed: &mut VecDeque<RemovedServer>,
     ) -> Result<(), RejectReason> {
         let rows = validate(changes)?;
-        let piece = changes.chunk();
+        let chunk = changes.chunk();
         let same_state =
             self.incarnation == incarnation && self.slices == changes.slices && self.slice == changes.slice;
-        match piece {
+        match chunk {
             Chunk::Unchanged => {
                 // The planner confirms the held state, which must not have changed since it was reported.
                 if self.digest != changes.digest || self.slices != changes.slices {
@@ -138,7 +138,7 @@
         }
         self.received = true;
         self.raise_list_version(incarnation, source);
-        if matches!(piece, Chunk::Last | Chunk::Full) {
+        if matches!(chunk, Chunk::Last | Chunk::Full) {
             if changes.base == 0 {
                 let named = self.snapshot_names.take().unwrap_or_default();
                 let absent: Vec<String> =
@@ -177,11 +177,11 @@
             return;
         }
         let (slice, slices) = (changes.slice as usize, changes.slices as usize);
-        let other: Vec<String> =
+        let foreign: Vec<String> =
             self.servers.keys().filter(|name| slice_index(name, slices) != slice).cloned().collect();
         // These servers have not left the list, so no planner is told that they have.
         let mut reassigned = VecDeque::new();
-        other.iter().for_each(|name| self.remove(now, source, name, changed, &mut reassigned));
+        foreign.iter().for_each(|name| self.remove(now, source, name, changed, &mut reassigned));
         (self.incarnation, self.version) = (0, 0);
         (self.slice, self.slices) = (changes.slice, changes.slices);
     }
@@ -284,24 +284,24 @@
         service: String,
         changed: PendingChange,
     ) -> impl Iterator<Item = Change> {
-        let words = || {
-            let word = |s: &Server| PlannedServer {
+        let hints = || {
+            let hint = |s: &Server| PlannedServer {
                 name: s.member.name.clone(),
                 score: grade::value(s.grade),
                 suspicion: s.suspicion,
                 slow_start_rate: f64::INFINITY,
             };
-            let said = |s: &&Server| s.grade > 0 || s.suspicion != Suspicion::None;
-            self.servers.values().filter(said).map(word).collect()
+            let has_hint = |s: &&Server| s.grade > 0 || s.suspicion != Suspicion::None;
+            self.servers.values().filter(has_hint).map(hint).collect()
         };
-        let hints = changed.hints.then(|| Change::Hints { service: service.clone(), words: words() });
-        let any = !changed.members.is_empty() || changed.subscribers;
-        let members = any.then(|| Change::Members {
+        let hint_change = changed.hints.then(|| Change::Hints { service: service.clone(), words: hints() });
+        let has_members = !changed.members.is_empty() || changed.subscribers;
+        let members = has_members.then(|| Change::Members {
             service,
             members: changed.members.into_values().collect(),
             subscribers: self.subscribers.max(1),
         });
-        members.into_iter().chain(hints)
+        members.into_iter().chain(hint_change)
     }
 }
 
@@ -309,9 +309,9 @@
 fn validate(changes: &ServiceChanges) -> Result<Rows, RejectReason> {
     let bad_name = |name: &String| name.is_empty() || name.len() > MAX_NAME_BYTES;
     let slices = changes.slices as usize;
-    let sliced = slices.is_power_of_two() && (changes.slice as usize) < slices;
+    let valid_slice = slices.is_power_of_two() && (changes.slice as usize) < slices;
     if changes.rows.len() + changes.removed.len() > MAX_ROWS
-        || !sliced
+        || !valid_slice
         || changes.removed.iter().any(bad_name)
     {
         return Err(RejectReason::Invalid);
@@ -320,8 +320,11 @@
         if bad_name(&row.name) {
             return Err(RejectReason::Invalid);
         }
-        let member =
-            row.attributes.as_ref().map(|facts| Member::from_attributes(&row.name, facts)).transpose();
+        let member = row
+            .attributes
+            .as_ref()
+            .map(|attributes| Member::from_attributes(&row.name, attributes))
+            .transpose();
         Ok((row.clone(), member.map_err(|_| RejectReason::Invalid)?))
     };
     changes.rows.iter().map(row).collect()
--- a/crates/plan/src/services/subscriber/messages.rs
+++ b/crates/plan/src/services/subscriber/messages.rs
@@ -46,7 +46,7 @@
         }
         let mut message = Subscribe::default();
         if std::mem::take(&mut self.send_closed) {
-            message.closed = self.closed(now);
+            message.closed = self.closed_servers(now);
         }
         let mut size = message.encoded_len();
         while size < TARGET_MESSAGE_BYTES && (size as f64) < self.tokens {
@@ -86,15 +86,19 @@
     }
 
     /// Returns the latest known drains and removals, for a planner with an earlier list.
-    fn closed(&mut self, now: Nanos) -> Vec<ClosedServer> {
-        while self.removed.front().is_some_and(|l| now.saturating_sub(l.removed_at) >= ANNOUNCE_REMOVED_FOR) {
+    fn closed_servers(&mut self, now: Nanos) -> Vec<ClosedServer> {
+        while self
+            .removed
+            .front()
+            .is_some_and(|server| now.saturating_sub(server.removed_at) >= ANNOUNCE_REMOVED_FOR)
+        {
             self.removed.pop_front();
         }
-        let left = self.removed.iter().rev().map(|l| ClosedServer {
-            name: l.name.clone(),
-            membership: l.list_version.number,
-            epoch: l.list_version.epoch,
-            started_ms: l.started_at / MS,
+        let removals = self.removed.iter().rev().map(|server| ClosedServer {
+            name: server.name.clone(),
+            membership: server.list_version.number,
+            epoch: server.list_version.epoch,
+            started_ms: server.started_at / MS,
             removed: true,
         });
         let drains =
@@ -107,7 +111,7 @@
                 started_ms: m.server.started_at / MS,
                 removed: false,
             });
-        drains.chain(left).take(MAX_CLOSED_SERVERS).collect()
+        drains.chain(removals).take(MAX_CLOSED_SERVERS).collect()
     }
 
     /// Returns a report on servers within the remaining budget. `observed` yields the servers of the services in
--- a/crates/plan/src/services/subscriber/mod.rs
+++ b/crates/plan/src/services/subscriber/mod.rs
@@ -1,7 +1,7 @@
 //! The forwarder's side of service subscriptions: holds the services that requests name, as sent by one planner at
 //! a time.
 //!
-//! HeldService state outlives the connection: losing the planner removes nothing, and the next planner is sent what is
+//! Held state outlives the connection: losing the planner removes nothing, and the next planner is sent what is
 //! held. Services in use are never dropped to make room. Names of services that do not exist have a separate limit,
 //! so that they cannot displace services.
 
@@ -122,7 +122,7 @@
 /// Counters for measurements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// HeldService services.
+    /// Held services.
     pub services: usize,
     /// Servers of the held services.
     pub servers: usize,
@@ -290,7 +290,7 @@
         self.choice.planner_at_capacity(now, planner);
     }
 
-    /// Records that the connection to the planner was lost. HeldService services stay.
+    /// Records that the connection to the planner was lost. Held services stay.
     pub fn connection_lost(&mut self, now: Nanos, planner: usize) {
         self.choice.connection_lost(now, planner);
     }
@@ -318,7 +318,7 @@
         // A planner that does not count epochs is compared by its numbers alone.
         let epoch = if update.epoch == 0 { self.latest_list().epoch } else { update.epoch };
         let source = ListVersion { epoch, number: update.source };
-        let because = match () {
+        let reason = match () {
             () if update.site != self.settings.site => RejectReason::OtherSite,
             () if update.incarnation != incarnation => RejectReason::StaleIncarnation,
             () => RejectReason::Accepted,
@@ -327,20 +327,20 @@
         let services = update.unpacked().ok()?;
         let mut refused: BTreeMap<&str, RejectReason> = BTreeMap::new();
         for changes in &services {
-            let taken = match because {
+            let result = match reason {
                 RejectReason::Accepted => self.apply_changes(now, (update.incarnation, source), changes),
-                _ => Err(because),
+                _ => Err(reason),
             };
-            if taken.is_err() && changes.chunk() == Chunk::Unknown {
+            if result.is_err() && changes.chunk() == Chunk::Unknown {
                 // The planner sends this answer once, so the service is requested again until it is known or the
                 // answer is believed.
                 self.retries.insert((now + RETRY_DELAY, changes.service.clone()));
             }
-            if let Err(because) = taken {
-                refused.insert(&changes.service, because);
+            if let Err(reason) = result {
+                refused.insert(&changes.service, reason);
             }
         }
-        if because == RejectReason::Accepted && update.epoch > 0 {
+        if reason == RejectReason::Accepted && update.epoch > 0 {
             self.record_version(now, VersionDigest { version: source, digest: update.list_digest });
             self.send_closed |=
                 source < self.latest_list() && !self.choice.connected_for(now, STALE_LIST_TIMEOUT);
@@ -348,14 +348,14 @@
         let refused = refused.into_iter();
         let refused =
             refused.map(|(s, b)| RejectedService { service: s.to_owned(), reason: b as i32 }).collect();
-        let answer = UpdateAck { incarnation: update.incarnation, number: update.number, refused };
+        let ack = UpdateAck { incarnation: update.incarnation, number: update.number, refused };
         if update.number == 0 {
             return None;
         }
-        let size = answer.encoded_len() + FRAMING_BYTES;
+        let size = ack.encoded_len() + FRAMING_BYTES;
         self.stats.sent += size as u64;
         self.tokens -= size as f64;
-        Some(answer)
+        Some(ack)
     }
 
     /// Records the planner's list version at intervals, and whenever the epoch changes.
@@ -387,29 +387,33 @@
         if held.incarnation != incarnation && source < held.list_version && !believed {
             return Err(RejectReason::StaleMembership);
         }
-        let was = (held.received, held.servers.len());
+        let before = (held.received, held.servers.len());
         if changes.chunk() == Chunk::Unknown {
             self.mark_unknown(now, &changes.service);
             return Ok(());
         }
         let changed = self.pending_changes.entry(changes.service.clone()).or_default();
-        let taken = held.apply(now, (incarnation, source), changes, changed, &mut self.removed);
+        let result = held.apply(now, (incarnation, source), changes, changed, &mut self.removed);
         if held.received {
             held.update_subscriber_count(now, changes.subscribers.saturating_mul(planners), changed);
         }
-        let is = (held.received, held.servers.len());
-        self.update_totals(was, is);
-        if taken.is_ok() {
+        let after = (held.received, held.servers.len());
+        self.update_totals(before, after);
+        if result.is_ok() {
             self.choice.latest_list = self.choice.latest_list.max(source);
         }
         self.make_room(&changes.service);
-        taken
+        result
     }
 
-    fn update_totals(&mut self, (known, servers): (bool, usize), (knows, has): (bool, usize)) {
-        self.servers = self.servers + has - servers;
-        self.bytes = self.bytes + has * SERVER_BYTES - servers * SERVER_BYTES;
-        if knows && !known {
+    fn update_totals(
+        &mut self,
+        (was_received, old_servers): (bool, usize),
+        (is_received, new_servers): (bool, usize),
+    ) {
+        self.servers = self.servers + new_servers - old_servers;
+        self.bytes = self.bytes + new_servers * SERVER_BYTES - old_servers * SERVER_BYTES;
+        if is_received && !was_received {
             self.pending_services -= 1;
             self.bytes += SERVICE_BYTES;
         }
@@ -421,16 +425,16 @@
         if self.in_flight.contains_key(service) && held.received {
             // The service has requests in flight, so it stays without servers and is requested again.
             let changed = self.pending_changes.entry(service.to_owned()).or_default();
-            let was = (held.received, held.servers.len());
+            let before = (held.received, held.servers.len());
             held.remove_all(now, changed, &mut self.removed);
-            self.update_totals(was, (true, 0));
+            self.update_totals(before, (true, 0));
             self.retries.insert((now + RETRY_DELAY, service.to_owned()));
             return;
         }
-        let known = held.received;
+        let received = held.received;
         self.remove_service(service);
         self.to_unsubscribe.remove(service);
-        self.ended_services.push(if known {
+        self.ended_services.push(if received {
             Change::Dropped(service.to_owned())
         } else {
             Change::Unknown(service.to_owned())
@@ -453,23 +457,24 @@
     /// Enforces the limits by dropping the least recently used services that have no request in flight. If there is
     /// none, `newcomer` is dropped.
     fn make_room(&mut self, newcomer: &str) {
-        let over = |s: &Self| {
+        let over_limit = |s: &Self| {
             s.services.len() - s.pending_services > s.settings.max_services || s.bytes > s.settings.max_bytes
         };
-        while over(self) {
+        while over_limit(self) {
             let idle = |(_, name): &&(Nanos, String)| name != newcomer && self.is_idle(name);
-            let least = self.by_last_use.iter().find(idle).map(|(_, name)| name.clone());
-            let Some(least) = least.or_else(|| self.is_idle(newcomer).then(|| newcomer.to_owned())) else {
+            let least_used = self.by_last_use.iter().find(idle).map(|(_, name)| name.clone());
+            let Some(least_used) = least_used.or_else(|| self.is_idle(newcomer).then(|| newcomer.to_owned()))
+            else {
                 return;
             };
-            self.drop_service(&least);
+            self.drop_service(&least_used);
         }
     }
 
     /// Returns whether a service is held and has no request in flight.
     fn is_idle(&self, service: &str) -> bool {
-        let known = self.services.get(service).is_some_and(|held| held.received);
-        known && !self.in_flight.contains_key(service)
+        let received = self.services.get(service).is_some_and(|held| held.received);
+        received && !self.in_flight.contains_key(service)
     }
 
     fn drop_service(&mut self, service: &str) {
@@ -512,15 +517,15 @@
         }
         // Pending services expire earlier than held ones; both are searched from the least recently used on.
         let wait = PENDING_TIMEOUT.min(self.settings.unused_timeout);
-        let old = self.by_last_use.iter().take_while(|(at, _)| now.saturating_sub(*at) >= wait);
-        let gone = |(at, name): &&(Nanos, String)| {
-            let long = now.saturating_sub(*at) >= self.settings.unused_timeout;
+        let unused = self.by_last_use.iter().take_while(|(at, _)| now.saturating_sub(*at) >= wait);
+        let expired = |(at, name): &&(Nanos, String)| {
+            let timed_out = now.saturating_sub(*at) >= self.settings.unused_timeout;
             let idle = !self.in_flight.contains_key(name);
-            idle && self.services.get(name).is_some_and(|h| long || !h.received)
+            idle && self.services.get(name).is_some_and(|h| timed_out || !h.received)
         };
-        let old: Vec<String> =
-            old.take(MAX_EXAMINED_SERVICES).filter(gone).map(|(_, name)| name.clone()).collect();
-        old.iter().for_each(|service| self.drop_service(service));
+        let unused: Vec<String> =
+            unused.take(MAX_EXAMINED_SERVICES).filter(expired).map(|(_, name)| name.clone()).collect();
+        unused.iter().for_each(|service| self.drop_service(service));
     }
 
     /// Returns the changes since the last call.
