--- a/crates/node/src/services/directory.rs
+++ b/crates/node/src/services/directory.rs
@@ -150,14 +150,14 @@
                     gateway.update_servers(ListKind::Changes, entries);
                     gateway.set_quota_share(1.0 / f64::from(subscribers.max(1)));
                 }
-                Change::Hints { service, words } => {
+                Change::Hints { service, hints } => {
                     let Some(gateway) = self.gateway(&service) else { continue };
-                    if words.is_empty() {
+                    if hints.is_empty() {
                         self.node_plans.borrow_mut().remove(&service);
                         gateway.apply_plan(NodePlan::default());
                         continue;
                     }
-                    let view = View { planned: words, trust: 1.0, ..View::default() };
+                    let view = View { planned: hints, trust: 1.0, ..View::default() };
                     let known = |name: &str| gateway.fleet(|f| f.endpoint_of(name));
                     let plan = lead::node_plan(&view, known, &[], std::iter::empty());
                     gateway.apply_plan(self.effective_plan(&plan));
--- a/crates/plan/src/services/publisher/mod.rs
+++ b/crates/plan/src/services/publisher/mod.rs
@@ -336,7 +336,7 @@
     }
 
     /// Returns the number of the list version in use.
-    pub fn source(&self) -> Option<u64> {
+    pub fn list_number(&self) -> Option<u64> {
         self.list_version.map(|source| source.number)
     }
 
--- a/crates/plan/src/services/publisher/rollout.rs
+++ b/crates/plan/src/services/publisher/rollout.rs
@@ -71,7 +71,7 @@
             return self.explain_server(&request.server);
         }
         let stats = self.stats();
-        let version = self.source().map_or("none yet".to_owned(), |v| v.to_string());
+        let version = self.list_number().map_or("none yet".to_owned(), |v| v.to_string());
         format!(
             "site {}, list {version}\nservices: {} with {} servers\nforwarders: {} connected of {} known, {} \
              subscriptions\nsent: {} updates with {} bytes, {} wholes\n",
--- a/crates/plan/src/services/subscriber/held_service.rs
+++ b/crates/plan/src/services/subscriber/held_service.rs
@@ -294,7 +294,7 @@
             let has_hint = |s: &&Server| s.grade > 0 || s.suspicion != Suspicion::None;
             self.servers.values().filter(has_hint).map(hint).collect()
         };
-        let hint_change = changed.hints.then(|| Change::Hints { service: service.clone(), words: hints() });
+        let hint_change = changed.hints.then(|| Change::Hints { service: service.clone(), hints: hints() });
         let has_members = !changed.members.is_empty() || changed.subscribers;
         let members = has_members.then(|| Change::Members {
             service,
--- a/crates/plan/src/services/subscriber/mod.rs
+++ b/crates/plan/src/services/subscriber/mod.rs
@@ -111,7 +111,7 @@
         /// The service.
         service: String,
         /// Hints by server.
-        words: Vec<PlannedServer>,
+        hints: Vec<PlannedServer>,
     },
     /// The service does not exist; requests waiting for it fail.
     Unknown(String),
--- a/crates/plan/tests/services.rs
+++ b/crates/plan/tests/services.rs
@@ -566,9 +566,9 @@
     publisher.report(S, "f1", &report(true)).unwrap();
     exchange(S, &mut publisher, &mut f[2], "f2", 0);
     let changes = f[2].changes();
-    let [Change::Hints { words, .. }] = &changes[..] else { panic!("{changes:?}") };
-    assert_eq!((words.len(), words[0].suspicion), (1, Suspicion::Fails));
-    assert!((words[0].score / 100.0 - 1.0).abs() < 0.1);
+    let [Change::Hints { hints, .. }] = &changes[..] else { panic!("{changes:?}") };
+    assert_eq!((hints.len(), hints[0].suspicion), (1, Suspicion::Fails));
+    assert!((hints[0].score / 100.0 - 1.0).abs() < 0.1);
     assert!(publisher.report(S, "f9", &report(true)).is_err());
 }
 
--- a/crates/simulation/src/services/check.rs
+++ b/crates/simulation/src/services/check.rs
@@ -380,7 +380,7 @@
                     odd.name,
                     state(odd),
                     subscriber.version_of(service),
-                    publisher.source(),
+                    publisher.list_number(),
                     publisher.assigned_members(&who, service).is_some()
                 ));
             }
@@ -390,7 +390,7 @@
                 return Some(format!(
                     "{who} holds {} of {wanted} in `{service}`, slice {slice:?}, by {held:?} and {:?}",
                     mine.len(),
-                    publisher.source()
+                    publisher.list_number()
                 ));
             }
         }
@@ -408,10 +408,10 @@
         let mut broken = Vec::new();
         for (p, planner) in self.planners.iter().enumerate() {
             let Some(publisher) = &planner.publisher else { continue };
-            if publisher.source() != Some(self.source.version) {
+            if publisher.list_number() != Some(self.source.version) {
                 broken.push(format!(
                     "planner {p} goes by {:?}, not {}",
-                    publisher.source(),
+                    publisher.list_number(),
                     self.source.version
                 ));
             }
