--- a/crates/benchlink/src/wire.rs
+++ b/crates/benchlink/src/wire.rs
@@ -1,4 +1,6 @@
-//! Frames of the simulator's wire: batches of event records in, batches of action records out.
+//! Decodes the simulator's binary frames into batches of event records and encodes the replies as batches of action
+//! records. Integers and floats are big-endian. Records have a fixed size; data of variable length follows them in
+//! the frame's tail and is referenced by offset and length.
 
 use laurelroute_policy::interface::{
     Action, AttemptOutcome, Endpoint, ListKind, LoadReport, Phase, Request, Server,
@@ -6,39 +8,42 @@
 use laurelroute_policy::settings::LoadReportField;
 use std::fmt;
 
-/// Bytes of a batch header, an event record, an action record and a list entry.
-pub const HEADER: usize = 16;
-pub const RECORD: usize = 48;
-const ACTION: usize = 24;
-const ENTRY: usize = 24;
+/// Size of a frame header: clock (8 bytes), frame length (4) and number of records (4).
+pub const HEADER_BYTES: usize = 16;
+/// Size of an event record.
+pub const EVENT_BYTES: usize = 48;
+/// Size of an action record.
+const ACTION_BYTES: usize = 24;
+/// Size of a server entry in the tail of a list event.
+const LIST_ENTRY_BYTES: usize = 24;
 
-/// What is wrong with a frame, and where.
+/// A malformed frame or record; `record` is the record's index in its frame.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WireError {
-    #[error("input ends inside a {what}: {have} of {want} bytes")]
-    Truncated { what: &'static str, have: usize, want: usize },
-    #[error("frame length {length} does not hold its header and {records} records")]
+    #[error("input ends inside a {part}: {received} of {expected} bytes")]
+    Truncated { part: &'static str, received: usize, expected: usize },
+    #[error("frame length {length} is too small for its header and {records} records")]
     Length { length: usize, records: usize },
     #[error("record {record}: unknown event code {code}")]
     UnknownEvent { record: usize, code: u8 },
-    #[error("record {record}: unknown {what} {value}")]
-    UnknownValue { record: usize, what: &'static str, value: u64 },
-    #[error("record {record}: tail reference {offset}+{length} is out of range, the tail has {tail} bytes")]
+    #[error("record {record}: unknown {field} {value}")]
+    UnknownValue { record: usize, field: &'static str, value: u64 },
+    #[error("record {record}: tail reference {offset}+{length} exceeds the tail of {tail} bytes")]
     Tail { record: usize, offset: usize, length: usize, tail: usize },
     #[error("record {record}: settings: {message}")]
     Settings { record: usize, message: String },
 }
 
-/// Load values as they stand on the wire, up to four.
+/// Up to four load values of a report in wire order, not yet assigned to fields; the first `count` are valid.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct RawReport {
+pub struct RawLoadReport {
     pub count: u8,
     pub values: [f32; 4],
 }
 
-/// One event record, borrowed from its frame.
+/// A decoded event record; settings and messages borrow from the frame.
 #[derive(Debug, PartialEq)]
-pub enum Record<'a> {
+pub enum EventRecord<'a> {
     Start {
         seed: u64,
         settings: &'a [u8],
@@ -53,23 +58,23 @@
         from: u32,
         bytes: &'a [u8],
     },
-    ClientGone {
+    ClientDisconnected {
         request: u32,
     },
     Probed {
         server: Endpoint,
-        ending: AttemptOutcome,
+        outcome: AttemptOutcome,
         took: u64,
-        report: RawReport,
+        report: RawLoadReport,
     },
-    Outcome {
+    AttemptEnded {
         request: u32,
         server: Endpoint,
         attempt: u8,
         finished: bool,
         took: u64,
-        ending: AttemptOutcome,
-        report: RawReport,
+        outcome: AttemptOutcome,
+        report: RawLoadReport,
     },
     StreamStarted {
         request: u32,
@@ -82,33 +87,33 @@
     },
 }
 
-fn bytes_at<const N: usize>(b: &[u8], at: usize) -> [u8; N] {
+fn bytes_at<const N: usize>(bytes: &[u8], offset: usize) -> [u8; N] {
     let mut out = [0; N];
-    out.copy_from_slice(&b[at..at + N]);
+    out.copy_from_slice(&bytes[offset..offset + N]);
     out
 }
 
-fn u16_at(b: &[u8], at: usize) -> u16 {
-    u16::from_be_bytes(bytes_at(b, at))
+fn u16_at(bytes: &[u8], offset: usize) -> u16 {
+    u16::from_be_bytes(bytes_at(bytes, offset))
 }
 
-fn u32_at(b: &[u8], at: usize) -> u32 {
-    u32::from_be_bytes(bytes_at(b, at))
+fn u32_at(bytes: &[u8], offset: usize) -> u32 {
+    u32::from_be_bytes(bytes_at(bytes, offset))
 }
 
-fn u64_at(b: &[u8], at: usize) -> u64 {
-    u64::from_be_bytes(bytes_at(b, at))
+fn u64_at(bytes: &[u8], offset: usize) -> u64 {
+    u64::from_be_bytes(bytes_at(bytes, offset))
 }
 
-fn f32_at(b: &[u8], at: usize) -> f32 {
-    f32::from_be_bytes(bytes_at(b, at))
+fn f32_at(bytes: &[u8], offset: usize) -> f32 {
+    f32::from_be_bytes(bytes_at(bytes, offset))
 }
 
-fn endpoint_at(b: &[u8], at: usize) -> Endpoint {
-    Endpoint { address: bytes_at(b, at), port: u16_at(b, at + 4) }
+fn endpoint_at(bytes: &[u8], offset: usize) -> Endpoint {
+    Endpoint { address: bytes_at(bytes, offset), port: u16_at(bytes, offset + 4) }
 }
 
-/// A frame that has been read whole: its clock and its records.
+/// A complete frame: the simulator's clock in nanoseconds, the event records and their tail.
 pub struct Frame<'a> {
     pub clock: u64,
     bytes: &'a [u8],
@@ -116,100 +121,115 @@
 }
 
 impl<'a> Frame<'a> {
-    /// Length of the whole frame and its number of records, as a header claims.
-    pub fn claimed(header: &[u8; HEADER]) -> Result<usize, WireError> {
+    /// Returns the frame length that a header declares, header included. Fails if that length is too small for the
+    /// declared number of records.
+    pub fn declared_length(header: &[u8; HEADER_BYTES]) -> Result<usize, WireError> {
         let (length, records) = (u32_at(header, 8) as usize, u32_at(header, 12) as usize);
-        match records.checked_mul(RECORD).and_then(|n| n.checked_add(HEADER)) {
-            Some(least) if least <= length => Ok(length),
+        match records.checked_mul(EVENT_BYTES).and_then(|bytes| bytes.checked_add(HEADER_BYTES)) {
+            Some(min_length) if min_length <= length => Ok(length),
             _ => Err(WireError::Length { length, records }),
         }
     }
 
-    /// Takes the bytes of one frame, header included.
+    /// Checks the length of one frame, header included. Records are decoded by [`Frame::record`].
     pub fn new(bytes: &'a [u8]) -> Result<Self, WireError> {
-        if bytes.len() < HEADER {
-            return Err(WireError::Truncated { what: "frame header", have: bytes.len(), want: HEADER });
+        if bytes.len() < HEADER_BYTES {
+            return Err(WireError::Truncated {
+                part: "frame header",
+                received: bytes.len(),
+                expected: HEADER_BYTES,
+            });
         }
-        let length = Self::claimed(&bytes_at(bytes, 0))?;
+        let length = Self::declared_length(&bytes_at(bytes, 0))?;
         if bytes.len() != length {
-            return Err(WireError::Truncated { what: "frame", have: bytes.len(), want: length });
+            return Err(WireError::Truncated { part: "frame", received: bytes.len(), expected: length });
         }
         Ok(Frame { clock: u64_at(bytes, 0), bytes, records: u32_at(bytes, 12) as usize })
     }
 
-    /// Number of records.
+    /// Returns the number of event records.
     pub fn len(&self) -> usize {
         self.records
     }
 
-    fn tail(&self, record: usize, at: usize, size: usize) -> Result<&'a [u8], WireError> {
-        let r = &self.bytes[HEADER + record * RECORD..];
-        let (offset, length) = (u32_at(r, at) as usize, u32_at(r, at + 4) as usize);
-        let tail = &self.bytes[HEADER + self.records * RECORD..];
+    /// Resolves the tail reference at `position` in a record: an offset in bytes, then a number of items of
+    /// `item_bytes` each.
+    fn tail(&self, record: usize, position: usize, item_bytes: usize) -> Result<&'a [u8], WireError> {
+        let bytes = &self.bytes[HEADER_BYTES + record * EVENT_BYTES..];
+        let (offset, length) = (u32_at(bytes, position) as usize, u32_at(bytes, position + 4) as usize);
+        let tail = &self.bytes[HEADER_BYTES + self.records * EVENT_BYTES..];
         length
-            .checked_mul(size)
-            .and_then(|n| n.checked_add(offset))
+            .checked_mul(item_bytes)
+            .and_then(|bytes| bytes.checked_add(offset))
             .and_then(|end| tail.get(offset..end))
             .ok_or(WireError::Tail { record, offset, length, tail: tail.len() })
     }
 
-    /// The instance and the event of one record.
-    pub fn record(&self, record: usize) -> Result<(u32, Record<'a>), WireError> {
-        let r = &self.bytes[HEADER + record * RECORD..HEADER + (record + 1) * RECORD];
-        let ending = |at| ending(u16_at(r, at), record);
-        let event = match r[0] {
-            50 => Record::Start { seed: u64_at(r, 5), settings: self.tail(record, 13, 1)? },
-            80 => Record::Stop,
-            90 => Record::List { kind: list_kind(r[9], record)?, servers: self.entries(record)? },
-            10 => Record::Request(request(r)),
-            60 => Record::Message { from: u32_at(r, 5), bytes: self.tail(record, 9, 1)? },
-            40 => Record::ClientGone { request: u32_at(r, 5) },
-            30 => Record::Probed {
-                server: endpoint_at(r, 5),
-                ending: ending(11)?,
-                took: u64_at(r, 13),
-                report: report(r, 21),
+    /// Decodes the record at index `record` and returns the instance it is addressed to and the event.
+    pub fn record(&self, record: usize) -> Result<(u32, EventRecord<'a>), WireError> {
+        let bytes =
+            &self.bytes[HEADER_BYTES + record * EVENT_BYTES..HEADER_BYTES + (record + 1) * EVENT_BYTES];
+        let outcome = |offset| outcome(u16_at(bytes, offset), record);
+        let event = match bytes[0] {
+            50 => EventRecord::Start { seed: u64_at(bytes, 5), settings: self.tail(record, 13, 1)? },
+            80 => EventRecord::Stop,
+            90 => {
+                EventRecord::List { kind: list_kind(bytes[9], record)?, servers: self.list_entries(record)? }
+            }
+            10 => EventRecord::Request(request(bytes)),
+            60 => EventRecord::Message { from: u32_at(bytes, 5), bytes: self.tail(record, 9, 1)? },
+            40 => EventRecord::ClientDisconnected { request: u32_at(bytes, 5) },
+            30 => EventRecord::Probed {
+                server: endpoint_at(bytes, 5),
+                outcome: outcome(11)?,
+                took: u64_at(bytes, 13),
+                report: report(bytes, 21),
             },
-            100 => Record::Outcome {
-                request: u32_at(r, 5),
-                server: endpoint_at(r, 9),
-                attempt: r[15],
-                finished: r[16] != 0,
-                took: u64_at(r, 17),
-                ending: ending(25)?,
-                report: report(r, 27),
+            100 => EventRecord::AttemptEnded {
+                request: u32_at(bytes, 5),
+                server: endpoint_at(bytes, 9),
+                attempt: bytes[15],
+                finished: bytes[16] != 0,
+                took: u64_at(bytes, 17),
+                outcome: outcome(25)?,
+                report: report(bytes, 27),
             },
-            20 => Record::StreamStarted {
-                request: u32_at(r, 5),
-                attempt: r[9],
-                server: endpoint_at(r, 10),
-                took: u64_at(r, 16),
+            20 => EventRecord::StreamStarted {
+                request: u32_at(bytes, 5),
+                attempt: bytes[9],
+                server: endpoint_at(bytes, 10),
+                took: u64_at(bytes, 16),
             },
-            70 => Record::Timer { token: u32_at(r, 5) },
+            70 => EventRecord::Timer { token: u32_at(bytes, 5) },
             code => return Err(WireError::UnknownEvent { record, code }),
         };
-        Ok((u32_at(r, 1), event))
+        Ok((u32_at(bytes, 1), event))
     }
 
-    fn entries(&self, record: usize) -> Result<Vec<Server>, WireError> {
-        self.tail(record, 10, ENTRY)?
-            .chunks_exact(ENTRY)
-            .map(|e| {
+    /// Decodes the server entries that a list record refers to.
+    fn list_entries(&self, record: usize) -> Result<Vec<Server>, WireError> {
+        self.tail(record, 10, LIST_ENTRY_BYTES)?
+            .chunks_exact(LIST_ENTRY_BYTES)
+            .map(|entry| {
                 Ok(Server {
-                    endpoint: endpoint_at(e, 0),
-                    zone: e[6],
-                    kind: u16_at(e, 7),
-                    cell: u16_at(e, 9),
-                    phase: match e[11] {
+                    endpoint: endpoint_at(entry, 0),
+                    zone: entry[6],
+                    kind: u16_at(entry, 7),
+                    cell: u16_at(entry, 9),
+                    phase: match entry[11] {
                         0 => Phase::Removed,
                         1 => Phase::Ready,
                         2 => Phase::Draining,
-                        v => {
-                            return Err(WireError::UnknownValue { record, what: "phase", value: v.into() });
+                        value => {
+                            return Err(WireError::UnknownValue {
+                                record,
+                                field: "phase",
+                                value: value.into(),
+                            });
                         }
                     },
-                    size: f32_at(e, 12),
-                    started_at: u64_at(e, 16),
+                    size: f32_at(entry, 12),
+                    started_at: u64_at(entry, 16),
                 })
             })
             .collect()
@@ -222,11 +242,11 @@
         1 => Ok(ListKind::Full),
         2 => Ok(ListKind::Cached),
         3 => Ok(ListKind::Failed),
-        v => Err(WireError::UnknownValue { record, what: "list kind", value: v.into() }),
+        value => Err(WireError::UnknownValue { record, field: "list kind", value: value.into() }),
     }
 }
 
-fn ending(value: u16, record: usize) -> Result<AttemptOutcome, WireError> {
+fn outcome(value: u16, record: usize) -> Result<AttemptOutcome, WireError> {
     match value {
         0 => Ok(AttemptOutcome::Ok),
         13 => Ok(AttemptOutcome::Error),
@@ -236,42 +256,43 @@
         10 => Ok(AttemptOutcome::Reset),
         1 => Ok(AttemptOutcome::Cancelled),
         9 => Ok(AttemptOutcome::NotSent),
-        v => Err(WireError::UnknownValue { record, what: "outcome code", value: v.into() }),
+        value => Err(WireError::UnknownValue { record, field: "outcome code", value: value.into() }),
     }
 }
 
-fn request(r: &[u8]) -> Request {
-    let options = u16_at(r, 38);
+fn request(bytes: &[u8]) -> Request {
+    let options = u16_at(bytes, 38);
     Request {
-        id: u32_at(r, 5),
-        class: r[9],
-        tenant: u32_at(r, 10),
-        key: u64_at(r, 14),
-        deadline: u64_at(r, 22),
-        work_hint: (options & 1 != 0).then(|| u64_at(r, 30)),
+        id: u32_at(bytes, 5),
+        class: bytes[9],
+        tenant: u32_at(bytes, 10),
+        key: u64_at(bytes, 14),
+        deadline: u64_at(bytes, 22),
+        work_hint: (options & 1 != 0).then(|| u64_at(bytes, 30)),
         is_retry: options & 2 != 0,
         is_write: options & 4 != 0,
         split_position: 0,
     }
 }
 
-fn report(r: &[u8], at: usize) -> RawReport {
+fn report(bytes: &[u8], offset: usize) -> RawLoadReport {
     let mut values = [0.0; 4];
-    for (k, value) in values.iter_mut().enumerate() {
-        *value = f32_at(r, at + 1 + 4 * k);
+    for (index, value) in values.iter_mut().enumerate() {
+        *value = f32_at(bytes, offset + 1 + 4 * index);
     }
-    RawReport { count: r[at], values }
+    RawLoadReport { count: bytes[offset], values }
 }
 
-impl RawReport {
-    /// Names the values by the instance's list of fields; none when the report is empty.
-    pub fn named(&self, fields: &[LoadReportField]) -> Option<LoadReport> {
+impl RawLoadReport {
+    /// Assigns the values to the instance's list of report fields, in order. Returns `None` for an empty report and
+    /// leaves out values that are not finite.
+    pub fn load_report(&self, fields: &[LoadReportField]) -> Option<LoadReport> {
         if self.count == 0 {
             return None;
         }
         let mut report = LoadReport::default();
         for (field, &value) in fields.iter().zip(&self.values[..usize::from(self.count).min(4)]) {
-            let value = Some(value).filter(|v| v.is_finite());
+            let value = Some(value).filter(|number| number.is_finite());
             match field {
                 LoadReportField::Concurrent => report.concurrent = value,
                 LoadReportField::Queued => report.queued = value,
@@ -286,7 +307,7 @@
     }
 }
 
-/// Collects the actions of one reply.
+/// Encodes the actions of one batch: fixed-size records, then the tail they refer to.
 #[derive(Default)]
 pub struct Reply {
     records: Vec<u8>,
@@ -301,73 +322,75 @@
 }
 
 impl Reply {
-    /// Adds an action of an instance.
+    /// Appends an action record of `instance`.
     pub fn push(&mut self, instance: u32, action: &Action) {
-        let mut r = [0u8; ACTION];
-        let put =
-            |r: &mut [u8; ACTION], at: usize, bytes: &[u8]| r[at..at + bytes.len()].copy_from_slice(bytes);
-        let server = |r: &mut [u8; ACTION], at: usize, e: &Endpoint| {
-            put(r, at, &e.address);
-            put(r, at + 4, &e.port.to_be_bytes());
+        let mut out = [0u8; ACTION_BYTES];
+        let put = |out: &mut [u8; ACTION_BYTES], offset: usize, bytes: &[u8]| {
+            out[offset..offset + bytes.len()].copy_from_slice(bytes);
+        };
+        let put_endpoint = |out: &mut [u8; ACTION_BYTES], offset: usize, endpoint: &Endpoint| {
+            put(out, offset, &endpoint.address);
+            put(out, offset + 4, &endpoint.port.to_be_bytes());
         };
-        put(&mut r, 1, &instance.to_be_bytes());
+        put(&mut out, 1, &instance.to_be_bytes());
         match action {
-            Action::Send { request, server: to, timeout } => {
-                r[0] = 100;
-                put(&mut r, 5, &request.to_be_bytes());
-                server(&mut r, 9, to);
-                put(&mut r, 15, &timeout.to_be_bytes());
+            Action::Send { request, server, timeout } => {
+                out[0] = 100;
+                put(&mut out, 5, &request.to_be_bytes());
+                put_endpoint(&mut out, 9, server);
+                put(&mut out, 15, &timeout.to_be_bytes());
             }
             Action::Refuse { request, retry_after } => {
-                r[0] = 40;
-                put(&mut r, 5, &request.to_be_bytes());
-                put(&mut r, 9, &retry_after.to_be_bytes());
+                out[0] = 40;
+                put(&mut out, 5, &request.to_be_bytes());
+                put(&mut out, 9, &retry_after.to_be_bytes());
             }
             Action::Fail { request } => {
-                r[0] = 10;
-                put(&mut r, 5, &request.to_be_bytes());
+                out[0] = 10;
+                put(&mut out, 5, &request.to_be_bytes());
             }
             Action::Cancel { request, attempt } => {
-                r[0] = 20;
-                put(&mut r, 5, &request.to_be_bytes());
-                r[9] = *attempt;
+                out[0] = 20;
+                put(&mut out, 5, &request.to_be_bytes());
+                out[9] = *attempt;
             }
-            Action::Probe { server: to } => {
-                r[0] = 30;
-                server(&mut r, 5, to);
+            Action::Probe { server } => {
+                out[0] = 30;
+                put_endpoint(&mut out, 5, server);
             }
             Action::SendToPeer { to, bytes } => {
-                r[0] = 60;
-                put(&mut r, 5, &to.unwrap_or(u32::MAX).to_be_bytes());
-                self.refer(&mut r, 9, bytes);
+                out[0] = 60;
+                put(&mut out, 5, &to.unwrap_or(u32::MAX).to_be_bytes());
+                self.put_in_tail(&mut out, 9, bytes);
             }
             Action::Subscribe => {
-                r[0] = 80;
-                r[5] = 1;
+                out[0] = 80;
+                out[5] = 1;
             }
-            Action::FetchList => r[0] = 70,
+            Action::FetchList => out[0] = 70,
             Action::StartTimer { after, token } => {
-                r[0] = 90;
-                put(&mut r, 5, &after.to_be_bytes());
-                put(&mut r, 13, &token.to_be_bytes());
+                out[0] = 90;
+                put(&mut out, 5, &after.to_be_bytes());
+                put(&mut out, 13, &token.to_be_bytes());
             }
             Action::Log { text } => {
-                r[0] = 120;
-                self.refer(&mut r, 5, text.as_bytes());
+                out[0] = 120;
+                self.put_in_tail(&mut out, 5, text.as_bytes());
             }
         }
-        self.records.extend_from_slice(&r);
+        self.records.extend_from_slice(&out);
         self.count += 1;
     }
 
-    fn refer(&mut self, r: &mut [u8; ACTION], at: usize, bytes: &[u8]) {
-        r[at..at + 4].copy_from_slice(&(self.tail.len() as u32).to_be_bytes());
-        r[at + 4..at + 8].copy_from_slice(&(bytes.len() as u32).to_be_bytes());
+    /// Appends `bytes` to the tail and writes the offset and length of the reference at `position` in the record.
+    fn put_in_tail(&mut self, out: &mut [u8; ACTION_BYTES], position: usize, bytes: &[u8]) {
+        out[position..position + 4].copy_from_slice(&(self.tail.len() as u32).to_be_bytes());
+        out[position + 4..position + 8].copy_from_slice(&(bytes.len() as u32).to_be_bytes());
         self.tail.extend_from_slice(bytes);
     }
 
-    /// The reply's bytes; leaves it empty for the next batch.
-    pub fn take(&mut self) -> Vec<u8> {
+    /// Returns the encoded reply (number of actions, length in bytes, records, tail) and clears it for the next batch.
+    pub fn take_bytes(&mut self) -> Vec<u8> {
         let length = 8 + self.records.len() + self.tail.len();
         let mut out = Vec::with_capacity(length);
         out.extend_from_slice(&self.count.to_be_bytes());
