--- a/crates/shift/src/analysis.rs
+++ b/crates/shift/src/analysis.rs
@@ -1,4 +1,4 @@
-//! Old against new, cell by cell, by a test that may be looked at as often as one likes.
+//! Compares the pools cell by cell with a sequential test that may be evaluated at any time.
 //!
 //! For each cell and each [`Signal`] there is an *e-process* for the hypothesis that in the new pool a request ends badly
 //! no more often than in the old one over the same time, by more than a tolerance. Outcomes come in batches of `m` from
@@ -21,25 +21,25 @@
 //! Assumed: which outcomes fall into one batch does not depend on how they ended. An attempt that hangs is counted when it
 //! ends, in a later batch than one that fails at once; under the hypothesis that is so in both pools.
 //!
-//! Weighed against: mixture SPRT on the difference of means (wants the variance, and a common rate over time), CUSUM
-//! (bounds the time between false alarms, not their number), Mann-Whitney on windows as Kayenta does (may not be looked at
-//! twice without its false alarms adding up).
+//! Alternatives not chosen: mixture SPRT on the difference of means (needs the variance, and a common rate over time), CUSUM
+//! (bounds the time between false alarms, not their number), Mann-Whitney on windows as in Kayenta (repeated evaluation
+//! adds up its false alarms).
 
 use crate::cells::Cells;
 use crate::pool::Pool;
 use std::collections::BTreeMap;
 
-/// What may be wrong with an outcome.
+/// A kind of bad outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Signal {
-    /// An error, a reset, a refused connection or a spoilt answer.
+    /// An error, a reset, a refused connection or a malformed response.
     Failed,
-    /// No answer in time, or one after the class's aim.
+    /// No response in time, or one after the class's latency target.
     Late,
-    /// Answered after what nine in ten of the old pool's take in this class.
+    /// Slower than nine in ten of the old pool's responses in this class.
     Slow,
-    /// Turned away as full.
+    /// Rejected by a full server.
     Refused,
 }
 
@@ -51,54 +51,54 @@
 pub struct Signals(u8);
 
 impl Signals {
-    /// All of them.
+    /// The set of all signals.
     pub const ALL: Signals = Signals(0b1111);
 
-    /// With one more.
+    /// Adds a signal.
     pub fn with(self, signal: Signal) -> Signals {
         Signals(self.0 | 1 << signal as u8)
     }
 
-    /// Without one.
+    /// Removes a signal.
     pub fn without(self, signal: Signal) -> Signals {
         Signals(self.0 & !(1 << signal as u8))
     }
 
-    /// Whether it is in the set.
+    /// Whether the signal is in the set.
     pub fn has(self, signal: Signal) -> bool {
         self.0 & (1 << signal as u8) != 0
     }
 }
 
-/// Excess rates that are looked for.
+/// Excess failure rates that are tested for.
 const GRID: [f64; 7] = [0.005, 0.015, 0.05, 0.15, 0.4, 0.7, 0.95];
-/// The guess of the old pool's rate goes by about so many of its outcomes.
+/// Number of outcomes over which the old pool's rate is estimated.
 const GUESS_OVER: f64 = 8000.0;
-/// No rate is taken to be nearer to 0 or 1 than this: one surprise must not decide alone.
+/// Estimated rates stay this far from 0 and 1, so that a single outcome is not decisive.
 const EDGE: f64 = 1e-4;
-/// A cell is weighed again once it has shown this part more.
+/// A cell's evidence is updated after the new pool's outcomes have grown by one part in this many.
 const BATCHES: u64 = 32;
-/// Boxes that are told apart; those beyond count in the cells all the same.
+/// Maximum number of servers and classes tracked separately; others count in the cells only.
 const MAX_SERVERS: usize = 4096;
-/// A fault is of boxes where so few of them, as a part, hold so much of what is over the old pool's rate.
+/// A fault is blamed on servers if at most this part of them accounts for the part below of the excess.
 const FEW_BOXES: f64 = 0.1;
 const MOST_OF_IT: f64 = 0.85;
 
-/// How the judge is set.
+/// Statistical bounds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// Most probability that a sound new pool is ever halted in the whole of a shift.
+    /// Maximum probability of ever halting a healthy new pool during a shift.
     pub false_alarm_rate: f64,
-    /// What the new pool's rate may be above the old one's.
+    /// Tolerated excess of the new pool's rate.
     pub tolerance: f64,
-    /// Outcomes of the new pool below which a cell is called thin.
+    /// Outcomes of the new pool below which a cell is reported as sparse.
     pub min_outcomes: u64,
 }
 
-/// How many, and how many of them bad.
+/// Number of outcomes and of bad ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Tally {
-    /// How many.
+    /// All outcomes.
     pub of: u64,
     /// Bad ones.
     pub bad: u64,
@@ -115,23 +115,23 @@
         self.bad += other.bad;
     }
 
-    /// Bad ones as a part of all; nothing of nothing.
+    /// The part of bad outcomes; 0 if there are none.
     pub fn rate(&self) -> f64 {
         self.bad as f64 / self.of.max(1) as f64
     }
 }
 
-/// One cell and signal: what came, and the e-process.
+/// The comparison of one cell for one signal.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 pub struct Comparison {
-    /// All of the old pool's since the start of the shift.
+    /// The old pool's outcomes since the start of the shift.
     pub old: Tally,
-    /// All of the new pool's.
+    /// The new pool's outcomes since the start of the shift.
     pub new: Tally,
-    /// The new pool's in this step.
+    /// The new pool's outcomes in this step.
     #[serde(rename = "step")]
     pub new_in_step: Tally,
-    /// How many of the old pool's were there to compare in this step.
+    /// Number of the old pool's outcomes in this step.
     #[serde(rename = "step_old")]
     pub old_in_step: u64,
     waiting: [Tally; 2],
@@ -139,7 +139,7 @@
     log_e: [f64; GRID.len()],
     /// The mean of the grid, as a logarithm.
     mean: f64,
-    /// What an operator's word has excused.
+    /// Evidence that an operator's command has excused.
     excused: f64,
 }
 
@@ -175,8 +175,8 @@
         edged(self.guess.1 / self.guess.0)
     }
 
-    /// Weighs what waits, once there is enough of both. How much is enough follows from counts alone, never from how
-    /// requests ended, and keeps the number of times that a cell is weighed to some hundreds.
+    /// Updates the evidence once both pools have enough pending outcomes. What is enough depends on counts alone, never on
+    /// results, and limits the updates of a cell to a few hundred.
     fn weigh(&mut self, tolerance: f64) {
         let [old, new] = self.waiting;
         let few = self.new.of / BATCHES;
@@ -187,7 +187,7 @@
             self.new_in_step.add(new);
             self.old_in_step += old.of;
         } else if new.of == 0 && old.of > 0 {
-            // What has come of the old pool alone still says what is usual there.
+            // Outcomes of the old pool alone still improve the estimate of its rate.
             self.waiting[0] = Tally::default();
         } else {
             return;
@@ -216,37 +216,37 @@
         self.mean = log_mean(&self.log_e);
     }
 
-    /// The e-process, as its logarithm, since an operator's word.
+    /// The log e-value since evidence was last excused.
     pub fn evidence(&self) -> f64 {
         self.mean - self.excused
     }
 }
 
-/// What an attempt came to.
+/// The outcome of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct Outcome<'a> {
     /// Its pool, when it was sent.
     pub pool: Pool,
-    /// Its box, by a number that the caller keeps.
+    /// The server, by a number that the caller assigns.
     pub server: u32,
     /// Its value in each dimension.
     pub values: &'a [usize],
-    /// What was wrong.
+    /// The signals that are bad.
     pub bad: Signals,
-    /// What can be judged by it: a cold box is slow, late and full because it is cold.
+    /// The signals that count: a server in slow start may be slow, late or full for that reason.
     pub judged: Signals,
 }
 
-/// Whose fault it looks like.
+/// The likely source of a fault.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Blame {
-    /// The new pool's boxes alike.
+    /// All servers of the new pool.
     Release,
-    /// These boxes, by the caller's numbers; the others are as the old pool.
+    /// These servers, by the caller's numbers; the others behave like the old pool.
     #[serde(rename = "boxes")]
     Servers(Vec<u32>),
-    /// Too few boxes or outcomes to tell.
+    /// Too few servers or outcomes to tell.
     Unclear,
 }
 
@@ -265,11 +265,11 @@
     pub evidence: f64,
     /// See there.
     pub bound: f64,
-    /// Whose fault it looks like.
+    /// The likely source of a fault.
     pub blame: Blame,
 }
 
-/// Judges all cells of a shift.
+/// Compares all cells of a shift.
 #[derive(Clone, Debug)]
 pub struct CanaryAnalysis {
     /// The cells.
@@ -277,15 +277,15 @@
     bounds: Bounds,
     duels: Vec<[Comparison; SIGNALS.len()]>,
     boxes: BTreeMap<(u32, usize), [Tally; SIGNALS.len()]>,
-    /// The most evidence of each cell's signals, as a part of its bound.
+    /// The highest evidence of each cell's signals, as a part of its alarm threshold.
     doubts: Vec<f64>,
-    /// Cells with something that waits.
+    /// Cells with pending outcomes.
     dirty: Vec<usize>,
     marked: Vec<bool>,
 }
 
 impl CanaryAnalysis {
-    /// A judge that has seen nothing.
+    /// Creates an analysis without outcomes.
     pub fn new(cells: Cells, bounds: Bounds) -> CanaryAnalysis {
         let count = cells.len();
         CanaryAnalysis {
@@ -299,7 +299,7 @@
         }
     }
 
-    /// Counts an outcome. Nothing is weighed before [`CanaryAnalysis::update_evidence`]: this is on the path of every request.
+    /// Records an outcome. It runs for every request, so evidence waits for [`CanaryAnalysis::update_evidence`].
     pub fn record(&mut self, outcome: &Outcome<'_>) {
         let side = match outcome.pool {
             Pool::Old => 0,
@@ -326,7 +326,7 @@
         }
     }
 
-    /// Weighs what has come since the last time.
+    /// Updates the evidence from pending outcomes.
     pub fn update_evidence(&mut self) {
         for cell in std::mem::take(&mut self.dirty) {
             self.marked[cell] = false;
@@ -378,7 +378,7 @@
         alarms
     }
 
-    /// An operator goes on in spite of what was seen: from here on as much again has to be seen.
+    /// Excuses the current evidence: the next alarm takes as much again.
     pub fn excuse_evidence(&mut self) {
         for duel in self.duels.iter_mut().flatten() {
             duel.excused += duel.evidence().max(0.0);
@@ -386,14 +386,14 @@
         self.doubts = (0..self.cells.len()).map(|c| self.doubted(c)).collect();
     }
 
-    /// A new step begins.
+    /// Starts a new step.
     pub fn begin_step(&mut self) {
         for duel in self.duels.iter_mut().flatten() {
             (duel.new_in_step, duel.old_in_step) = (Tally::default(), 0);
         }
     }
 
-    /// The cells with fewer outcomes of the new pool in this step than makes sense to judge, of those seen at all.
+    /// The cells that have outcomes, but too few of the new pool in this step.
     pub fn sparse_cells(&self) -> impl Iterator<Item = usize> + '_ {
         (0..self.cells.len()).filter(|&c| {
             let [failed, ..] = &self.duels[c];
@@ -401,7 +401,7 @@
         })
     }
 
-    /// Whether boxes or the release are at fault, by the tallies of single boxes.
+    /// Attributes a fault to servers or the release, by the tallies of single servers.
     fn blame(&self, cell: usize, signal: Signal) -> Blame {
         let class = self.cells.class(cell);
         let mut boxes: BTreeMap<u32, Tally> = BTreeMap::new();
@@ -491,7 +491,7 @@
         Some(high)
     }
 
-    /// What other nodes have counted and not weighed is added here: the sum over all forwarders is judged as one.
+    /// Adds another node's pending outcomes: the sum over all forwarders is compared as one.
     pub fn merge_pending(&mut self, cell: usize, signal: Signal, old: Tally, new: Tally) {
         let Some(duels) = self.duels.get_mut(cell) else { return };
         let duel = &mut duels[signal as usize];
@@ -502,7 +502,7 @@
         }
     }
 
-    /// What waits to be weighed, by cell and signal, taken out: a forwarder hands it to its planner.
+    /// Takes the pending outcomes, by cell and signal, for the planner.
     pub fn take_pending(&mut self) -> Vec<(usize, Signal, Tally, Tally)> {
         let mut taken = Vec::new();
         for cell in std::mem::take(&mut self.dirty) {
@@ -523,7 +523,7 @@
         self.duels.iter().enumerate().filter(|(_, d)| seen(d)).map(|(c, d)| (c, d.clone())).collect()
     }
 
-    /// Takes over comparisons from a journal; false where they are of other cells or make no sense.
+    /// Restores comparisons from a journal; false if they are for other cells or are invalid.
     pub fn restore(&mut self, kept: Vec<(usize, [Comparison; SIGNALS.len()])>) -> bool {
         let sound = |d: &Comparison| {
             let tallies = [d.old, d.new, d.new_in_step];
@@ -543,8 +543,8 @@
     }
 }
 
-/// What is slow in a class: the time that nine in ten of the old pool's answers keep, followed by a step up or down at each
-/// (Robbins, Monro: A stochastic approximation method, 1951). It is read before it is told of an answer.
+/// The 90th percentile of the old pool's latency in a class, tracked by stochastic approximation (Robbins, Monro 1951). A
+/// response is compared before it is included.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LatencyBaseline {
     at: f64,
@@ -562,7 +562,7 @@
         self.seen >= FIRST && took as f64 > self.at
     }
 
-    /// The old pool has answered.
+    /// Records a response of the old pool.
     pub fn observe(&mut self, took: u64) {
         self.seen = self.seen.saturating_add(1);
         if self.seen == 1 {
--- a/crates/shift/src/capacity.rs
+++ b/crates/shift/src/capacity.rs
@@ -1,4 +1,4 @@
-//! What share the new pool can carry now, and what the old one could take back.
+//! Computes the share that the new pool can carry now, and the part that the old one could take back.
 //!
 //! Solved as a small linear program: the part of what the step wants of each class, and the work that each pool's zones do
 //! for each other, so that no zone of either pool gets more than it can carry. A closed form is enough for one zone; with
@@ -6,23 +6,23 @@
 
 use good_lp::{constraint, microlp, variable, variables, Expression, Solution, SolverModel, Variable};
 
-/// Zones that are solved for; more are summed up in the last.
+/// Maximum number of zones solved for; the last one sums up the rest.
 pub const MAX_ZONES: usize = 12;
-/// Part of its warm capacity that a pool is given.
+/// Usable part of a pool's warm capacity.
 const HEADROOM: f64 = 0.95;
-/// A cold box is given this part of what it can take now: all nodes hear of it at once, and each sees its own part only.
+/// Usable part of the capacity in slow start: all nodes ramp at once, and each sees only its own load.
 const COLD_HEADROOM: f64 = 0.8;
-/// What a unit of work in another zone costs against a unit of share.
+/// Price of a unit of work in another zone, relative to a unit of share.
 const CROSS_PRICE: f64 = 0.02;
-/// What a unit of work that nobody can carry costs.
+/// Price of a unit of work that no pool can carry.
 const LOST_PRICE: f64 = 100.0;
 
-/// What a pool can do in a zone, in units of work a second.
+/// A pool's capacity in a zone, in units of work per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PoolCapacity {
-    /// Its warm boxes.
+    /// Servers past slow start.
     pub warm: f64,
-    /// What its cold boxes can take at present.
+    /// Servers in slow start, as far as they have ramped up.
     pub cold: f64,
 }
 
@@ -43,7 +43,7 @@
     pub new: PoolCapacity,
 }
 
-/// What is possible.
+/// The result of the capacity calculation.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize)]
 pub struct CapacityPlan {
     /// The share of each class that the new pool can carry, at most what was wanted.
@@ -55,7 +55,7 @@
 }
 
 impl CapacityPlan {
-    /// Whether all that was wanted fits.
+    /// Whether the full wanted shares can be carried.
     pub fn covers(&self, wanted: &[f64]) -> bool {
         self.shares.iter().zip(wanted).all(|(s, w)| *s >= w - 1e-6)
     }
@@ -102,7 +102,7 @@
     }
 }
 
-/// Every zone carries its own: nothing is to be solved.
+/// Whether each zone can carry its own load, so that no program needs to be solved.
 fn plain(zones: &[Zone], wanted: &[f64]) -> bool {
     zones.iter().all(|z| {
         let moved: f64 = z.load.iter().zip(wanted).map(|(l, w)| l * w).sum();
@@ -151,7 +151,7 @@
     Some((wanted.iter().map(|w| w * part).collect(), lost * load))
 }
 
-/// The part of its capacity that a pool of so many boxes can be given with like waiting: with fewer to choose from more has
+/// The part of its capacity that a pool of so many servers can be given with like waiting: with fewer to choose from more has
 /// to stay free, by the square root of their number (square-root staffing; Halfin, Whitt 1981).
 pub fn usable_fraction(boxes: usize) -> f64 {
     1.0 - 0.5 / (boxes.max(1) as f64).sqrt()
@@ -170,7 +170,7 @@
 const LATE_ENOUGH: f64 = 0.05;
 
 impl ObservedCapacity {
-    /// The old pool does so much work a second with so many units of size, of which this part comes late.
+    /// Records the pool's work per second, its size and the late part.
     pub fn observe(&mut self, work: f64, size: f64, late: f64) {
         if size <= 0.0 || !work.is_finite() {
             return;
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Work a second for each unit of size; nothing before anything was seen.
+    /// Work per second and unit of size; 0 before any observation.
     pub fn each(&self) -> f64 {
         self.most
     }
--- a/crates/shift/src/cells.rs
+++ b/crates/shift/src/cells.rs
@@ -1,4 +1,4 @@
-//! What is judged apart: cells of class, zone, first try or repeat, and groups of tenants, and their sums.
+//! The cells that are compared: class, zone, first attempt or retry, groups of tenants, and their sums.
 //!
 //! A fault in one shire of 27 is lost in an average, and a cell of all dimensions may be too thin to show a fault that all
 //! of a class has. So an outcome counts in several cells at once: all, each dimension alone, each class by each other
@@ -19,7 +19,7 @@
 /// Dimensions at most.
 pub const MAX_DIMENSIONS: usize = 6;
 
-/// Why there are no such cells.
+/// Why the cells cannot be created.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CellsError {
     /// A dimension without a value.
--- a/crates/shift/src/controller.rs
+++ b/crates/shift/src/controller.rs
@@ -1,5 +1,5 @@
-//! Between a shift and the decision module of one node: what the list says becomes pools, what attempts come to becomes
-//! evidence, and shares become the module's [`TrafficSplit`].
+//! Connects a shift with the decision module of one node: the server list becomes pools, attempts become evidence, and
+//! shares become the module's [`TrafficSplit`].
 
 use crate::capacity::{usable_fraction, ObservedCapacity, PoolCapacity, Zone};
 use crate::pool::{Pool, PoolMatch, PoolMembership, ServerLabels};
@@ -11,26 +11,26 @@
 };
 use std::collections::BTreeMap;
 
-/// How often a shift is looked at.
+/// Interval between evaluations of a shift.
 pub const EVALUATION_INTERVAL: Nanos = 250_000_000;
-/// Rates are averaged over this many looks.
+/// Number of evaluations over which rates are averaged.
 const AVERAGE: f64 = 16.0;
-/// A zone counts as cut off with so many attempts on the old pool's boxes there in the last looks, of which this part met
-/// nobody: what only the new pool's boxes do there is theirs.
+/// A zone counts as unreachable after this many recent attempts on the old pool's servers there, of which the part below
+/// failed or timed out. Failures of the new pool's servers alone are attributed to those servers.
 const CUT_LEAST: f64 = 5.0;
 const CUT_PART: f64 = 0.8;
-/// Boxes are given so much more than they have been seen to carry in time: a node that has been restarted in a shift has seen
-/// its boxes carry a part only, and would never see more.
+/// Servers are given this multiple of the load they were observed to carry in time: after a restart during a shift only a
+/// part of it is observed, and without a margin it would never grow.
 const EXPLORED: f64 = 1.25;
-/// An idle pool of unknown strength is taken to carry this much for each unit of size.
+/// Capacity per unit of size that is assumed before any was observed.
 const UNKNOWN: f64 = 1e9;
 
-/// One entry of the list.
+/// A server of the list.
 #[derive(Clone, Copy, Debug)]
 pub struct ListedServer<'a> {
-    /// What the predicates go by.
+    /// The labels that the predicates match.
     pub labels: ServerLabels<'a>,
-    /// What the module is told of it.
+    /// The server as the decision module knows it.
     pub server: Server,
 }
 
@@ -43,7 +43,7 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Flow {
-    /// Requests since the last look, and a second on average.
+    /// Requests since the last evaluation, and the average rate per second.
     counted: f64,
     rate: f64,
 }
@@ -55,21 +55,21 @@
     }
 }
 
-/// What a look has brought.
+/// The result of an evaluation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Evaluation {
     /// Changes of state, in order.
     pub changes: Vec<Change>,
-    /// What the module is to be told, where that differs from what it was told last.
+    /// The new traffic split, if it differs from the one last passed to the module.
     pub split: Option<Option<TrafficSplit>>,
 }
 
-/// One node's side of a shift.
+/// One node's part of a shift.
 #[derive(Clone, Debug)]
 pub struct ShiftController {
-    /// The shift.
+    /// The state machine.
     pub rollout: Rollout,
-    /// Which box is of which pool.
+    /// The pool of each server.
     pub roster: PoolMembership,
     names: BTreeMap<String, Endpoint>,
     members: BTreeMap<Endpoint, Member>,
@@ -84,19 +84,19 @@
     salt: u64,
     load: Vec<Flow>,
     took: Vec<f64>,
-    /// What the old and the new pool have answered, in work, and too late.
+    /// Work answered by the old and the new pool, and the part of it that was late.
     served: [Flow; 2],
     late: [Flow; 2],
-    /// Attempts on the old pool by zone, and those that met nobody.
+    /// Attempts on the old pool by zone, and those that failed or timed out.
     tried: Vec<[Flow; 2]>,
     carried: ObservedCapacity,
-    /// The old pool's size when the shift was started.
+    /// The old pool's size at the start of the shift.
     whole: f64,
     told: Option<TrafficSplit>,
 }
 
 impl ShiftController {
-    /// A follower with nobody listed. `tenants` are their names in the order of the settings.
+    /// Creates a controller without servers. `tenants` are the names in the order of the settings.
     pub fn new<'a>(
         rollout: Rollout,
         settings: &Settings,
@@ -104,7 +104,7 @@
     ) -> ShiftController {
         let splits = &rollout.settings.splits;
         let groups = |name: &str| splits.iter().map(|s| s.group_index(name)).collect::<Vec<_>>();
-        // A tenant that nobody has named is of no group.
+        // Tenants that are not configured are in no group.
         let known = tenants.into_iter().map(groups);
         let unknown = splits.iter().map(|s| s.groups.len()).collect();
         let zones = rollout.settings.zones.len();
@@ -133,7 +133,7 @@
         }
     }
 
-    /// The list has spoken; a whole one names all that there are.
+    /// Applies a server list; a full one (`whole`) removes the servers it does not name.
     pub fn update_list<'a>(&mut self, whole: bool, told: impl Iterator<Item = ListedServer<'a>>) {
         let mut seen = Vec::new();
         for told in told {
@@ -159,7 +159,7 @@
         }
     }
 
-    /// What counts of servers has changed without news of what they are, as when operators take one out.
+    /// Updates servers without a change of their labels, as when an operator drains one.
     pub fn update_servers(&mut self, servers: &[Server]) {
         for server in servers {
             if let Some(member) = self.members.get_mut(&server.endpoint) {
@@ -175,13 +175,13 @@
         }
     }
 
-    /// The name of a box by its number in alarms, while it is listed.
+    /// The name of a listed server by its number in alarms.
     pub fn server_name(&self, number: u32) -> Option<&str> {
         let of = |e: &Endpoint| self.members.get(e).is_some_and(|m| m.number == number);
         self.names.iter().find(|(_, e)| of(e)).map(|(name, _)| name.as_str())
     }
 
-    /// A request's place on the hash: its session's, or one of its own.
+    /// A request's split position: that of its session key, or of its id if it has none.
     pub fn split_position(&self, request: &Request) -> u32 {
         let key =
             if request.key == 0 { u64::from(request.id) ^ self.salt.rotate_left(32) } else { request.key };
@@ -201,14 +201,14 @@
         }
     }
 
-    /// A request has come in.
+    /// Records an incoming request.
     pub fn request_received(&mut self, request: &Request) {
         if let Some(flow) = self.load.get_mut(usize::from(request.class)) {
             flow.counted += 1.0;
         }
     }
 
-    /// An attempt goes out, the first of its request being number 0: whether what is meant for the new pool goes there.
+    /// Records that an attempt, numbered from 0, is sent; the first shows whether the split was followed.
     pub fn attempt_sent(&mut self, request: &Request, server: Endpoint, number: usize) {
         let share = self.rollout.shares().get(usize::from(request.class)).copied().unwrap_or(0.0);
         if number == 0 && request.in_split_share(share) {
@@ -217,7 +217,7 @@
         }
     }
 
-    /// An attempt has ended: the number-th of its request, sent then.
+    /// Records the end of an attempt.
     pub fn attempt_ended(
         &mut self,
         request: &Request,
@@ -280,19 +280,19 @@
         self.late[side].counted += self.work(class) * f64::from(u8::from(took > aim));
     }
 
-    /// What a request of a class is to a box, 1 being usual: its answer time stands in for its work.
+    /// Relative work of a request of the class, 1 being the mean, estimated from its response time.
     fn work(&self, class: usize) -> f64 {
         let mean = self.took.iter().sum::<f64>() / self.took.len().max(1) as f64;
         self.took.get(class).map_or(1.0, |t| t / mean.max(1.0)).clamp(0.05, 20.0)
     }
 
-    /// An operator has spoken.
+    /// Applies an operator's command.
     pub fn apply_command(&mut self, now: Nanos, word: &Command) -> Result<Evaluation, CommandError> {
         let change = self.rollout.apply_command(now, word)?;
         Ok(Evaluation { changes: vec![change], split: self.split() })
     }
 
-    /// Looks at pools and evidence; every [`EVALUATION_INTERVAL`]. `no_planner` says that planners are followed and none is heard.
+    /// Evaluates pools and evidence; due every [`EVALUATION_INTERVAL`]. `no_planner`: planners are configured, none reachable.
     pub fn evaluate(&mut self, now: Nanos, no_planner: bool) -> Evaluation {
         let flows = self.load.iter_mut().chain(&mut self.served).chain(&mut self.late);
         flows.chain(self.tried.iter_mut().flatten()).for_each(Flow::look);
@@ -322,13 +322,13 @@
                 strength.warm += size;
             }
         }
-        // What a small new pool does for a moment would have its share climb by chance: it tells nothing.
+        // A small new pool's momentary throughput would raise its share by chance, so it is not used.
         let comparable = 2 * counts[1] >= counts[0];
         for (side, size) in sizes.into_iter().enumerate().filter(|(side, _)| *side == 0 || comparable) {
             let (served, late) = (self.served[side].rate, self.late[side].rate);
             self.carried.observe(served, size, late / served.max(1e-9));
         }
-        // After a restart the old pool is taken for whole as it is found.
+        // After a restart the old pool is assumed to be complete as found.
         if !self.rollout.state().on() || self.whole == 0.0 {
             self.whole = sizes[0];
         }
@@ -339,9 +339,9 @@
             None if self.carried.each() > 0.0 => EXPLORED * self.carried.each(),
             None => UNKNOWN,
         };
-        // A pool that carried all at the start can take all back, as far as it is still whole.
+        // A pool that carried all load at the start can take it back, in proportion to what is left of it.
         let held = if self.whole > 0.0 { load / self.whole / 0.9 } else { 0.0 };
-        // What a box of the old pool has been seen to carry it carried with all the others beside it.
+        // The old pool's servers carried their load with more servers to choose from.
         let apart = (usable_fraction(counts[1]) / usable_fraction(counts[0])).min(1.0);
         let scale = |s: PoolCapacity, by: f64| PoolCapacity { warm: s.warm * by, cold: s.cold * by };
         for zone in &mut zones {
@@ -364,7 +364,7 @@
         }
     }
 
-    /// What the module is to be told, if it has not been.
+    /// The traffic split, if it changed since the last call.
     fn split(&mut self) -> Option<Option<TrafficSplit>> {
         let split = self.rollout.state().on().then(|| TrafficSplit {
             shares: self.rollout.shares().to_vec(),
@@ -381,9 +381,9 @@
         })
     }
 
-    /// The list has changed: what the module is to be told of pools before it sends anything.
+    /// The traffic split to apply after a list update, before any request is sent.
     pub fn split_after_list_update(&mut self) -> Option<Option<TrafficSplit>> {
-        // The module takes a server that it is told of for one of no pool.
+        // The module assigns newly listed servers to no pool.
         self.told.is_some().then(|| {
             self.told = None;
             self.split().unwrap_or(None)
--- a/crates/shift/src/explain.rs
+++ b/crates/shift/src/explain.rs
@@ -1,4 +1,4 @@
-//! A shift in words for people, and as data for their tools.
+//! The status of a shift, as data and as text.
 
 use crate::analysis::{Signal, Tally, SIGNALS};
 use crate::rollout::{Change, Rollout, State};
@@ -20,9 +20,9 @@
     pub old: Tally,
     /// New pool.
     pub new: Tally,
-    /// Evidence against the new pool as a part of what alarms; below 0 it speaks for it.
+    /// Evidence against the new pool as a part of the alarm threshold; below 0 it is in its favor.
     pub doubt: f64,
-    /// The least fault that would have been seen by now; `None` where none would.
+    /// The smallest fault that would have been detected by now, if any.
     pub least_fault: Option<f64>,
 }
 
@@ -40,10 +40,10 @@
     pub step: (usize, usize),
     /// Classes with the share that goes to the new pool now, and that of the step.
     pub shares: Vec<(String, f64, f64)>,
-    /// Boxes that take work, old and new.
+    /// Servers that take work, old and new.
     #[serde(rename = "boxes")]
     pub servers: (usize, usize),
-    /// Why it stands where it stands.
+    /// Explanation of the state.
     pub why: String,
     /// The part of the work that the old pool could not take back.
     pub stays: f64,
@@ -55,10 +55,12 @@
     pub changes: Vec<Change>,
 }
 
-/// What is to be said of a shift now.
+/// The current status of a shift.
 pub fn status(rollout: &Rollout, now: Nanos) -> Status {
     let wanted = match rollout.state() {
-        State::Step { .. } | State::Held { .. } => rollout.kept_back(rollout.settings.shares(rollout.step())),
+        State::Step { .. } | State::Held { .. } => {
+            rollout.apply_holdback(rollout.settings.shares(rollout.step()))
+        }
         State::Finished => rollout.settings.shares(rollout.step()),
         _ => vec![0.0; rollout.shares().len()],
     };
@@ -89,13 +91,17 @@
     let mut rows: Vec<Row> = Vec::new();
     for cell in 0..analysis.cells.len() {
         for signal in SIGNALS {
-            let duel = analysis.comparison(cell, signal);
-            if duel.new.of == 0 {
+            let comparison = analysis.comparison(cell, signal);
+            if comparison.new.of == 0 {
                 continue;
             }
-            let least_fault = analysis.detectable_fault(cell, duel.old.rate(), (duel.old.of, duel.new.of));
-            let doubt = duel.evidence() / analysis.alarm_threshold(cell);
-            let (cell, old, new) = (analysis.cells.name(cell), duel.old, duel.new);
+            let least_fault = analysis.detectable_fault(
+                cell,
+                comparison.old.rate(),
+                (comparison.old.of, comparison.new.of),
+            );
+            let doubt = comparison.evidence() / analysis.alarm_threshold(cell);
+            let (cell, old, new) = (analysis.cells.name(cell), comparison.old, comparison.new);
             rows.push(Row { cell, signal, old, new, doubt, least_fault });
         }
     }
@@ -111,7 +117,7 @@
         // Writing to a string cannot fail.
         let _ = writeln!(
             text,
-            "shift {}: {} for {:.0} s, rung {} of {}",
+            "shift {}: {} for {:.0} s, step {} of {}",
             self.name, self.state, self.seconds, self.step.0, self.step.1
         );
         let shares = self.shares.iter().map(|(name, now, wanted)| {
--- a/crates/shift/src/journal.rs
+++ b/crates/shift/src/journal.rs
@@ -23,7 +23,7 @@
     Evidence(Vec<(usize, [Comparison; SIGNALS.len()])>),
 }
 
-/// Why a journal is not gone on from.
+/// Why a journal cannot be replayed.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum JournalError {
     /// Not a journal, or of a later version.
@@ -43,14 +43,14 @@
     TooLarge,
 }
 
-/// What was read.
+/// The result of a replay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplaySummary {
     /// Sound lines.
     pub lines: usize,
     /// Bytes of them: what follows is to be cut off before anything is added.
     pub valid_bytes: usize,
-    /// Nothing was cut short.
+    /// Whether the last record was complete.
     pub complete: bool,
 }
 
@@ -91,13 +91,13 @@
     line(&Record::Evidence(rollout.analysis.export()))
 }
 
-/// A whole journal that comes to the same as all that was written.
+/// A compacted journal that replays to the current state.
 pub fn compacted(rollout: &Rollout) -> String {
     let changes: String = rollout.changes().map(change_line).collect();
     header(rollout) + &changes + &evidence_line(rollout)
 }
 
-/// Has a shift that was not started go on where its journal ends. An empty one changes nothing.
+/// Restores a shift that is not started from its journal. An empty journal changes nothing.
 pub fn replay(bytes: &[u8], rollout: &mut Rollout) -> Result<ReplaySummary, JournalError> {
     if bytes.len() > MAX_BYTES {
         return Err(JournalError::TooLarge);
@@ -142,7 +142,7 @@
     }
     rollout.analysis.begin_step();
     if let Some(last) = changes.pop() {
-        changes.into_iter().for_each(|c| rollout.remember(c));
+        changes.into_iter().for_each(|c| rollout.restore_change(c));
         rollout.resume(last, read.complete);
     }
     Ok(read)
--- a/crates/shift/src/lib.rs
+++ b/crates/shift/src/lib.rs
@@ -1,10 +1,10 @@
-//! Traffic moved step by step from an old pool of boxes to a new one, halted and undone by measured service.
+//! Moves traffic in steps from an old pool of servers to a new one, held and undone by measured results.
 //!
-//! Pure: no sockets, no clock, no randomness. A [`rollout::Rollout`] is told what each attempt came to, what the pools can
-//! carry and what operators say, each with its time; it answers with the share of every class that goes to the new pool.
-//! Which server of a pool takes a request stays with the decision module, which is told shares and pools as an event.
+//! There are no sockets, clocks or randomness here. A [`rollout::Rollout`] receives the results of attempts, the pools'
+//! capacity and operators' commands with their times, and yields the share of each class that goes to the new pool. The
+//! decision module, which receives shares and pools as an event, selects the server within a pool.
 //!
-//! - [`pool`]: which box belongs to which pool.
+//! - [`pool`]: which server belongs to which pool.
 //! - [`settings`]: a shift as the operator's file words it, checked.
 //! - [`position`]: where a request stands on the hash, so that sessions stay with their pool.
 //! - [`cells`]: what is judged apart: class, zone, first try or repeat, and groups of tenants.
--- a/crates/shift/src/pool.rs
+++ b/crates/shift/src/pool.rs
@@ -1,11 +1,11 @@
-//! Which boxes belong to which pool: predicates over what the list says of a box.
+//! Assigns servers to pools by predicates over their labels.
 
 use ipnet::IpNet;
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 use wildmatch::WildMatch;
 
-/// Where a box stands while a shift is on.
+/// The pool of a server during a shift.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Pool {
@@ -13,11 +13,11 @@
     Old,
     /// In the pool that traffic goes to.
     New,
-    /// In neither: it takes requests of either share, as ever, and is not judged.
+    /// In neither pool: takes requests of either share and is not compared.
     Outside,
 }
 
-/// What is said of a box.
+/// The properties of a server that predicates match.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLabels<'a> {
     /// Its name.
@@ -26,15 +26,15 @@
     pub zone: &'a str,
     /// Its machine kind.
     pub kind: &'a str,
-    /// What it runs, where that is said.
+    /// Its software version, if known.
     pub version: &'a str,
     /// Where it listens.
     pub address: Option<IpAddr>,
-    /// Whatever else is said of it.
+    /// Its metadata.
     pub metadata: &'a BTreeMap<String, String>,
 }
 
-/// Conditions on a box. All that are named have to hold; of the patterns of one, any.
+/// Conditions on a server. All given conditions must match; of the patterns of one condition, any.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Predicate {
     /// Patterns of names, with `*` and `?`.
@@ -45,14 +45,14 @@
     pub kinds: Vec<WildMatch>,
     /// Patterns of versions.
     pub versions: Vec<WildMatch>,
-    /// Networks; a box whose address is not known is in none.
+    /// Networks; a server whose address is not known is in none.
     pub networks: Vec<IpNet>,
-    /// Patterns of metadata, by key; a box without the key does not match.
+    /// Patterns of metadata, by key; a server without the key does not match.
     pub metadata: BTreeMap<String, Vec<WildMatch>>,
 }
 
 impl Predicate {
-    /// Names no condition, so that it would hold for every box.
+    /// Whether there is no condition, so that every server would match.
     pub fn is_empty(&self) -> bool {
         let patterns = [&self.ids, &self.zones, &self.kinds, &self.versions];
         patterns.iter().all(|p| p.is_empty()) && self.networks.is_empty() && self.metadata.is_empty()
@@ -85,17 +85,17 @@
     pub new: Predicate,
 }
 
-/// Where a box was found, and whether both predicates hold for it.
+/// A server's pool, and whether both predicates match.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolMatch {
     /// Its pool.
     pub pool: Pool,
-    /// Both hold: it is taken for an old one, which is known to serve, but nothing that it does counts as evidence.
+    /// Both match: the server counts as an old one, which is known to work, but its outcomes are no evidence.
     pub ambiguous: bool,
 }
 
 impl Pools {
-    /// The pool of a box. One that changes its pool under way is of its new pool for all that is sent from then on; what
+    /// The pool of a server. One that changes its pool under way is of its new pool for all that is sent from then on; what
     /// was sent before counts for the pool it had then.
     pub fn classify(&self, labels: &ServerLabels<'_>) -> PoolMatch {
         match (self.old.matches(labels), self.new.matches(labels)) {
@@ -107,16 +107,16 @@
     }
 }
 
-/// The pools of all boxes that the list names, kept as it changes. Bounded by the list.
+/// The pools of all servers that the list names, kept as it changes. Bounded by the list.
 #[derive(Clone, Debug, Default)]
 pub struct PoolMembership {
     boxes: BTreeMap<String, PoolMatch>,
-    /// Boxes that changed their pool under way.
+    /// Servers that changed their pool under way.
     pub pool_changes: u64,
 }
 
 impl PoolMembership {
-    /// A box is listed, or listed anew; its pool.
+    /// Adds or updates a listed server and returns its pool.
     pub fn insert(&mut self, pools: &Pools, labels: &ServerLabels<'_>) -> PoolMatch {
         let found = pools.classify(labels);
         match self.boxes.get_mut(labels.id) {
@@ -129,28 +129,27 @@
         found
     }
 
-    /// A box has left the list.
+    /// Removes a server.
     pub fn remove(&mut self, id: &str) {
         self.boxes.remove(id);
     }
 
-    /// Where a box stands; one that is not listed stands outside.
+    /// The pool of a server during a shift.
     pub fn find(&self, id: &str) -> PoolMatch {
         self.boxes.get(id).copied().unwrap_or(PoolMatch { pool: Pool::Outside, ambiguous: false })
     }
 
-    /// The boxes of a pool.
+    /// The servers of a pool.
     pub fn servers_in(&self, pool: Pool) -> impl Iterator<Item = &str> {
         self.boxes.iter().filter(move |(_, f)| f.pool == pool).map(|(id, _)| id.as_str())
     }
 
-    /// Boxes that both predicates hold for, by name.
+    /// Servers that both predicates hold for, by name.
     pub fn ambiguous_servers(&self) -> impl Iterator<Item = &str> {
         self.boxes.iter().filter(|(_, f)| f.ambiguous).map(|(id, _)| id.as_str())
     }
 
-    /// The first box that two shifts would both move: such shifts may not be on at once. Boxes outside either are no
-    /// matter.
+    /// The first server that two shifts would both move; such shifts cannot run at once.
     pub fn shared_server<'a>(&'a self, other: &PoolMembership) -> Option<&'a str> {
         let moved = |f: &PoolMatch| f.pool != Pool::Outside;
         let both = |(id, f): &(&String, &PoolMatch)| moved(f) && other.boxes.get(*id).is_some_and(moved);
--- a/crates/shift/src/position.rs
+++ b/crates/shift/src/position.rs
@@ -1,6 +1,5 @@
-//! Where a request stands on the hash. Its place is the same at every node and every share, and it goes to the new pool
-//! where its place is below the share (`Request::within` of the decision module): what has moved stays moved as the share grows, and an undo takes each session
-//! back once.
+//! Positions of requests on a hash ring. A request goes to the new pool if its position is below the share. Positions are
+//! the same at every node and share, so that sessions move once as the share grows and return once on an undo.
 
 /// A place on the hash, from 0 to `u32::MAX`.
 pub type Place = u32;
--- a/crates/shift/src/rollout.rs
+++ b/crates/shift/src/rollout.rs
@@ -1,7 +1,8 @@
-//! The shift as a state machine: what climbs a step, and what holds, halts, undoes and ends it.
+//! The state machine of a shift: what advances it to the next step, and what holds, undoes and ends it.
 //!
-//! Time alone moves nothing. A step is left upwards when each class has shown as much as [`ShiftSettings::least_fault`]
-//! asks, no cell is in doubt, and the new pool can carry the next share; it is left downwards as soon as one cell alarms.
+//! Time alone advances nothing. A step is passed when every class has enough outcomes to detect a fault of
+//! [`ShiftSettings::min_detectable_fault`], no cell is suspicious and the new pool can carry the next share. It is undone
+//! as soon as one cell raises an alarm.
 
 use crate::analysis::{Alarm, Blame, CanaryAnalysis, LatencyBaseline, Outcome, Signal, Signals};
 use crate::capacity::{self, CapacityPlan, Zone};
@@ -12,31 +13,31 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Changes of state that are remembered.
+/// Maximum number of retained state changes.
 const MAX_CHANGES: usize = 64;
-/// A cell is in doubt, and no step is climbed, with this part of the evidence that alarms.
-const DOUBT: f64 = 0.5;
-/// Without a planner, a forwarder undoes on its own evidence with so many times of what alarms.
-const BEYOND_DOUBT: f64 = 2.0;
-/// A share shrinks within a step only when less than this part of it can be carried: a ramp must not flap.
-const SHRINK: f64 = 0.9;
-/// No step is climbed while more than this part of what was meant for the new pool on the step goes to the old one.
-const MOST_GIVEN_BACK: f64 = 0.2;
-/// Shares nearer than this are equal.
-const NEAR: f64 = 1e-6;
-
-/// Why a shift stands still.
+/// No step is passed while a cell has at least this part of the evidence that raises an alarm.
+const MAX_EVIDENCE_RATIO: f64 = 0.5;
+/// Without a planner, or with a zone unreachable, an undo requires this multiple of the alarm threshold.
+const STRICT_ALARM_MULTIPLE: f64 = 2.0;
+/// A share is reduced within a step only if less than this part of it can be carried, so that a ramp does not flap.
+const MIN_SHARE_REDUCTION: f64 = 0.9;
+/// No step is passed while more than this part of the requests meant for the new pool goes to the old one.
+const MAX_GIVEN_BACK: f64 = 0.2;
+/// Shares that differ by less than this are equal.
+const SHARE_TOLERANCE: f64 = 1e-6;
+
+/// The reason for a hold.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HoldReason {
-    /// An operator's word.
+    /// Requested by an operator.
     Operator,
     /// Cells are worse in the new pool.
     Alarm,
-    /// A depot is cut off: what is worse now may be the network's doing.
+    /// A zone is unreachable: failures may be due to the network.
     #[serde(rename = "cut-off")]
     ZoneUnreachable,
-    /// The old pool is gone: nothing is left to compare with or to go back to.
+    /// The old pool has no servers: there is nothing to compare with or to return to.
     #[serde(rename = "old-gone")]
     OldPoolEmpty,
     /// The journal ends in the middle of a record.
@@ -44,35 +45,35 @@
     JournalTruncated,
 }
 
-/// Where a shift is.
+/// The state of a shift.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "state")]
 pub enum State {
-    /// Nobody has said `start`.
+    /// Not started.
     Ready,
-    /// Started; the new pool has no box yet.
+    /// Started; waits for servers in both pools.
     Waiting,
-    /// On a step, and judged.
+    /// Sends a share to the new pool and compares the pools.
     Step {
-        /// From 0.
+        /// The step's index, from 0.
         #[serde(rename = "rung")]
         step: usize,
     },
-    /// Standing still on a step; what alarms there is taken back all the same.
+    /// Does not advance; alarms still take traffic back.
     Held {
-        /// The step.
+        /// The step's index, from 0.
         #[serde(rename = "rung")]
         step: usize,
-        /// Why.
+        /// The reason.
         why: HoldReason,
     },
-    /// Going back, as far as the old pool can carry.
+    /// Returns traffic as far as the old pool can carry it.
     Undoing,
-    /// All is back.
+    /// All traffic is back with the old pool.
     Undone,
-    /// All is with the new pool, and nothing is compared any longer. An operator can still undo it.
+    /// All traffic goes to the new pool and nothing is compared. An operator can still undo it.
     Finished,
-    /// Nobody moves anything: pools are no longer told apart.
+    /// Ended: pools are no longer told apart.
     Abandoned,
 }
 
@@ -83,47 +84,47 @@
     }
 }
 
-/// What operators can say.
+/// An operator's commands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Verb {
-    /// Begin, or begin again after an undo.
+    /// Starts, also after an undo.
     Start,
-    /// Stand still.
+    /// Holds at the current step.
     Hold,
-    /// Go on where it was held, or climb a step whatever the evidence.
+    /// Resumes a held shift, or advances by one step regardless of the evidence.
     Advance,
-    /// Take all back.
+    /// Returns all traffic to the old pool.
     Undo,
-    /// All to the new pool.
+    /// Sends all traffic to the new pool.
     Finish,
-    /// Forget the shift.
+    /// Ends the shift without a result.
     Abandon,
 }
 
-/// An operator's word.
+/// Requested by an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Command {
-    /// What.
+    /// The command.
     pub verb: Verb,
-    /// Who.
+    /// The operator.
     pub who: String,
-    /// Why.
+    /// The reason.
     pub why: String,
-    /// Whatever speaks against it.
+    /// Overrides the checks that would reject the command.
     pub insist: bool,
 }
 
-/// Why a word is not followed.
+/// Why a command is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CommandError {
-    /// It means nothing in this state.
+    /// The command does not apply in this state.
     #[error("the shift is {0}: `{1}` changes nothing there")]
     InvalidState(String, String),
-    /// It was undone a short time ago.
+    /// The shift was undone less than the restart cooldown ago.
     #[error("it was undone {0} s ago and rests for {1} s: insist to begin again")]
     CoolingDown(u64, u64),
-    /// Nobody is there to go to, or to go back to.
+    /// The pool that traffic would go to has no servers.
     #[error("the {0} pool has no box")]
     EmptyPool(&'static str),
 }
@@ -131,104 +132,104 @@
 /// A change of state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// When.
+    /// Time of the change.
     pub at: Nanos,
-    /// The state from then on.
+    /// The new state.
     pub state: State,
-    /// The step from then on.
+    /// The new step.
     #[serde(rename = "rung")]
     pub step: usize,
-    /// Who: an operator, or `laurelroute`.
+    /// The operator, or `laurelroute` for an automatic change.
     pub who: String,
-    /// Why.
+    /// The reason.
     pub why: String,
-    /// The shares from then on, by class.
+    /// The new shares, by class.
     pub shares: Vec<f64>,
-    /// The cell that has alarmed, with its name.
+    /// The name of the cell that raised an alarm, and the alarm.
     pub alarm: Option<(String, Alarm)>,
 }
 
-/// What is seen of the pools beside the endings.
+/// The state of the pools at an evaluation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PoolStatus {
-    /// Work and strength, by zone.
+    /// Load and capacity by zone.
     pub zones: Vec<Zone>,
-    /// Boxes that take work.
+    /// Servers of the old pool that take requests.
     pub old: usize,
-    /// See there.
+    /// Servers of the new pool that take requests.
     pub new: usize,
-    /// A depot is cut off.
+    /// A zone is unreachable.
     pub cut_off: bool,
-    /// This node follows planners and hears of none.
+    /// Planners are configured and none is reachable.
     pub no_planner: bool,
 }
 
-/// How an attempt ended, for the shift.
+/// The result of an attempt as the shift counts it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// Served.
+    /// Answered.
     Served,
-    /// An error, a reset, no connection, or a spoilt answer.
+    /// An error, a reset, a failed connection or a malformed response.
     Failed,
-    /// No answer in time.
+    /// Timed out.
     TimedOut,
-    /// Turned away unseen.
+    /// Rejected by a full server without being processed.
     Rejected,
-    /// Called off, or its client has left: says nothing.
+    /// Cancelled, or the client disconnected: not evidence.
     Cancelled,
 }
 
 /// An attempt that has ended.
 #[derive(Clone, Copy, Debug)]
 pub struct EndedAttempt<'a> {
-    /// The box's pool when it was sent.
+    /// The server's pool when the attempt was sent.
     pub pool: Pool,
-    /// The box is of both pools: it serves as an old one, and is no evidence.
+    /// Both predicates match the server: it serves as an old one and is no evidence.
     pub ambiguous: bool,
-    /// The box, by a number that the caller keeps.
+    /// The server, by a number that the caller assigns.
     pub server: u32,
     /// The request's class.
     pub class: usize,
-    /// The box's zone.
+    /// The server's zone.
     pub zone: usize,
-    /// It repeats another attempt, or its client says that it asks again.
+    /// A retry, by the proxy or by the client.
     pub again: bool,
-    /// The group of its tenant in each split.
+    /// The tenant's group in each split.
     pub groups: &'a [usize],
-    /// How it ended.
+    /// The result.
     pub end: AttemptResult,
-    /// Time until its answer, or until it ended.
+    /// Time until the response, or until the attempt ended.
     pub took: Nanos,
-    /// The class's aim.
+    /// The class's latency target.
     pub aim: Nanos,
-    /// The box was cold when it was sent.
+    /// The server was in slow start when the attempt was sent.
     pub cold: bool,
 }
 
-/// One shift under way. See the module's documentation.
+/// The state of one shift.
 #[derive(Clone, Debug)]
 pub struct Rollout {
-    /// What it was told.
+    /// The settings.
     pub settings: ShiftSettings,
-    /// Its evidence.
+    /// The evidence.
     pub analysis: CanaryAnalysis,
     state: State,
     step: usize,
     shares: Vec<f64>,
-    room: CapacityPlan,
-    entered: Nanos,
-    cause_left: Option<Nanos>,
+    capacity_plan: CapacityPlan,
+    state_since: Nanos,
+    cause_cleared_at: Option<Nanos>,
     undone_at: Option<Nanos>,
     usual: Vec<LatencyBaseline>,
     changes: VecDeque<Change>,
     changed: u64,
-    sight: PoolStatus,
-    /// Requests meant for the new pool on this step, and those of them that had to go to the old one.
+    pool_status: PoolStatus,
+    /// Requests meant for the new pool on this step, and how many of them went to the old one.
     given_back: (u64, u64),
 }
 
 impl Rollout {
-    /// A shift that nobody has started.
+    /// Creates a shift that is not started.
     pub fn new(settings: ShiftSettings) -> Result<Rollout, CellsError> {
         let analysis = CanaryAnalysis::new(settings.cells()?, settings.bounds);
         let classes = settings.classes.len();
@@ -237,25 +238,25 @@
             state: State::Ready,
             step: 0,
             shares: vec![0.0; classes],
-            room: CapacityPlan::default(),
-            entered: 0,
-            cause_left: None,
+            capacity_plan: CapacityPlan::default(),
+            state_since: 0,
+            cause_cleared_at: None,
             undone_at: None,
             usual: vec![LatencyBaseline::default(); classes],
             changes: VecDeque::new(),
             changed: 0,
-            sight: PoolStatus::default(),
+            pool_status: PoolStatus::default(),
             given_back: (0, 0),
             settings,
         })
     }
 
-    /// Where it is.
+    /// The current state.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// The step that it is on, was on last, or goes to next.
+    /// The current, last or next step.
     pub fn step(&self) -> usize {
         self.step
     }
@@ -265,27 +266,27 @@
         &self.shares
     }
 
-    /// What the pools could carry when it was last looked at.
+    /// The capacity plan of the last evaluation.
     pub fn capacity_plan(&self) -> &CapacityPlan {
-        &self.room
+        &self.capacity_plan
     }
 
-    /// What was seen of the pools then.
+    /// The pools' state at the last evaluation.
     pub fn pool_status(&self) -> &PoolStatus {
-        &self.sight
+        &self.pool_status
     }
 
-    /// When it came to its state.
+    /// Time of the last change of state.
     pub fn state_since(&self) -> Nanos {
-        self.entered
+        self.state_since
     }
 
-    /// The last changes, the oldest first.
+    /// The retained changes, oldest first.
     pub fn changes(&self) -> impl Iterator<Item = &Change> {
         self.changes.iter()
     }
 
-    /// How many changes there were since this rollout was made, those forgotten among them.
+    /// Number of changes since this value was created, including those no longer retained.
     pub fn change_count(&self) -> u64 {
         self.changed
     }
@@ -319,7 +320,7 @@
             AttemptResult::Cancelled => {}
         }
         let mut judged = match attempt.end {
-            // What never ran has no time; what failed has none that says anything.
+            // A rejected attempt has no latency, and that of a failed one is not meaningful.
             AttemptResult::Rejected => Signals::default().with(Signal::Refused),
             AttemptResult::Failed => Signals::ALL.without(Signal::Late).without(Signal::Slow),
             _ => Signals::ALL,
@@ -335,8 +336,8 @@
         self.analysis.record(&Outcome { pool: attempt.pool, server: attempt.server, values, bad, judged });
     }
 
-    /// A request that was meant for the new pool goes there, or to the old one: the new one has nobody to take it, or would
-    /// be late. That is no evidence of a fault, which shows in what was sent there, but nothing climbs on it.
+    /// Counts a request meant for the new pool; `given_back` means that it went to the old one because the new one had no
+    /// server for it or would have been late. That is no evidence of a fault, but it blocks the next step.
     pub fn record_new_pool_request(&mut self, given_back: bool) {
         self.given_back.0 += 1;
         self.given_back.1 += u64::from(given_back);
@@ -344,8 +345,8 @@
 
     fn change(&mut self, now: Nanos, state: State, who: &str, why: String, alarm: Option<Alarm>) -> Change {
         if state != self.state {
-            self.entered = now;
-            self.cause_left = None;
+            self.state_since = now;
+            self.cause_cleared_at = None;
         }
         self.state = state;
         let alarm = alarm.map(|a| (self.analysis.cells.name(a.cell), a));
@@ -360,19 +361,19 @@
         change
     }
 
-    /// An operator has spoken.
-    pub fn apply_command(&mut self, now: Nanos, word: &Command) -> Result<Change, CommandError> {
-        let senseless = |c: &Rollout| {
-            let (state, verb) = (c.state_name(), format!("{:?}", word.verb).to_lowercase());
+    /// Applies an operator's command.
+    pub fn apply_command(&mut self, now: Nanos, command: &Command) -> Result<Change, CommandError> {
+        let invalid = |c: &Rollout| {
+            let (state, verb) = (c.state_name(), format!("{:?}", command.verb).to_lowercase());
             Err(CommandError::InvalidState(state.to_owned(), verb))
         };
         let last = self.settings.step_count() - 1;
-        let who = word.who.as_str();
-        let why = word.why.clone();
-        match (word.verb, self.state.clone()) {
+        let who = command.who.as_str();
+        let why = command.why.clone();
+        match (command.verb, self.state.clone()) {
             (Verb::Start, State::Ready | State::Abandoned | State::Undone) => {
                 let age = self.undone_at.map(|at| now.saturating_sub(at));
-                if let Some(age) = age.filter(|a| *a < self.settings.restart_cooldown && !word.insist) {
+                if let Some(age) = age.filter(|a| *a < self.settings.restart_cooldown && !command.insist) {
                     return Err(CommandError::CoolingDown(
                         age / 1_000_000_000,
                         self.settings.restart_cooldown / 1_000_000_000,
@@ -386,7 +387,7 @@
             (Verb::Hold, State::Step { step }) => {
                 Ok(self.change(now, State::Held { step, why: HoldReason::Operator }, who, why, None))
             }
-            // A hold of its own would end by itself; an operator's does not.
+            // An automatic hold would end by itself; an operator's does not.
             (Verb::Hold, State::Held { step, why: held }) if held != HoldReason::Operator => {
                 Ok(self.change(now, State::Held { step, why: HoldReason::Operator }, who, why, None))
             }
@@ -396,25 +397,25 @@
                 self.analysis.excuse_evidence();
                 if matches!(self.state, State::Step { .. }) {
                     if self.step == last {
-                        return senseless(self);
+                        return invalid(self);
                     }
-                    self.climb(self.step + 1);
+                    self.enter_step(self.step + 1);
                 }
                 let said = if doubtful { format!("{why} (on evidence against it)") } else { why };
                 Ok(self.change(now, State::Step { step: self.step }, who, said, None))
             }
             (Verb::Undo, State::Waiting | State::Step { .. } | State::Held { .. } | State::Finished) => {
-                if self.sight.old == 0 && !word.insist {
+                if self.pool_status.old == 0 && !command.insist {
                     return Err(CommandError::EmptyPool("old"));
                 }
                 Ok(self.undo(now, who, why, None))
             }
             (Verb::Finish, State::Waiting | State::Step { .. } | State::Held { .. }) => {
-                if self.sight.new == 0 {
+                if self.pool_status.new == 0 {
                     return Err(CommandError::EmptyPool("new"));
                 }
                 self.analysis.excuse_evidence();
-                self.climb(last);
+                self.enter_step(last);
                 self.shares = self.settings.shares(last);
                 Ok(self.change(now, State::Finished, who, why, None))
             }
@@ -422,119 +423,126 @@
                 self.shares.fill(0.0);
                 Ok(self.change(now, State::Abandoned, who, why, None))
             }
-            _ => senseless(self),
+            _ => invalid(self),
         }
     }
 
-    /// While the shift goes on, a part of each class stays with the old pool: without it nothing tells a fault of the new
-    /// one from what strikes all.
-    pub(crate) fn kept_back(&self, mut shares: Vec<f64>) -> Vec<f64> {
+    /// Limits the shares by the holdback: until the shift is finished part of each class stays with the old pool, without
+    /// which a fault of the new pool could not be told from one that affects both.
+    pub(crate) fn apply_holdback(&self, mut shares: Vec<f64>) -> Vec<f64> {
         let most = 1.0 - self.settings.holdback;
         shares.iter_mut().for_each(|s| *s = s.min(most));
         shares
     }
 
-    fn climb(&mut self, step: usize) {
+    fn enter_step(&mut self, step: usize) {
         self.given_back = (0, 0);
         self.step = step;
         self.analysis.begin_step();
     }
 
     fn undo(&mut self, now: Nanos, who: &str, why: String, alarm: Option<Alarm>) -> Change {
-        let stays = self.room.stays;
+        let stays = self.capacity_plan.stays;
         self.shares.iter_mut().for_each(|s| *s = s.min(stays));
         self.undone_at = Some(now);
-        let state = if stays > NEAR { State::Undoing } else { State::Undone };
+        let state = if stays > SHARE_TOLERANCE { State::Undoing } else { State::Undone };
         self.change(now, state, who, why, alarm)
     }
 
-    /// Looks at the pools and at the evidence; what has changed by it.
-    pub fn tick(&mut self, now: Nanos, sight: PoolStatus) -> Vec<Change> {
+    /// Evaluates the pools and the evidence, and returns the resulting changes.
+    pub fn tick(&mut self, now: Nanos, pool_status: PoolStatus) -> Vec<Change> {
         self.analysis.update_evidence();
-        self.sight = sight;
+        self.pool_status = pool_status;
         let wanted = match self.state {
-            State::Step { .. } | State::Held { .. } => self.kept_back(self.settings.shares(self.step)),
+            State::Step { .. } | State::Held { .. } => self.apply_holdback(self.settings.shares(self.step)),
             State::Finished => self.settings.shares(self.step),
             _ => vec![0.0; self.shares.len()],
         };
-        self.room = capacity::solve(&self.sight.zones, &wanted);
+        self.capacity_plan = capacity::solve(&self.pool_status.zones, &wanted);
         let mut changes = Vec::new();
         match self.state.clone() {
             State::Ready | State::Abandoned | State::Undone => {}
-            State::Waiting if self.sight.new > 0 && self.sight.old > 0 => {
-                self.climb(0);
-                let why = format!("{} boxes of the new pool take work", self.sight.new);
-                changes.push(self.change(now, State::Step { step: 0 }, SELF, why, None));
+            State::Waiting if self.pool_status.new > 0 && self.pool_status.old > 0 => {
+                self.enter_step(0);
+                let why = format!("{} boxes of the new pool take work", self.pool_status.new);
+                changes.push(self.change(now, State::Step { step: 0 }, AUTOMATIC_ACTOR, why, None));
             }
             State::Waiting => {}
-            State::Undoing => changes.extend(self.back(now)),
-            State::Finished => self.follow_room(&wanted),
-            State::Step { .. } | State::Held { .. } => changes.extend(self.judged(now, &wanted)),
+            State::Undoing => changes.extend(self.continue_undo(now)),
+            State::Finished => self.follow_capacity(&wanted),
+            State::Step { .. } | State::Held { .. } => changes.extend(self.evaluate_step(now, &wanted)),
         }
         changes
     }
 
-    /// Half-way back: as the old pool's strength returns, so does its share.
-    fn back(&mut self, now: Nanos) -> Option<Change> {
-        let stays = self.room.stays;
+    /// Continues an undo as the old pool's capacity returns.
+    fn continue_undo(&mut self, now: Nanos) -> Option<Change> {
+        let stays = self.capacity_plan.stays;
         self.shares.iter_mut().for_each(|s| *s = s.min(stays));
-        (stays <= NEAR).then(|| {
+        (stays <= SHARE_TOLERANCE).then(|| {
             self.undone_at = Some(now);
-            self.change(now, State::Undone, SELF, "the old pool carries all again".to_owned(), None)
+            self.change(
+                now,
+                State::Undone,
+                AUTOMATIC_ACTOR,
+                "the old pool carries all again".to_owned(),
+                None,
+            )
         })
     }
 
-    fn judged(&mut self, now: Nanos, wanted: &[f64]) -> Option<Change> {
-        if self.sight.new == 0 {
-            return Some(self.undo(now, SELF, "the new pool has no box left".to_owned(), None));
+    fn evaluate_step(&mut self, now: Nanos, wanted: &[f64]) -> Option<Change> {
+        if self.pool_status.new == 0 {
+            return Some(self.undo(now, AUTOMATIC_ACTOR, "the new pool has no box left".to_owned(), None));
         }
-        if let Some(change) = self.alarmed(now) {
+        if let Some(change) = self.handle_alarm(now) {
             return Some(change);
         }
-        self.follow_room(wanted);
-        let cause = if self.sight.old == 0 {
+        self.follow_capacity(wanted);
+        let cause = if self.pool_status.old == 0 {
             Some((HoldReason::OldPoolEmpty, "the old pool has no box left"))
-        } else if self.sight.cut_off {
+        } else if self.pool_status.cut_off {
             Some((HoldReason::ZoneUnreachable, "a depot is cut off"))
         } else {
             None
         };
         match (self.state.clone(), cause) {
             (State::Step { step }, Some((why, text))) => {
-                Some(self.change(now, State::Held { step, why }, SELF, text.to_owned(), None))
+                Some(self.change(now, State::Held { step, why }, AUTOMATIC_ACTOR, text.to_owned(), None))
             }
             (State::Held { why: HoldReason::ZoneUnreachable | HoldReason::OldPoolEmpty, .. }, None) => {
-                let since = *self.cause_left.get_or_insert(now);
+                let since = *self.cause_cleared_at.get_or_insert(now);
                 let settled = now.saturating_sub(since) >= self.settings.settle_time;
                 settled.then(|| {
                     let why = "what it was held for is over".to_owned();
                     self.analysis.begin_step();
-                    self.change(now, State::Step { step: self.step }, SELF, why, None)
+                    self.change(now, State::Step { step: self.step }, AUTOMATIC_ACTOR, why, None)
                 })
             }
             (State::Held { .. }, Some(_)) => {
-                self.cause_left = None;
+                self.cause_cleared_at = None;
                 None
             }
-            (State::Step { .. }, None) => self.next(now, wanted),
+            (State::Step { .. }, None) => self.try_advance(now, wanted),
             _ => None,
         }
     }
 
-    /// What alarms is taken back, held or not. While a depot is cut off, or without a planner, only what is beyond doubt.
-    fn alarmed(&mut self, now: Nanos) -> Option<Change> {
-        let strict = if self.sight.no_planner || self.sight.cut_off { BEYOND_DOUBT } else { 1.0 };
+    /// Undoes or holds on an alarm. While a zone is unreachable, or without a planner, the evidence must be stronger.
+    fn handle_alarm(&mut self, now: Nanos) -> Option<Change> {
+        let strict =
+            if self.pool_status.no_planner || self.pool_status.cut_off { STRICT_ALARM_MULTIPLE } else { 1.0 };
         let held = matches!(self.state, State::Held { why: HoldReason::Alarm, .. });
         let alarm = self.analysis.alarms().into_iter().find(|a| a.evidence >= strict * a.bound)?;
-        if held || self.sight.old == 0 {
+        if held || self.pool_status.old == 0 {
             return None;
         }
         let why = self.describe(&alarm);
         if self.settings.on_alarm == OnAlarm::Hold {
             let state = State::Held { step: self.step, why: HoldReason::Alarm };
-            return Some(self.change(now, state, SELF, why, Some(alarm)));
+            return Some(self.change(now, state, AUTOMATIC_ACTOR, why, Some(alarm)));
         }
-        Some(self.undo(now, SELF, why, Some(alarm)))
+        Some(self.undo(now, AUTOMATIC_ACTOR, why, Some(alarm)))
     }
 
     fn describe(&self, alarm: &Alarm) -> String {
@@ -555,104 +563,110 @@
         )
     }
 
-    /// Shares follow what the new pool can carry, up to the step's: a cold pool warms along its ramp.
-    fn follow_room(&mut self, wanted: &[f64]) {
+    /// Adjusts the shares to what the new pool can carry, up to the step's: capacity grows during slow start.
+    fn follow_capacity(&mut self, wanted: &[f64]) {
         for (class, share) in self.shares.iter_mut().enumerate() {
-            let fits = self.room.shares.get(class).copied().unwrap_or(0.0);
-            // What the old pool cannot carry stays with the new one in any case.
-            let fits = fits.max(self.room.stays.min(*share)).min(wanted[class]);
-            if fits > *share || fits < SHRINK * *share || wanted[class] < *share {
+            let fits = self.capacity_plan.shares.get(class).copied().unwrap_or(0.0);
+            // Traffic that the old pool cannot carry stays with the new one in any case.
+            let fits = fits.max(self.capacity_plan.stays.min(*share)).min(wanted[class]);
+            if fits > *share || fits < MIN_SHARE_REDUCTION * *share || wanted[class] < *share {
                 *share = fits;
             }
         }
     }
 
-    /// The next step, if nothing speaks against it.
-    fn next(&mut self, now: Nanos, wanted: &[f64]) -> Option<Change> {
-        if self.standing(now, wanted).is_some() {
+    /// Advances to the next step if nothing blocks it.
+    fn try_advance(&mut self, now: Nanos, wanted: &[f64]) -> Option<Change> {
+        if self.blocker(now, wanted).is_some() {
             return None;
         }
         if self.step + 1 == self.settings.step_count() {
             return Some(self.change(
                 now,
                 State::Finished,
-                SELF,
-                "all step_count have shown enough".to_owned(),
+                AUTOMATIC_ACTOR,
+                "all rungs have shown enough".to_owned(),
                 None,
             ));
         }
         let seen = self.analysis.comparison(0, Signal::Failed).new_in_step;
-        self.climb(self.step + 1);
-        let why = format!("{} of {} failed on the step before, no cell in doubt", seen.bad, seen.of);
-        Some(self.change(now, State::Step { step: self.step }, SELF, why, None))
+        self.enter_step(self.step + 1);
+        let why = format!("{} of {} failed on the rung before, no cell in doubt", seen.bad, seen.of);
+        Some(self.change(now, State::Step { step: self.step }, AUTOMATIC_ACTOR, why, None))
     }
 
-    /// Why the next step is not climbed now.
-    fn standing(&self, now: Nanos, wanted: &[f64]) -> Option<Standing> {
-        if self.sight.no_planner {
-            return Some(Standing::NoPlanner);
+    /// The first condition that blocks the next step.
+    fn blocker(&self, now: Nanos, wanted: &[f64]) -> Option<Blocker> {
+        if self.pool_status.no_planner {
+            return Some(Blocker::NoPlanner);
         }
-        let age = now.saturating_sub(self.entered);
+        let age = now.saturating_sub(self.state_since);
         let last = self.step + 1 == self.settings.step_count();
         let least = if last { self.settings.final_step_time } else { self.settings.min_step_time };
         if age < least {
-            return Some(Standing::Young(least - age));
+            return Some(Blocker::Young(least - age));
         }
-        let short = self.shares.iter().zip(wanted).position(|(s, w)| *s < w - NEAR);
+        let short = self.shares.iter().zip(wanted).position(|(s, w)| *s < w - SHARE_TOLERANCE);
         if let Some(class) = short {
-            return Some(Standing::Small { class, share: self.shares[class], wanted: wanted[class] });
+            return Some(Blocker::Small { class, share: self.shares[class], wanted: wanted[class] });
         }
         let (meant, back) = self.given_back;
-        if back as f64 > MOST_GIVEN_BACK * meant as f64 {
-            return Some(Standing::GivesBack { back, meant });
+        if back as f64 > MAX_GIVEN_BACK * meant as f64 {
+            return Some(Blocker::GivesBack { back, meant });
         }
-        let doubtful = (0..self.analysis.cells.len()).find(|&c| self.analysis.evidence_ratio(c) >= DOUBT);
+        let doubtful =
+            (0..self.analysis.cells.len()).find(|&c| self.analysis.evidence_ratio(c) >= MAX_EVIDENCE_RATIO);
         if let Some(cell) = doubtful {
-            return Some(Standing::Doubt { cell, part: self.analysis.evidence_ratio(cell) });
+            return Some(Blocker::Doubt { cell, part: self.analysis.evidence_ratio(cell) });
         }
-        self.lacking().map(|(cell, has, needs)| Standing::Thin { cell, has, needs })
+        self.missing_evidence().map(|(cell, has, needs)| Blocker::Thin { cell, has, needs })
     }
 
-    /// The first cell that a step waits for, what it has and what it needs.
-    fn lacking(&self) -> Option<(usize, u64, u64)> {
+    /// The first cell that lacks outcomes on this step, with its count and the required count.
+    fn missing_evidence(&self) -> Option<(usize, u64, u64)> {
         let cells = &self.analysis.cells;
         let moved =
             |c: &usize| cells.class(*c).is_none_or(|class| self.shares.get(class).is_some_and(|s| *s > 0.0));
         (0..cells.len()).filter(|&c| cells.requires_evidence(c)).filter(moved).find_map(|cell| {
             [Signal::Failed, Signal::Late].into_iter().find_map(|signal| {
-                let duel = self.analysis.comparison(cell, signal);
-                // A class that nobody asks for is not waited for.
-                let asked = duel.old.of + duel.new.of > 0 || cell == 0;
-                let (rate, fault) = (duel.old.rate(), self.settings.min_detectable_fault);
-                let shown =
-                    self.analysis.would_detect(cell, rate, fault, (duel.old_in_step, duel.new_in_step.of));
-                let needs = self.analysis.required_outcomes(cell, rate, fault).max(duel.new_in_step.of + 1);
-                (asked && !shown).then_some((cell, duel.new_in_step.of, needs))
+                let comparison = self.analysis.comparison(cell, signal);
+                // A class without requests is not waited for.
+                let asked = comparison.old.of + comparison.new.of > 0 || cell == 0;
+                let (rate, fault) = (comparison.old.rate(), self.settings.min_detectable_fault);
+                let shown = self.analysis.would_detect(
+                    cell,
+                    rate,
+                    fault,
+                    (comparison.old_in_step, comparison.new_in_step.of),
+                );
+                let needs =
+                    self.analysis.required_outcomes(cell, rate, fault).max(comparison.new_in_step.of + 1);
+                (asked && !shown).then_some((cell, comparison.new_in_step.of, needs))
             })
         })
     }
 
-    /// Why it stands where it stands, in words.
+    /// Explains the current state in one sentence.
     pub fn explain_state(&self, now: Nanos) -> String {
         let last = self.changes.back();
         match &self.state {
             State::Ready => "nobody has said start".to_owned(),
             State::Waiting => format!(
                 "the pools have {} old and {} new boxes that take work",
-                self.sight.old, self.sight.new
+                self.pool_status.old, self.pool_status.new
             ),
             State::Step { .. } => {
-                let standing = self.standing(now, &self.kept_back(self.settings.shares(self.step)));
-                standing.map_or_else(|| "about to climb".to_owned(), |s| s.say(self))
+                let blocker = self.blocker(now, &self.apply_holdback(self.settings.shares(self.step)));
+                blocker.map_or_else(|| "about to climb".to_owned(), |s| s.describe(self))
             }
             State::Undoing => {
-                format!("the old pool cannot carry {:.0}% of the work yet", 100.0 * self.room.stays)
+                format!("the old pool cannot carry {:.0}% of the work yet", 100.0 * self.capacity_plan.stays)
             }
             _ => last.map_or_else(String::new, |c| c.why.clone()),
         }
     }
 
-    /// The state in one word.
+    /// The name of the state as shown to operators.
     pub fn state_name(&self) -> &'static str {
         match self.state {
             State::Ready => "not started",
@@ -666,12 +680,12 @@
         }
     }
 
-    /// Goes on from what a journal holds. The step's evidence is gathered anew.
+    /// Resumes from the last change of a journal. The step's evidence is gathered anew.
     pub(crate) fn resume(&mut self, change: Change, whole: bool) {
         self.step = change.step.min(self.settings.step_count() - 1);
         self.shares = change.shares.clone();
         self.shares.resize(self.settings.classes.len(), 0.0);
-        self.entered = change.at;
+        self.state_since = change.at;
         if matches!(change.state, State::Undone | State::Undoing) {
             self.undone_at = Some(change.at);
         }
@@ -685,8 +699,8 @@
         self.changes.push_back(change);
     }
 
-    /// An old change of a journal, for those who ask what was.
-    pub(crate) fn remember(&mut self, change: Change) {
+    /// Adds an earlier change of a journal to the history.
+    pub(crate) fn restore_change(&mut self, change: Change) {
         self.changes.push_back(change);
         if self.changes.len() > MAX_CHANGES {
             self.changes.pop_front();
@@ -694,12 +708,12 @@
     }
 }
 
-/// Who changes a state where no operator does.
-const SELF: &str = "laurelroute";
+/// The actor of automatic changes.
+const AUTOMATIC_ACTOR: &str = "laurelroute";
 
-/// What the next step waits for.
+/// A condition that blocks the next step.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Standing {
+enum Blocker {
     NoPlanner,
     Young(Nanos),
     Small { class: usize, share: f64, wanted: f64 },
@@ -708,26 +722,26 @@
     Thin { cell: usize, has: u64, needs: u64 },
 }
 
-impl Standing {
-    fn say(&self, rollout: &Rollout) -> String {
+impl Blocker {
+    fn describe(&self, rollout: &Rollout) -> String {
         let cells = &rollout.analysis.cells;
         match *self {
-            Standing::NoPlanner => "no planner is heard: the share is kept".to_owned(),
-            Standing::Young(left) => format!("{:.1} s more on this step", left as f64 / 1e9),
-            Standing::Small { class, share, wanted } => format!(
+            Blocker::NoPlanner => "no planner is heard: the share is kept".to_owned(),
+            Blocker::Young(left) => format!("{:.1} s more on this rung", left as f64 / 1e9),
+            Blocker::Small { class, share, wanted } => format!(
                 "the new pool carries {:.1}% of {} now, {:.0}% is wanted",
                 100.0 * share,
                 rollout.settings.classes[class],
                 100.0 * wanted
             ),
-            Standing::Doubt { cell, part } => {
+            Blocker::Doubt { cell, part } => {
                 format!("{} is in doubt ({:.0}% of what alarms)", cells.name(cell), 100.0 * part)
             }
-            Standing::GivesBack { back, meant } => {
+            Blocker::GivesBack { back, meant } => {
                 format!("{back} of {meant} requests meant for the new pool went to the old one")
             }
-            Standing::Thin { cell, has, needs } => {
-                format!("{} has shown {has} of {needs} requests on this step", cells.name(cell))
+            Blocker::Thin { cell, has, needs } => {
+                format!("{} has shown {has} of {needs} requests on this rung", cells.name(cell))
             }
         }
     }
--- a/crates/shift/src/settings.rs
+++ b/crates/shift/src/settings.rs
@@ -1,4 +1,4 @@
-//! A shift as the operator's file words it, checked by itself. Where a value stands in the file is the caller's to say.
+//! The settings of a shift and their validation. Error positions in the file are added by the caller.
 
 use crate::analysis::Bounds;
 use crate::cells::{Cells, CellsError, Dimension};
@@ -73,7 +73,7 @@
     pub settle_time: Nanos,
     /// After an undo a start within this time has to be insisted on.
     pub restart_cooldown: Nanos,
-    /// Requests a second that a usual box can do; `None` where nobody knows.
+    /// Requests a second that a usual server can do; `None` where nobody knows.
     pub server_rate: Option<f64>,
     /// See there.
     pub on_alarm: OnAlarm,
@@ -85,7 +85,7 @@
     /// No name, or one that is no file's.
     #[error("`name` has to have 1 to 64 letters, digits, dots, dashes or underscores")]
     Name,
-    /// A predicate that every box fulfils.
+    /// A predicate without a condition matches every server.
     #[error("`{0}` names no condition, so that all boxes would be in it")]
     Everything(&'static str),
     /// Both predicates are the same.
