--- a/crates/shift/src/analysis.rs
+++ b/crates/shift/src/analysis.rs
@@ -2,7 +2,7 @@
 //!
 //! For each cell and each [`Signal`] there is an *e-process* for the hypothesis that in the new pool a request ends badly
 //! no more often than in the old one over the same time, by more than a tolerance. Outcomes come in batches of `m` from
-//! the old pool and `n` from the new one. With a guess `a` of the old pool's rate, made from what came before, and
+//! the old pool and `n` from the new one. With an estimate `a` of the old pool's rate, from earlier outcomes, and
 //! `b = a + d (1 - a)`, a batch multiplies the e-process by
 //!
 //! ```text
@@ -12,11 +12,11 @@
 //! where `p(q)` is `q` for a bad outcome and `1 - q` for a good one. Whatever the true rate, if it is the same in both
 //! pools (or lower in the new one) the expectation of this is at most 1: by the concavity of the logarithm its mean
 //! logarithm is at most that of 1 (Turner, Ly, Grünwald: Generic E-variables for exact sequential k-sample tests, 2021).
-//! The rate may differ from batch to batch, so what strikes both pools alike shows nothing. The tolerance `t` makes each
+//! The rate may differ from batch to batch, so a fault of both pools is no evidence. The tolerance `t` makes each
 //! good outcome of the old pool count as bad with probability `t`, in expectation rather than by a draw. The mean over a
 //! grid of `d` is an e-process again, and by Ville's inequality it ever reaches `1 / rate` with probability `rate` at
 //! most. A cell's part of the rate is its [`Cells::weight`] over the number of signals, so that the rate holds for all
-//! cells, signals and looks together, however they depend on each other.
+//! cells, signals and evaluations together, however they depend on each other.
 //!
 //! Assumed: which outcomes fall into one batch does not depend on how they ended. An attempt that hangs is counted when it
 //! ends, in a later batch than one that fails at once; under the hypothesis that is so in both pools.
@@ -73,16 +73,16 @@
 /// Excess failure rates that are tested for.
 const GRID: [f64; 7] = [0.005, 0.015, 0.05, 0.15, 0.4, 0.7, 0.95];
 /// Number of outcomes over which the old pool's rate is estimated.
-const GUESS_OVER: f64 = 8000.0;
+const ESTIMATE_WINDOW: f64 = 8000.0;
 /// Estimated rates stay this far from 0 and 1, so that a single outcome is not decisive.
-const EDGE: f64 = 1e-4;
+const RATE_MARGIN: f64 = 1e-4;
 /// A cell's evidence is updated after the new pool's outcomes have grown by one part in this many.
-const BATCHES: u64 = 32;
+const MIN_UPDATE_FRACTION: u64 = 32;
 /// Maximum number of servers and classes tracked separately; others count in the cells only.
 const MAX_SERVERS: usize = 4096;
 /// A fault is blamed on servers if at most this part of them accounts for the part below of the excess.
-const FEW_BOXES: f64 = 0.1;
-const MOST_OF_IT: f64 = 0.85;
+const MAX_BLAMED_FRACTION: f64 = 0.1;
+const MIN_BLAMED_EXCESS: f64 = 0.85;
 
 /// Statistical bounds.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -137,7 +137,7 @@
     waiting: [Tally; 2],
     guess: (f64, f64),
     log_e: [f64; GRID.len()],
-    /// The mean of the grid, as a logarithm.
+    /// The logarithm of the mean over the grid.
     mean: f64,
     /// Evidence that an operator's command has excused.
     excused: f64,
@@ -151,7 +151,7 @@
             new_in_step: Tally::default(),
             old_in_step: 0,
             waiting: [Tally::default(); 2],
-            guess: (1.0, 0.5 * EDGE),
+            guess: (1.0, 0.5 * RATE_MARGIN),
             log_e: [0.0; GRID.len()],
             mean: 0.0,
             excused: 0.0,
@@ -159,8 +159,8 @@
     }
 }
 
-fn edged(rate: f64) -> f64 {
-    rate.clamp(EDGE, 1.0 - EDGE)
+fn clamp_rate(rate: f64) -> f64 {
+    rate.clamp(RATE_MARGIN, 1.0 - RATE_MARGIN)
 }
 
 /// The mean of exponentials, as its logarithm.
@@ -171,18 +171,18 @@
 }
 
 impl Comparison {
-    fn guessed(&self) -> f64 {
-        edged(self.guess.1 / self.guess.0)
+    fn estimated_rate(&self) -> f64 {
+        clamp_rate(self.guess.1 / self.guess.0)
     }
 
     /// Updates the evidence once both pools have enough pending outcomes. What is enough depends on counts alone, never on
     /// results, and limits the updates of a cell to a few hundred.
-    fn weigh(&mut self, tolerance: f64) {
+    fn update(&mut self, tolerance: f64) {
         let [old, new] = self.waiting;
-        let few = self.new.of / BATCHES;
+        let few = self.new.of / MIN_UPDATE_FRACTION;
         if new.of > few && old.of > 0 {
             self.waiting = [Tally::default(); 2];
-            self.grow([old, new], tolerance);
+            self.multiply([old, new], tolerance);
             self.new.add(new);
             self.new_in_step.add(new);
             self.old_in_step += old.of;
@@ -195,18 +195,18 @@
         self.old.add(old);
         self.guess.0 += old.of as f64;
         self.guess.1 += old.bad as f64;
-        if self.guess.0 > GUESS_OVER {
-            let by = GUESS_OVER / 2.0 / self.guess.0;
+        if self.guess.0 > ESTIMATE_WINDOW {
+            let by = ESTIMATE_WINDOW / 2.0 / self.guess.0;
             self.guess = (self.guess.0 * by, self.guess.1 * by);
         }
     }
 
-    fn grow(&mut self, [old, new]: [Tally; 2], tolerance: f64) {
-        let base = self.guessed() * (1.0 - tolerance) + tolerance;
+    fn multiply(&mut self, [old, new]: [Tally; 2], tolerance: f64) {
+        let base = self.estimated_rate() * (1.0 - tolerance) + tolerance;
         for (log, more) in self.log_e.iter_mut().zip(GRID) {
-            let (a, b) = (base, edged(base + more * (1.0 - base)));
+            let (a, b) = (base, clamp_rate(base + more * (1.0 - base)));
             let (m, n) = (old.of as f64, new.of as f64);
-            let c = edged((m * a + n * b) / (m + n));
+            let c = clamp_rate((m * a + n * b) / (m + n));
             let good_old = (1.0 - tolerance) * (1.0 - a) / (1.0 - c) + tolerance * a / c;
             *log += old.bad as f64 * (a / c).ln()
                 + (old.of - old.bad) as f64 * good_old.ln()
@@ -250,20 +250,20 @@
     Unclear,
 }
 
-/// A cell that is worse in the new pool, beyond the bound.
+/// A cell whose evidence is above its alarm threshold.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Alarm {
     /// The cell.
     pub cell: usize,
-    /// What is worse.
+    /// The signal that is worse.
     pub signal: Signal,
     /// Old pool.
     pub old: Tally,
     /// New pool.
     pub new: Tally,
-    /// The evidence over the bound, as logarithms.
+    /// The evidence, as a logarithm.
     pub evidence: f64,
-    /// See there.
+    /// The alarm threshold, as a logarithm.
     pub bound: f64,
     /// The likely source of a fault.
     pub blame: Blame,
@@ -275,10 +275,10 @@
     /// The cells.
     pub cells: Cells,
     bounds: Bounds,
-    duels: Vec<[Comparison; SIGNALS.len()]>,
-    boxes: BTreeMap<(u32, usize), [Tally; SIGNALS.len()]>,
+    comparisons: Vec<[Comparison; SIGNALS.len()]>,
+    servers: BTreeMap<(u32, usize), [Tally; SIGNALS.len()]>,
     /// The highest evidence of each cell's signals, as a part of its alarm threshold.
-    doubts: Vec<f64>,
+    evidence_ratios: Vec<f64>,
     /// Cells with pending outcomes.
     dirty: Vec<usize>,
     marked: Vec<bool>,
@@ -291,9 +291,9 @@
         CanaryAnalysis {
             cells,
             bounds,
-            duels: vec![Default::default(); count],
-            boxes: BTreeMap::new(),
-            doubts: vec![0.0; count],
+            comparisons: vec![Default::default(); count],
+            servers: BTreeMap::new(),
+            evidence_ratios: vec![0.0; count],
             dirty: Vec::new(),
             marked: vec![false; count],
         }
@@ -306,20 +306,20 @@
             Pool::New => 1,
             Pool::Outside => return,
         };
-        let CanaryAnalysis { cells, duels, dirty, marked, .. } = self;
+        let CanaryAnalysis { cells, comparisons, dirty, marked, .. } = self;
         for cell in cells.cells_of(outcome.values) {
             if !std::mem::replace(&mut marked[cell], true) {
                 dirty.push(cell);
             }
             for signal in SIGNALS.into_iter().filter(|s| outcome.judged.has(*s)) {
-                let duel = &mut duels[cell][signal as usize];
-                duel.waiting[side].count(outcome.bad.has(signal));
+                let comparison = &mut comparisons[cell][signal as usize];
+                comparison.waiting[side].count(outcome.bad.has(signal));
             }
         }
         let class = outcome.values.first().copied().unwrap_or(0);
         let at = (outcome.server, class);
-        if side == 1 && (self.boxes.len() < MAX_SERVERS || self.boxes.contains_key(&at)) {
-            let tallies = self.boxes.entry(at).or_default();
+        if side == 1 && (self.servers.len() < MAX_SERVERS || self.servers.contains_key(&at)) {
+            let tallies = self.servers.entry(at).or_default();
             for signal in SIGNALS.into_iter().filter(|s| outcome.judged.has(*s)) {
                 tallies[signal as usize].count(outcome.bad.has(signal));
             }
@@ -330,45 +330,45 @@
     pub fn update_evidence(&mut self) {
         for cell in std::mem::take(&mut self.dirty) {
             self.marked[cell] = false;
-            for duel in &mut self.duels[cell] {
-                duel.weigh(self.bounds.tolerance);
-                if duel.waiting[1].of > 0 && !std::mem::replace(&mut self.marked[cell], true) {
+            for comparison in &mut self.comparisons[cell] {
+                comparison.update(self.bounds.tolerance);
+                if comparison.waiting[1].of > 0 && !std::mem::replace(&mut self.marked[cell], true) {
                     self.dirty.push(cell);
                 }
             }
-            self.doubts[cell] = self.doubted(cell);
+            self.evidence_ratios[cell] = self.max_evidence_ratio(cell);
         }
     }
 
-    fn doubted(&self, cell: usize) -> f64 {
-        let most = self.duels[cell].iter().map(Comparison::evidence).fold(f64::NEG_INFINITY, f64::max);
+    fn max_evidence_ratio(&self, cell: usize) -> f64 {
+        let most = self.comparisons[cell].iter().map(Comparison::evidence).fold(f64::NEG_INFINITY, f64::max);
         most / self.alarm_threshold(cell)
     }
 
-    /// The evidence against a cell as a part of what alarms, of the signal that has most.
+    /// The highest evidence of a cell's signals, as a part of the alarm threshold.
     pub fn evidence_ratio(&self, cell: usize) -> f64 {
-        self.doubts[cell]
+        self.evidence_ratios[cell]
     }
 
-    /// The evidence at which a cell alarms, as a logarithm.
+    /// The evidence at which a cell raises an alarm, as a logarithm.
     pub fn alarm_threshold(&self, cell: usize) -> f64 {
         -(self.bounds.false_alarm_rate * self.cells.weight(cell) / SIGNALS.len() as f64).ln()
     }
 
     /// One cell's comparison for a signal.
     pub fn comparison(&self, cell: usize, signal: Signal) -> &Comparison {
-        &self.duels[cell][signal as usize]
+        &self.comparisons[cell][signal as usize]
     }
 
-    /// The cells that are worse beyond their bound, the surest first.
+    /// The alarms, strongest evidence first.
     pub fn alarms(&self) -> Vec<Alarm> {
         let mut alarms = Vec::new();
-        for cell in (0..self.cells.len()).filter(|&c| self.doubts[c] >= 1.0) {
+        for cell in (0..self.cells.len()).filter(|&c| self.evidence_ratios[c] >= 1.0) {
             let bound = self.alarm_threshold(cell);
             for signal in SIGNALS {
-                let duel = self.comparison(cell, signal);
-                if duel.evidence() >= bound {
-                    let (old, new, evidence) = (duel.old, duel.new, duel.evidence());
+                let comparison = self.comparison(cell, signal);
+                if comparison.evidence() >= bound {
+                    let (old, new, evidence) = (comparison.old, comparison.new, comparison.evidence());
                     let blame = self.blame(cell, signal);
                     alarms.push(Alarm { cell, signal, old, new, evidence, bound, blame });
                 }
@@ -380,23 +380,23 @@
 
     /// Excuses the current evidence: the next alarm takes as much again.
     pub fn excuse_evidence(&mut self) {
-        for duel in self.duels.iter_mut().flatten() {
-            duel.excused += duel.evidence().max(0.0);
+        for comparison in self.comparisons.iter_mut().flatten() {
+            comparison.excused += comparison.evidence().max(0.0);
         }
-        self.doubts = (0..self.cells.len()).map(|c| self.doubted(c)).collect();
+        self.evidence_ratios = (0..self.cells.len()).map(|c| self.max_evidence_ratio(c)).collect();
     }
 
     /// Starts a new step.
     pub fn begin_step(&mut self) {
-        for duel in self.duels.iter_mut().flatten() {
-            (duel.new_in_step, duel.old_in_step) = (Tally::default(), 0);
+        for comparison in self.comparisons.iter_mut().flatten() {
+            (comparison.new_in_step, comparison.old_in_step) = (Tally::default(), 0);
         }
     }
 
     /// The cells that have outcomes, but too few of the new pool in this step.
     pub fn sparse_cells(&self) -> impl Iterator<Item = usize> + '_ {
         (0..self.cells.len()).filter(|&c| {
-            let [failed, ..] = &self.duels[c];
+            let [failed, ..] = &self.comparisons[c];
             failed.old.of + failed.new.of > 0 && failed.new_in_step.of < self.bounds.min_outcomes
         })
     }
@@ -404,20 +404,20 @@
     /// Attributes a fault to servers or the release, by the tallies of single servers.
     fn blame(&self, cell: usize, signal: Signal) -> Blame {
         let class = self.cells.class(cell);
-        let mut boxes: BTreeMap<u32, Tally> = BTreeMap::new();
-        for ((server, of), tallies) in &self.boxes {
+        let mut servers: BTreeMap<u32, Tally> = BTreeMap::new();
+        for ((server, of), tallies) in &self.servers {
             if class.is_none_or(|c| c == *of) {
-                boxes.entry(*server).or_default().add(tallies[signal as usize]);
+                servers.entry(*server).or_default().add(tallies[signal as usize]);
             }
         }
         let usual = self.comparison(cell, signal).old.rate() + self.bounds.tolerance;
         let over = |t: &Tally| t.bad as f64 - usual * t.of as f64;
-        let all: f64 = boxes.values().map(over).sum();
-        let few = ((FEW_BOXES * boxes.len() as f64).ceil() as usize).min(boxes.len() / 3);
+        let all: f64 = servers.values().map(over).sum();
+        let few = ((MAX_BLAMED_FRACTION * servers.len() as f64).ceil() as usize).min(servers.len() / 3);
         if few == 0 || all <= 0.0 {
             return Blame::Unclear;
         }
-        let mut worst: Vec<(u32, Tally)> = boxes.into_iter().collect();
+        let mut worst: Vec<(u32, Tally)> = servers.into_iter().collect();
         worst.sort_by(|a, b| over(&b.1).total_cmp(&over(&a.1)));
         let mut held = 0.0;
         for k in 0..few {
@@ -427,7 +427,7 @@
                 sum
             });
             let chance = 3.0 * (usual * rest.of as f64).sqrt() + 1.0;
-            if held >= MOST_OF_IT * all && over(&rest) <= chance {
+            if held >= MIN_BLAMED_EXCESS * all && over(&rest) <= chance {
                 return Blame::Servers(worst[..=k].iter().map(|(server, _)| *server).collect());
             }
         }
@@ -437,11 +437,11 @@
     /// The evidence that is expected of `m` outcomes of the old pool and `n` of the new one, with the best step of the grid,
     /// less what it costs to look for all of them.
     fn expected(&self, rate: f64, fault: f64, (m, n): (f64, f64)) -> f64 {
-        let usual = edged(rate * (1.0 - self.bounds.tolerance) + self.bounds.tolerance);
-        let found = edged(rate + fault * (1.0 - rate));
+        let usual = clamp_rate(rate * (1.0 - self.bounds.tolerance) + self.bounds.tolerance);
+        let found = clamp_rate(rate + fault * (1.0 - rate));
         let grown = GRID.iter().map(|d| {
-            let b = edged(usual + d * (1.0 - usual));
-            let c = edged((m * usual + n * b) / (m + n));
+            let b = clamp_rate(usual + d * (1.0 - usual));
+            let c = clamp_rate((m * usual + n * b) / (m + n));
             let coin = |q: f64, p: f64| q * (p / c).ln() + (1.0 - q) * ((1.0 - p) / (1.0 - c)).ln();
             m * coin(usual, usual) + n * coin(found, b)
         });
@@ -493,10 +493,10 @@
 
     /// Adds another node's pending outcomes: the sum over all forwarders is compared as one.
     pub fn merge_pending(&mut self, cell: usize, signal: Signal, old: Tally, new: Tally) {
-        let Some(duels) = self.duels.get_mut(cell) else { return };
-        let duel = &mut duels[signal as usize];
-        duel.waiting[0].add(old);
-        duel.waiting[1].add(new);
+        let Some(comparisons) = self.comparisons.get_mut(cell) else { return };
+        let comparison = &mut comparisons[signal as usize];
+        comparison.waiting[0].add(old);
+        comparison.waiting[1].add(new);
         if !std::mem::replace(&mut self.marked[cell], true) {
             self.dirty.push(cell);
         }
@@ -508,7 +508,7 @@
         for cell in std::mem::take(&mut self.dirty) {
             self.marked[cell] = false;
             for signal in SIGNALS {
-                let [old, new] = std::mem::take(&mut self.duels[cell][signal as usize].waiting);
+                let [old, new] = std::mem::take(&mut self.comparisons[cell][signal as usize].waiting);
                 if old.of + new.of > 0 {
                     taken.push((cell, signal, old, new));
                 }
@@ -520,7 +520,7 @@
     /// All comparisons, for the journal.
     pub fn export(&self) -> Vec<(usize, [Comparison; SIGNALS.len()])> {
         let seen = |d: &[Comparison; SIGNALS.len()]| d[0].old.of + d[0].new.of > 0;
-        self.duels.iter().enumerate().filter(|(_, d)| seen(d)).map(|(c, d)| (c, d.clone())).collect()
+        self.comparisons.iter().enumerate().filter(|(_, d)| seen(d)).map(|(c, d)| (c, d.clone())).collect()
     }
 
     /// Restores comparisons from a journal; false if they are for other cells or are invalid.
@@ -532,12 +532,12 @@
                 && d.mean.is_finite()
                 && d.guess.0 >= 1.0
         };
-        if kept.iter().any(|(c, d)| *c >= self.duels.len() || !d.iter().all(sound)) {
+        if kept.iter().any(|(c, d)| *c >= self.comparisons.len() || !d.iter().all(sound)) {
             return false;
         }
-        for (cell, duels) in kept {
-            self.duels[cell] = duels;
-            self.doubts[cell] = self.doubted(cell);
+        for (cell, comparisons) in kept {
+            self.comparisons[cell] = comparisons;
+            self.evidence_ratios[cell] = self.max_evidence_ratio(cell);
         }
         true
     }
@@ -552,14 +552,14 @@
 }
 
 /// The part of answers that are not slow, the step as a part of the time, and answers before anything is called slow.
-const KEPT: f64 = 0.9;
-const STEP: f64 = 0.05;
-const FIRST: u32 = 50;
+const FAST_FRACTION: f64 = 0.9;
+const RELATIVE_STEP: f64 = 0.05;
+const MIN_SAMPLES: u32 = 50;
 
 impl LatencyBaseline {
     /// Whether an answer that took so long is slow.
     pub fn slow(&self, took: u64) -> bool {
-        self.seen >= FIRST && took as f64 > self.at
+        self.seen >= MIN_SAMPLES && took as f64 > self.at
     }
 
     /// Records a response of the old pool.
@@ -568,7 +568,7 @@
         if self.seen == 1 {
             self.at = took as f64;
         }
-        let step = STEP * self.at.max(1.0) * (10.0 / f64::from(self.seen)).clamp(0.2, 1.0);
-        self.at += if took as f64 > self.at { step * KEPT } else { -step * (1.0 - KEPT) };
+        let step = RELATIVE_STEP * self.at.max(1.0) * (10.0 / f64::from(self.seen)).clamp(0.2, 1.0);
+        self.at += if took as f64 > self.at { step * FAST_FRACTION } else { -step * (1.0 - FAST_FRACTION) };
     }
 }
--- a/crates/shift/src/capacity.rs
+++ b/crates/shift/src/capacity.rs
@@ -11,11 +11,11 @@
 /// Usable part of a pool's warm capacity.
 const HEADROOM: f64 = 0.95;
 /// Usable part of the capacity in slow start: all nodes ramp at once, and each sees only its own load.
-const COLD_HEADROOM: f64 = 0.8;
+const SLOW_START_HEADROOM: f64 = 0.8;
 /// Price of a unit of work in another zone, relative to a unit of share.
-const CROSS_PRICE: f64 = 0.02;
+const CROSS_ZONE_PRICE: f64 = 0.02;
 /// Price of a unit of work that no pool can carry.
-const LOST_PRICE: f64 = 100.0;
+const UNSERVED_PRICE: f64 = 100.0;
 
 /// A pool's capacity in a zone, in units of work per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -27,8 +27,8 @@
 }
 
 impl PoolCapacity {
-    fn given(&self) -> f64 {
-        HEADROOM * self.warm + COLD_HEADROOM * self.cold
+    fn usable(&self) -> f64 {
+        HEADROOM * self.warm + SLOW_START_HEADROOM * self.cold
     }
 }
 
@@ -61,7 +61,7 @@
     }
 }
 
-fn folded(zones: &[Zone], classes: usize) -> Vec<Zone> {
+fn merge_zones(zones: &[Zone], classes: usize) -> Vec<Zone> {
     let mut kept: Vec<Zone> = Vec::new();
     for zone in zones {
         if kept.len() < MAX_ZONES {
@@ -81,40 +81,40 @@
     kept
 }
 
-/// Solves for the shares, each at most what is wanted of its class.
+/// Solves for the shares, each at most the wanted share of its class.
 pub fn solve(zones: &[Zone], wanted: &[f64]) -> CapacityPlan {
-    let zones = folded(zones, wanted.len());
+    let zones = merge_zones(zones, wanted.len());
     let load: f64 = zones.iter().flat_map(|z| &z.load).sum();
-    let old: f64 = zones.iter().map(|z| z.old.given()).sum();
+    let old: f64 = zones.iter().map(|z| z.old.usable()).sum();
     let stays = if load > 0.0 { (1.0 - old / load).clamp(0.0, 1.0) } else { 0.0 };
-    let strong = zones.iter().map(|z| z.new.given()).sum::<f64>() > 0.0;
+    let strong = zones.iter().map(|z| z.new.usable()).sum::<f64>() > 0.0;
     if load <= 0.0 || !strong {
         let shares = wanted.iter().map(|w| if strong { *w } else { 0.0 }).collect();
         return CapacityPlan { shares, stays: if strong { stays } else { 0.0 }, lost: 0.0 };
     }
-    if plain(&zones, wanted) {
+    if fits_locally(&zones, wanted) {
         return CapacityPlan { shares: wanted.to_vec(), stays, lost: 0.0 };
     }
-    match program(&zones, wanted, load) {
+    match solve_program(&zones, wanted, load) {
         Some((shares, lost)) => CapacityPlan { shares, stays, lost: lost / load },
-        // The program always has a solution (all work lost); where the solver stops short, nothing moves.
+        // The program always has a solution (all work unserved); if the solver stops early, no traffic moves.
         None => CapacityPlan { shares: vec![0.0; wanted.len()], stays, lost: 0.0 },
     }
 }
 
 /// Whether each zone can carry its own load, so that no program needs to be solved.
-fn plain(zones: &[Zone], wanted: &[f64]) -> bool {
+fn fits_locally(zones: &[Zone], wanted: &[f64]) -> bool {
     zones.iter().all(|z| {
         let moved: f64 = z.load.iter().zip(wanted).map(|(l, w)| l * w).sum();
         let all: f64 = z.load.iter().sum();
-        moved <= z.new.given() && all - moved <= z.old.given()
+        moved <= z.new.usable() && all - moved <= z.old.usable()
     })
 }
 
-fn program(zones: &[Zone], wanted: &[f64], load: f64) -> Option<(Vec<f64>, f64)> {
+fn solve_program(zones: &[Zone], wanted: &[f64], load: f64) -> Option<(Vec<f64>, f64)> {
     let mut vars = variables!();
-    // One part of what is wanted for all classes alike: a share for each would be cut from another class at every look, as
-    // the least change of load makes one or the other cheaper, and sessions would go to and fro.
+    // All classes get the same part of their wanted share: with one for each, the least change of load would shift capacity
+    // from class to class at every evaluation, and sessions would move back and forth.
     let part = vars.add(variable().min(0.0).max(1.0));
     let n = zones.len();
     let flows = |vars: &mut good_lp::ProblemVariables| -> Vec<Vec<Variable>> {
@@ -122,17 +122,17 @@
     };
     let to = [flows(&mut vars), flows(&mut vars)];
     let lost: Vec<Variable> = (0..n).map(|_| vars.add(variable().min(0.0))).collect();
-    // All in parts of the whole load, so that the solver's tolerances mean the same at every size.
+    // Everything is relative to the total load, so that the solver's tolerances apply equally at every size.
     let of = |z: usize, c: usize| zones[z].load[c] / load;
     let moved = |z: usize| (0..wanted.len()).map(|c| of(z, c) * wanted[c]).sum::<f64>();
     let mut aim: Expression = ((0..n).map(moved).sum::<f64>() + 1e-4) * part;
     for flows in &to {
         for (z, row) in flows.iter().enumerate() {
             let elsewhere = row.iter().enumerate().filter(|(y, _)| *y != z);
-            elsewhere.for_each(|(_, flow)| aim -= CROSS_PRICE * *flow);
+            elsewhere.for_each(|(_, flow)| aim -= CROSS_ZONE_PRICE * *flow);
         }
     }
-    lost.iter().for_each(|l| aim -= LOST_PRICE * *l);
+    lost.iter().for_each(|l| aim -= UNSERVED_PRICE * *l);
     let mut model = vars.maximise(aim).using(microlp);
     for z in 0..n {
         let all: f64 = (0..wanted.len()).map(|c| of(z, c)).sum();
@@ -141,7 +141,7 @@
         model = model.with(constraint!(new == moved.clone()));
         model = model.with(constraint!(old + lost[z] + moved == all));
         let got = |flows: &Vec<Vec<Variable>>| flows.iter().map(|row| row[z]).sum::<Expression>();
-        let most = [zones[z].old.given() / load, zones[z].new.given() / load];
+        let most = [zones[z].old.usable() / load, zones[z].new.usable() / load];
         model = model.with(constraint!(got(&to[0]) <= most[0]));
         model = model.with(constraint!(got(&to[1]) <= most[1]));
     }
@@ -151,23 +151,23 @@
     Some((wanted.iter().map(|w| w * part).collect(), lost * load))
 }
 
-/// The part of its capacity that a pool of so many servers can be given with like waiting: with fewer to choose from more has
-/// to stay free, by the square root of their number (square-root staffing; Halfin, Whitt 1981).
+/// The usable part of a pool's capacity at equal waiting times: spare capacity shrinks with the square root of the number
+/// of servers (square-root staffing; Halfin, Whitt 1981).
 pub fn usable_fraction(boxes: usize) -> f64 {
     1.0 - 0.5 / (boxes.max(1) as f64).sqrt()
 }
 
-/// What a unit of size has been seen to carry, where operators do not say: the most work a second that the old pool has
-/// done for each unit while nearly all of its answers were in time. It fades, so that a burst long ago promises nothing.
+/// The observed capacity per unit of size, where the operator configures none: the highest work per second that the old
+/// pool did for each unit while nearly all responses were in time. It decays, so that an old burst loses its weight.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ObservedCapacity {
     most: f64,
 }
 
-/// Each look at a lower rate takes this part of what was seen before.
-const FORGET: f64 = 0.00005;
-/// Part of answers that may be late while the old pool counts as carrying its load.
-const LATE_ENOUGH: f64 = 0.05;
+/// Part of the observed capacity that is lost at each lower observation.
+const DECAY: f64 = 0.00005;
+/// Part of responses that may be late while the load counts as carried.
+const MAX_LATE_FRACTION: f64 = 0.05;
 
 impl ObservedCapacity {
     /// Records the pool's work per second, its size and the late part.
@@ -176,10 +176,10 @@
             return;
         }
         let each = work / size;
-        if each > self.most && late <= LATE_ENOUGH {
+        if each > self.most && late <= MAX_LATE_FRACTION {
             self.most = each;
         } else {
-            self.most -= self.most * FORGET;
+            self.most -= self.most * DECAY;
         }
     }
 
--- a/crates/shift/src/cells.rs
+++ b/crates/shift/src/cells.rs
@@ -1,22 +1,22 @@
 //! The cells that are compared: class, zone, first attempt or retry, groups of tenants, and their sums.
 //!
-//! A fault in one shire of 27 is lost in an average, and a cell of all dimensions may be too thin to show a fault that all
-//! of a class has. So an outcome counts in several cells at once: all, each dimension alone, each class by each other
-//! dimension, and all dimensions together. Each such *level* has an equal part of the false-alarm rate, and so has each
-//! cell of a level: no sum hides its worst cell, since that one is judged by itself as well.
+//! A fault in one region of 27 is lost in an average, and a cell of all dimensions may have too few outcomes to show a
+//! fault of a whole class. So an outcome counts in several cells at once: all, each dimension alone, each class by each
+//! other dimension, and all dimensions together. Each such *level* has an equal part of the false-alarm rate, and so has
+//! each cell of a level, so that no sum hides a bad cell.
 
 /// One dimension: its name and the names of its values.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Dimension {
-    /// `class`, `zone`, `repeat`, or a split of the operator's.
+    /// `class`, `zone`, `repeat`, or a split from the operator's file.
     pub name: String,
     /// Its values, at least one.
     pub values: Vec<String>,
 }
 
-/// Cells at most: each takes some 600 bytes.
+/// Maximum number of cells; each takes about 600 bytes.
 pub const MAX_CELLS: usize = 4096;
-/// Dimensions at most.
+/// Maximum number of dimensions.
 pub const MAX_DIMENSIONS: usize = 6;
 
 /// Why the cells cannot be created.
@@ -43,14 +43,14 @@
 
 #[derive(Clone, Debug)]
 struct Level {
-    /// The dimensions that it tells apart.
+    /// The dimensions by which the level's cells differ.
     by: Vec<usize>,
     first: usize,
     cells: usize,
 }
 
 impl Cells {
-    /// The cells of these dimensions, of which the first is the class.
+    /// Creates the cells of these dimensions, the first of which is the class.
     pub fn new(dimensions: Vec<Dimension>) -> Result<Cells, CellsError> {
         if let Some(empty) = dimensions.iter().find(|d| d.values.is_empty()) {
             return Err(CellsError::Empty(empty.name.clone()));
@@ -83,23 +83,23 @@
         Ok(Cells { dimensions, levels, count })
     }
 
-    /// How many there are.
+    /// The number of cells.
     pub fn len(&self) -> usize {
         self.count
     }
 
-    /// Never: there is always the cell of all.
+    /// Always false: the cell of all outcomes always exists.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// Levels, from the cell of all to the finest.
+    /// The number of levels, from the cell of all outcomes to the finest.
     pub fn levels(&self) -> usize {
         self.levels.len()
     }
 
-    /// The cells that an outcome counts in, one a level, by its value in each dimension. A value that a dimension does
-    /// not have counts as its last.
+    /// The cells that an outcome counts in, one per level, by its value in each dimension. An unknown value counts as the
+    /// dimension's last.
     pub fn cells_of<'a>(&'a self, values: &'a [usize]) -> impl Iterator<Item = usize> + 'a {
         self.levels.iter().map(move |level| {
             let within = level.by.iter().fold(0, |at, &d| {
@@ -120,13 +120,13 @@
         1.0 / (self.levels.len() as f64 * self.level(cell).cells as f64)
     }
 
-    /// Whether a step waits for evidence here: in the cell of all and in those of a class. Finer ones may be too thin for
-    /// ever, and are named.
+    /// Whether a step waits for evidence in this cell: the cell of all and those of a class. Finer ones may never have enough
+    /// outcomes and are reported instead.
     pub fn requires_evidence(&self, cell: usize) -> bool {
         self.level(cell).by.iter().all(|&d| d == 0)
     }
 
-    /// The class of a cell that tells classes apart.
+    /// The cell's class, if its level separates classes.
     pub fn class(&self, cell: usize) -> Option<usize> {
         let level = self.level(cell);
         let at = level.by.iter().position(|&d| d == 0)?;
@@ -134,7 +134,7 @@
         Some((cell - level.first) / behind % self.dimensions[0].values.len())
     }
 
-    /// Its name: `all`, or `class=acknowledge shire=kununurra`.
+    /// The cell's name: `all`, or `class=acknowledge shire=kununurra`.
     pub fn name(&self, cell: usize) -> String {
         let level = self.level(cell);
         let mut rest = cell - level.first;
@@ -152,7 +152,7 @@
         }
     }
 
-    /// A cell by its name.
+    /// Finds a cell by its name.
     pub fn find(&self, name: &str) -> Option<usize> {
         (0..self.count).find(|&c| self.name(c) == name)
     }
--- a/crates/shift/src/controller.rs
+++ b/crates/shift/src/controller.rs
@@ -14,16 +14,16 @@
 /// Interval between evaluations of a shift.
 pub const EVALUATION_INTERVAL: Nanos = 250_000_000;
 /// Number of evaluations over which rates are averaged.
-const AVERAGE: f64 = 16.0;
+const AVERAGED_EVALUATIONS: f64 = 16.0;
 /// A zone counts as unreachable after this many recent attempts on the old pool's servers there, of which the part below
 /// failed or timed out. Failures of the new pool's servers alone are attributed to those servers.
-const CUT_LEAST: f64 = 5.0;
-const CUT_PART: f64 = 0.8;
+const UNREACHABLE_MIN_ATTEMPTS: f64 = 5.0;
+const UNREACHABLE_FAILURE_RATE: f64 = 0.8;
 /// Servers are given this multiple of the load they were observed to carry in time: after a restart during a shift only a
 /// part of it is observed, and without a margin it would never grow.
-const EXPLORED: f64 = 1.25;
+const EXPLORATION_MARGIN: f64 = 1.25;
 /// Capacity per unit of size that is assumed before any was observed.
-const UNKNOWN: f64 = 1e9;
+const UNKNOWN_CAPACITY: f64 = 1e9;
 
 /// A server of the list.
 #[derive(Clone, Copy, Debug)]
@@ -42,16 +42,16 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Flow {
+struct RateMeter {
     /// Requests since the last evaluation, and the average rate per second.
     counted: f64,
     rate: f64,
 }
 
-impl Flow {
-    fn look(&mut self) {
+impl RateMeter {
+    fn roll(&mut self) {
         let now = std::mem::take(&mut self.counted) * 1e9 / EVALUATION_INTERVAL as f64;
-        self.rate += (now - self.rate) / AVERAGE;
+        self.rate += (now - self.rate) / AVERAGED_EVALUATIONS;
     }
 }
 
@@ -73,26 +73,26 @@
     pub roster: PoolMembership,
     names: BTreeMap<String, Endpoint>,
     members: BTreeMap<Endpoint, Member>,
-    next: u32,
+    next_number: u32,
     groups: Vec<Vec<usize>>,
-    home: usize,
+    own_zone: usize,
     zones: usize,
     sizes_known: bool,
-    cold: (f64, Nanos),
-    aims: Vec<Nanos>,
+    slow_start: (f64, Nanos),
+    latency_targets: Vec<Nanos>,
     nodes: f64,
     salt: u64,
-    load: Vec<Flow>,
-    took: Vec<f64>,
+    load: Vec<RateMeter>,
+    mean_latency: Vec<f64>,
     /// Work answered by the old and the new pool, and the part of it that was late.
-    served: [Flow; 2],
-    late: [Flow; 2],
+    served: [RateMeter; 2],
+    late: [RateMeter; 2],
     /// Attempts on the old pool by zone, and those that failed or timed out.
-    tried: Vec<[Flow; 2]>,
-    carried: ObservedCapacity,
+    old_attempts: Vec<[RateMeter; 2]>,
+    observed_capacity: ObservedCapacity,
     /// The old pool's size at the start of the shift.
-    whole: f64,
-    told: Option<TrafficSplit>,
+    old_size_at_start: f64,
+    applied_split: Option<TrafficSplit>,
 }
 
 impl ShiftController {
@@ -112,50 +112,50 @@
             groups: known.chain([unknown]).collect(),
             names: BTreeMap::new(),
             members: BTreeMap::new(),
-            next: 0,
-            home: usize::from(settings.zone),
+            next_number: 0,
+            own_zone: usize::from(settings.zone),
             zones,
             sizes_known: settings.sizes_known,
-            cold: (settings.initial_capacity, settings.ramp),
-            aims: settings.classes.iter().map(|c| c.latency_target).collect(),
+            slow_start: (settings.initial_capacity, settings.ramp),
+            latency_targets: settings.classes.iter().map(|c| c.latency_target).collect(),
             nodes: f64::from(settings.group_size),
             salt: rollout.settings.salt(),
-            load: vec![Flow::default(); settings.classes.len()],
-            took: settings.classes.iter().map(|c| c.latency_target as f64 / 3.0).collect(),
-            served: [Flow::default(); 2],
-            late: [Flow::default(); 2],
-            tried: vec![[Flow::default(); 2]; zones],
-            carried: ObservedCapacity::default(),
-            whole: 0.0,
-            told: None,
+            load: vec![RateMeter::default(); settings.classes.len()],
+            mean_latency: settings.classes.iter().map(|c| c.latency_target as f64 / 3.0).collect(),
+            served: [RateMeter::default(); 2],
+            late: [RateMeter::default(); 2],
+            old_attempts: vec![[RateMeter::default(); 2]; zones],
+            observed_capacity: ObservedCapacity::default(),
+            old_size_at_start: 0.0,
+            applied_split: None,
             roster: PoolMembership::default(),
             rollout,
         }
     }
 
     /// Applies a server list; a full one (`whole`) removes the servers it does not name.
-    pub fn update_list<'a>(&mut self, whole: bool, told: impl Iterator<Item = ListedServer<'a>>) {
+    pub fn update_list<'a>(&mut self, whole: bool, servers: impl Iterator<Item = ListedServer<'a>>) {
         let mut seen = Vec::new();
-        for told in told {
-            let id = told.labels.id;
-            seen.push(told.server.endpoint);
-            if told.server.phase == Phase::Removed {
+        for listed in servers {
+            let id = listed.labels.id;
+            seen.push(listed.server.endpoint);
+            if listed.server.phase == Phase::Removed {
                 self.forget(id);
                 continue;
             }
-            let found = self.roster.insert(&self.rollout.settings.pools, &told.labels);
-            let next = self.next;
-            let member = self.members.entry(told.server.endpoint).or_insert_with(|| {
-                self.next += 1;
-                Member { number: next, found, server: told.server }
+            let found = self.roster.insert(&self.rollout.settings.pools, &listed.labels);
+            let next = self.next_number;
+            let member = self.members.entry(listed.server.endpoint).or_insert_with(|| {
+                self.next_number += 1;
+                Member { number: next, found, server: listed.server }
             });
-            (member.found, member.server) = (found, told.server);
-            self.names.insert(id.to_owned(), told.server.endpoint);
+            (member.found, member.server) = (found, listed.server);
+            self.names.insert(id.to_owned(), listed.server.endpoint);
         }
         if whole {
             let absent = |(_, e): &(&String, &Endpoint)| !seen.contains(e);
-            let gone: Vec<String> = self.names.iter().filter(absent).map(|(n, _)| n.clone()).collect();
-            gone.iter().for_each(|id| self.forget(id));
+            let removed: Vec<String> = self.names.iter().filter(absent).map(|(n, _)| n.clone()).collect();
+            removed.iter().for_each(|id| self.forget(id));
         }
     }
 
@@ -188,8 +188,8 @@
         position::of_key(self.salt, key)
     }
 
-    fn warmth(&self, now: Nanos, server: &Server) -> f64 {
-        let (from, ramp) = self.cold;
+    fn capacity_fraction(&self, now: Nanos, server: &Server) -> f64 {
+        let (from, ramp) = self.slow_start;
         server.capacity_fraction(now, from, ramp)
     }
 
@@ -223,10 +223,10 @@
         request: &Request,
         (server, number): (Endpoint, usize),
         (sent_at, took): (Nanos, Nanos),
-        ending: AttemptOutcome,
+        outcome: AttemptOutcome,
     ) {
         let Some(member) = self.members.get(&server).copied() else { return };
-        let end = match ending {
+        let end = match outcome {
             AttemptOutcome::Ok => AttemptResult::Served,
             AttemptOutcome::Error | AttemptOutcome::Reset | AttemptOutcome::ConnectFailed => {
                 AttemptResult::Failed
@@ -236,9 +236,9 @@
             AttemptOutcome::Cancelled | AttemptOutcome::NotSent => AttemptResult::Cancelled,
         };
         let (class, zone) = (usize::from(request.class), usize::from(member.server.zone));
-        let aim = self.aims.get(class).copied().unwrap_or(0);
-        self.tally(member.found.pool, class, zone, end, took, aim);
-        let cold = self.warmth(sent_at, &member.server) < 1.0;
+        let aim = self.latency_targets.get(class).copied().unwrap_or(0);
+        self.record_work(member.found.pool, class, zone, end, took, aim);
+        let cold = self.capacity_fraction(sent_at, &member.server) < 1.0;
         let again = number > 0 || request.is_retry;
         let at = (request.tenant as usize).min(self.groups.len() - 1);
         let PoolMatch { pool, ambiguous } = member.found;
@@ -259,11 +259,19 @@
         });
     }
 
-    fn tally(&mut self, pool: Pool, class: usize, zone: usize, end: AttemptResult, took: Nanos, aim: Nanos) {
+    fn record_work(
+        &mut self,
+        pool: Pool,
+        class: usize,
+        zone: usize,
+        end: AttemptResult,
+        took: Nanos,
+        aim: Nanos,
+    ) {
         if pool == Pool::Old {
-            if let Some([all, nobody]) = self.tried.get_mut(zone) {
+            if let Some([all, failed]) = self.old_attempts.get_mut(zone) {
                 all.counted += 1.0;
-                nobody.counted +=
+                failed.counted +=
                     f64::from(u8::from(matches!(end, AttemptResult::TimedOut | AttemptResult::Failed)));
             }
         }
@@ -273,7 +281,7 @@
             (Pool::Old, _) => 0,
             (Pool::New, _) => 1,
         };
-        if let Some(mean) = self.took.get_mut(class) {
+        if let Some(mean) = self.mean_latency.get_mut(class) {
             *mean += (took as f64 - *mean) * 0.01;
         }
         self.served[side].counted += self.work(class);
@@ -282,26 +290,26 @@
 
     /// Relative work of a request of the class, 1 being the mean, estimated from its response time.
     fn work(&self, class: usize) -> f64 {
-        let mean = self.took.iter().sum::<f64>() / self.took.len().max(1) as f64;
-        self.took.get(class).map_or(1.0, |t| t / mean.max(1.0)).clamp(0.05, 20.0)
+        let mean = self.mean_latency.iter().sum::<f64>() / self.mean_latency.len().max(1) as f64;
+        self.mean_latency.get(class).map_or(1.0, |t| t / mean.max(1.0)).clamp(0.05, 20.0)
     }
 
     /// Applies an operator's command.
-    pub fn apply_command(&mut self, now: Nanos, word: &Command) -> Result<Evaluation, CommandError> {
-        let change = self.rollout.apply_command(now, word)?;
+    pub fn apply_command(&mut self, now: Nanos, command: &Command) -> Result<Evaluation, CommandError> {
+        let change = self.rollout.apply_command(now, command)?;
         Ok(Evaluation { changes: vec![change], split: self.split() })
     }
 
     /// Evaluates pools and evidence; due every [`EVALUATION_INTERVAL`]. `no_planner`: planners are configured, none reachable.
     pub fn evaluate(&mut self, now: Nanos, no_planner: bool) -> Evaluation {
         let flows = self.load.iter_mut().chain(&mut self.served).chain(&mut self.late);
-        flows.chain(self.tried.iter_mut().flatten()).for_each(Flow::look);
-        let sight = PoolStatus { no_planner, ..self.sight(now) };
-        let changes = self.rollout.tick(now, sight);
+        flows.chain(self.old_attempts.iter_mut().flatten()).for_each(RateMeter::roll);
+        let pool_status = PoolStatus { no_planner, ..self.pool_status(now) };
+        let changes = self.rollout.tick(now, pool_status);
         Evaluation { changes, split: self.split() }
     }
 
-    fn sight(&mut self, now: Nanos) -> PoolStatus {
+    fn pool_status(&mut self, now: Nanos) -> PoolStatus {
         let mut zones = vec![Zone::default(); self.zones.max(1)];
         let mut sizes = [0.0; 2];
         let mut counts = [0; 2];
@@ -313,11 +321,12 @@
                 Pool::New => (1, &mut zone.new),
                 Pool::Outside => continue,
             };
-            let (size, warmth) = (self.size(&member.server), self.warmth(now, &member.server));
+            let (size, capacity_fraction) =
+                (self.size(&member.server), self.capacity_fraction(now, &member.server));
             counts[side] += 1;
-            sizes[side] += size * warmth;
-            if warmth < 1.0 {
-                strength.cold += size * warmth;
+            sizes[side] += size * capacity_fraction;
+            if capacity_fraction < 1.0 {
+                strength.cold += size * capacity_fraction;
             } else {
                 strength.warm += size;
             }
@@ -326,40 +335,41 @@
         let comparable = 2 * counts[1] >= counts[0];
         for (side, size) in sizes.into_iter().enumerate().filter(|(side, _)| *side == 0 || comparable) {
             let (served, late) = (self.served[side].rate, self.late[side].rate);
-            self.carried.observe(served, size, late / served.max(1e-9));
+            self.observed_capacity.observe(served, size, late / served.max(1e-9));
         }
         // After a restart the old pool is assumed to be complete as found.
-        if !self.rollout.state().on() || self.whole == 0.0 {
-            self.whole = sizes[0];
+        if !self.rollout.state().on() || self.old_size_at_start == 0.0 {
+            self.old_size_at_start = sizes[0];
         }
         let rates: Vec<f64> = self.load.iter().enumerate().map(|(c, f)| f.rate * self.work(c)).collect();
         let load: f64 = rates.iter().sum();
-        let each = match self.rollout.settings.server_rate {
+        let per_unit = match self.rollout.settings.server_rate {
             Some(rate) => rate / self.nodes,
-            None if self.carried.each() > 0.0 => EXPLORED * self.carried.each(),
-            None => UNKNOWN,
+            None if self.observed_capacity.each() > 0.0 => EXPLORATION_MARGIN * self.observed_capacity.each(),
+            None => UNKNOWN_CAPACITY,
         };
-        // A pool that carried all load at the start can take it back, in proportion to what is left of it.
-        let held = if self.whole > 0.0 { load / self.whole / 0.9 } else { 0.0 };
-        // The old pool's servers carried their load with more servers to choose from.
-        let apart = (usable_fraction(counts[1]) / usable_fraction(counts[0])).min(1.0);
+        // A pool that observed_capacity all load at the start can take it back, in proportion to what is left of it.
+        let reclaimable =
+            if self.old_size_at_start > 0.0 { load / self.old_size_at_start / 0.9 } else { 0.0 };
+        // The old pool's servers observed_capacity their load with more servers to choose from.
+        let staffing_ratio = (usable_fraction(counts[1]) / usable_fraction(counts[0])).min(1.0);
         let scale = |s: PoolCapacity, by: f64| PoolCapacity { warm: s.warm * by, cold: s.cold * by };
         for zone in &mut zones {
-            zone.old = scale(zone.old, each.max(held));
-            zone.new = scale(zone.new, each * apart);
+            zone.old = scale(zone.old, per_unit.max(reclaimable));
+            zone.new = scale(zone.new, per_unit * staffing_ratio);
             zone.load = vec![0.0; rates.len()];
         }
-        let home = self.home.min(zones.len() - 1);
-        zones[home].load = rates;
-        let cut = |[all, nobody]: &[Flow; 2]| {
-            all.rate * AVERAGE * EVALUATION_INTERVAL as f64 / 1e9 >= CUT_LEAST
-                && nobody.rate >= CUT_PART * all.rate
+        let own_zone = self.own_zone.min(zones.len() - 1);
+        zones[own_zone].load = rates;
+        let is_unreachable = |[all, failed]: &[RateMeter; 2]| {
+            all.rate * AVERAGED_EVALUATIONS * EVALUATION_INTERVAL as f64 / 1e9 >= UNREACHABLE_MIN_ATTEMPTS
+                && failed.rate >= UNREACHABLE_FAILURE_RATE * all.rate
         };
         PoolStatus {
             zones,
             old: counts[0],
             new: counts[1],
-            cut_off: self.tried.iter().any(cut),
+            cut_off: self.old_attempts.iter().any(is_unreachable),
             no_planner: false,
         }
     }
@@ -375,8 +385,8 @@
                 .map(|(e, m)| (*e, m.found.pool == Pool::New))
                 .collect(),
         });
-        (split != self.told).then(|| {
-            self.told = split.clone();
+        (split != self.applied_split).then(|| {
+            self.applied_split = split.clone();
             split
         })
     }
@@ -384,8 +394,8 @@
     /// The traffic split to apply after a list update, before any request is sent.
     pub fn split_after_list_update(&mut self) -> Option<Option<TrafficSplit>> {
         // The module assigns newly listed servers to no pool.
-        self.told.is_some().then(|| {
-            self.told = None;
+        self.applied_split.is_some().then(|| {
+            self.applied_split = None;
             self.split().unwrap_or(None)
         })
     }
--- a/crates/shift/src/explain.rs
+++ b/crates/shift/src/explain.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use std::fmt::Write;
 
-/// Cells that a status names, the most doubtful first.
+/// Maximum number of comparisons in a status, strongest evidence first.
 pub const MAX_ROWS: usize = 64;
 
 /// One comparison.
@@ -31,14 +31,14 @@
 pub struct Status {
     /// The shift.
     pub name: String,
-    /// Its state in a word.
+    /// The name of its state.
     pub state: String,
-    /// Since so many seconds.
+    /// Time in the state, in seconds.
     pub seconds: f64,
     /// The step, from 1, and how many there are.
     #[serde(rename = "rung")]
     pub step: (usize, usize),
-    /// Classes with the share that goes to the new pool now, and that of the step.
+    /// Each class with its current share and that of the step.
     pub shares: Vec<(String, f64, f64)>,
     /// Servers that take work, old and new.
     #[serde(rename = "boxes")]
@@ -47,9 +47,9 @@
     pub why: String,
     /// The part of the work that the old pool could not take back.
     pub stays: f64,
-    /// Comparisons, the most doubtful first.
+    /// Comparisons, strongest evidence first.
     pub rows: Vec<Row>,
-    /// Cells too thin to judge on this step.
+    /// Cells with too few outcomes on this step.
     pub thin: Vec<String>,
     /// The last changes of state.
     pub changes: Vec<Change>,
@@ -111,7 +111,7 @@
 }
 
 impl Status {
-    /// A status for a terminal of 80 columns, or for a file: no colour, nothing that only a terminal knows.
+    /// The status as plain text for a terminal of 80 columns or a file.
     pub fn plain(&self, rows: usize) -> String {
         let mut text = String::new();
         // Writing to a string cannot fail.
@@ -162,7 +162,7 @@
         text
     }
 
-    /// The last changes, a line each.
+    /// The history of changes, one per line.
     pub fn history(&self) -> String {
         let mut text = String::new();
         for change in &self.changes {
--- a/crates/shift/src/journal.rs
+++ b/crates/shift/src/journal.rs
@@ -1,8 +1,8 @@
-//! What of a shift outlives the process: its changes of state and its evidence, a line each.
+//! The journal of a shift: its changes of state and its evidence, one record per line.
 //!
-//! A line is the CRC-32 of the rest in eight hexadecimal digits, a space, and a record as JSON. The first names the format
-//! and the shift. A line that is cut short at the end was being written when the process ended: what stood before it
-//! holds, the shift is held, and that is said. A broken line anywhere else makes all that follows it unsound.
+//! A line is the CRC-32 of the record in eight hexadecimal digits, a space and the record as JSON. The first line names the
+//! format and the shift. An incomplete last line is the trace of a crash while writing: the records before it are valid, and
+//! the shift resumes as held. A damaged line anywhere else invalidates the journal.
 
 use crate::analysis::{Comparison, SIGNALS};
 use crate::rollout::{Change, Rollout, State};
@@ -10,9 +10,9 @@
 
 /// The format's number.
 const FORMAT: u32 = 1;
-/// A journal above this is written anew from what it comes to.
+/// Size in bytes above which a journal is compacted.
 pub const COMPACT_AT: usize = 1 << 20;
-/// A journal above this is not read.
+/// Size in bytes above which a journal is not read.
 pub const MAX_BYTES: usize = 64 << 20;
 
 #[derive(Debug, Serialize, Deserialize)]
@@ -26,19 +26,19 @@
 /// Why a journal cannot be replayed.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum JournalError {
-    /// Not a journal, or of a later version.
+    /// Not a journal, or of another format.
     #[error("its first line is not that of a shift's journal in format {FORMAT}")]
     InvalidHeader,
     /// Of another shift.
     #[error("it is the journal of the shift `{0}`")]
     OtherShift(String),
-    /// The file has changed what is told apart.
+    /// The classes or cells differ from the configured ones.
     #[error("it was written for other classes or cells; remove it, or give the shift another name")]
     LayoutChanged,
-    /// Broken in the middle.
+    /// A damaged line before the end.
     #[error("line {0} is damaged and others follow it")]
     Damaged(usize),
-    /// Too large to be one.
+    /// Larger than the limit.
     #[error("it has more than {MAX_BYTES} bytes")]
     TooLarge,
 }
@@ -46,16 +46,16 @@
 /// The result of a replay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplaySummary {
-    /// Sound lines.
+    /// Number of valid lines.
     pub lines: usize,
-    /// Bytes of them: what follows is to be cut off before anything is added.
+    /// Their length in bytes: the file is truncated to it before records are appended.
     pub valid_bytes: usize,
     /// Whether the last record was complete.
     pub complete: bool,
 }
 
 fn line(record: &Record) -> String {
-    // A record holds numbers, text and lists alone: there is always JSON for it.
+    // Records hold only numbers, text and lists, so serialization cannot fail.
     let json = serde_json::to_string(record).unwrap_or_default();
     format!("{:08x} {json}\n", crc32fast::hash(json.as_bytes()))
 }
@@ -76,17 +76,17 @@
     }
 }
 
-/// The first line.
+/// The header line.
 pub fn header(rollout: &Rollout) -> String {
     line(&head(rollout))
 }
 
-/// A change's line.
+/// The line of a change.
 pub fn change_line(change: &Change) -> String {
     line(&Record::Change(change.clone()))
 }
 
-/// The evidence as it stands.
+/// The line of the current evidence.
 pub fn evidence_line(rollout: &Rollout) -> String {
     line(&Record::Evidence(rollout.analysis.export()))
 }
@@ -127,7 +127,7 @@
             (0, _) | (_, Record::Journal { .. }) => return Err(JournalError::InvalidHeader),
             (_, Record::Change(change)) => {
                 if change.state == State::Waiting {
-                    // A start, or a start anew: what was seen before it does not count.
+                    // Evidence from before a start or restart does not count.
                     kept = None;
                 }
                 changes.push(change);
--- a/crates/shift/src/pool.rs
+++ b/crates/shift/src/pool.rs
@@ -58,7 +58,7 @@
         patterns.iter().all(|p| p.is_empty()) && self.networks.is_empty() && self.metadata.is_empty()
     }
 
-    /// Whether all of its conditions hold.
+    /// Whether all conditions match.
     pub fn matches(&self, labels: &ServerLabels<'_>) -> bool {
         let any = |patterns: &[WildMatch], text: &str| {
             patterns.is_empty() || patterns.iter().any(|p| p.matches(text))
@@ -95,8 +95,8 @@
 }
 
 impl Pools {
-    /// The pool of a server. One that changes its pool under way is of its new pool for all that is sent from then on; what
-    /// was sent before counts for the pool it had then.
+    /// Classifies a server. If its pool changes, the new one applies to later attempts; earlier ones count for the pool they
+    /// were sent to.
     pub fn classify(&self, labels: &ServerLabels<'_>) -> PoolMatch {
         match (self.old.matches(labels), self.new.matches(labels)) {
             (true, true) => PoolMatch { pool: Pool::Old, ambiguous: true },
@@ -107,11 +107,11 @@
     }
 }
 
-/// The pools of all servers that the list names, kept as it changes. Bounded by the list.
+/// The pools of all listed servers.
 #[derive(Clone, Debug, Default)]
 pub struct PoolMembership {
     boxes: BTreeMap<String, PoolMatch>,
-    /// Servers that changed their pool under way.
+    /// Number of changes of a server's pool.
     pub pool_changes: u64,
 }
 
@@ -144,7 +144,7 @@
         self.boxes.iter().filter(move |(_, f)| f.pool == pool).map(|(id, _)| id.as_str())
     }
 
-    /// Servers that both predicates hold for, by name.
+    /// Servers that both predicates match, by name.
     pub fn ambiguous_servers(&self) -> impl Iterator<Item = &str> {
         self.boxes.iter().filter(|(_, f)| f.ambiguous).map(|(id, _)| id.as_str())
     }
--- a/crates/shift/src/position.rs
+++ b/crates/shift/src/position.rs
@@ -1,10 +1,10 @@
 //! Positions of requests on a hash ring. A request goes to the new pool if its position is below the share. Positions are
 //! the same at every node and share, so that sessions move once as the share grows and return once on an undo.
 
-/// A place on the hash, from 0 to `u32::MAX`.
+/// A position on the ring, from 0 to `u32::MAX`.
 pub type Place = u32;
 
-/// The place of a session. `salt` is the shift's own: the sessions that go first are not the same at every shift.
+/// The position of a session key. Each shift has its own `salt`, so that the first sessions to move differ.
 pub fn of_key(salt: u64, key: u64) -> Place {
     // The finaliser of SplitMix64 (Steele, Lea, Flood: Fast splittable pseudorandom number generators, 2014).
     let mut mixed = (key ^ salt).wrapping_add(0x9E37_79B9_7F4A_7C15);
--- a/crates/shift/src/settings.rs
+++ b/crates/shift/src/settings.rs
@@ -6,12 +6,12 @@
 use crate::Nanos;
 use wildmatch::WildMatch;
 
-/// The shares that a shift goes through where the file names none.
+/// The default steps, as shares.
 pub const STEPS: [f64; 5] = [0.01, 0.05, 0.20, 0.50, 1.0];
-/// Steps at most.
+/// Maximum number of steps.
 pub const MAX_STEPS: usize = 32;
 
-/// Tenants told apart by patterns of their names; the first group that matches counts, `other` for the rest.
+/// Groups tenants by patterns of their names; the first matching group counts, `other` is for the rest.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Split {
     /// Its name, such as `shire`.
@@ -21,7 +21,7 @@
 }
 
 impl Split {
-    /// The place of a tenant's group; that of `other` where none matches.
+    /// The index of a tenant's group; that of `other` if none matches.
     pub fn group_index(&self, tenant: &str) -> usize {
         let at = self.groups.iter().position(|(_, patterns)| patterns.iter().any(|p| p.matches(tenant)));
         at.unwrap_or(self.groups.len())
@@ -33,56 +33,56 @@
     }
 }
 
-/// What happens on an alarm.
+/// The reaction to an alarm.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OnAlarm {
-    /// Halt, and take everything back.
+    /// Undo the shift.
     Undo,
-    /// Halt, and wait for an operator.
+    /// Hold, and wait for an operator.
     Hold,
 }
 
-/// A shift.
+/// The settings of a shift.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ShiftSettings {
-    /// Its name: journals and words are of this shift alone.
+    /// Its name, which journals and commands refer to.
     pub name: String,
     /// Its pools.
     pub pools: Pools,
-    /// Shares in their order, from above 0 to 1.
+    /// The share of each step, rising from above 0 to 1.
     pub steps: Vec<f64>,
-    /// Steps by which a class comes later than the first, by its place in the settings.
+    /// Number of steps by which each class lags behind, by class index.
     pub class_delays: Vec<usize>,
     /// Names of the classes.
     pub classes: Vec<String>,
     /// Names of the zones.
     pub zones: Vec<String>,
-    /// What tells tenants apart.
+    /// Groupings of tenants.
     pub splits: Vec<Split>,
-    /// How the judge is set.
+    /// The statistical bounds.
     pub bounds: Bounds,
-    /// The least fault of a class that a step is to show before the next one.
+    /// The smallest fault of a class that a step must be able to detect before the next one.
     pub min_detectable_fault: f64,
-    /// A step lasts so long at least.
+    /// Minimum duration of a step.
     pub min_step_time: Nanos,
-    /// The last one does, with all but what is kept back: some faults need their time to show.
+    /// Minimum duration of the last step, with all but the holdback: some faults need time to show.
     pub final_step_time: Nanos,
     /// The part of each class that stays with the old pool until the shift is finished, for comparison.
     pub holdback: f64,
-    /// A hold of its own ends when its cause has been away for so long.
+    /// An automatic hold ends after its cause has been absent for this time.
     pub settle_time: Nanos,
-    /// After an undo a start within this time has to be insisted on.
+    /// A start within this time after an undo has to be forced.
     pub restart_cooldown: Nanos,
-    /// Requests a second that a usual server can do; `None` where nobody knows.
+    /// Requests per second that a server of size 1 can carry; `None` if not configured.
     pub server_rate: Option<f64>,
-    /// See there.
+    /// The reaction to an alarm.
     pub on_alarm: OnAlarm,
 }
 
-/// What is wrong with a shift.
+/// Why settings are invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ShiftError {
-    /// No name, or one that is no file's.
+    /// The name is empty or not usable as a file name.
     #[error("`name` has to have 1 to 64 letters, digits, dots, dashes or underscores")]
     Name,
     /// A predicate without a condition matches every server.
@@ -91,13 +91,13 @@
     /// Both predicates are the same.
     #[error("`old` and `new` name the same boxes")]
     Same,
-    /// The steps make no sense.
+    /// The steps do not rise from above 0 to 1, or are too many.
     #[error("`steps` have to rise from above 0 to 100 percent, {MAX_STEPS} at most")]
     Steps,
     /// A number out of its range.
     #[error("`{0}` has to be {1}")]
     Range(&'static str, &'static str),
-    /// Cells cannot be made.
+    /// The cells cannot be created.
     #[error("cells: {0}")]
     Cells(#[from] CellsError),
 }
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Refuses what cannot be acted on.
+    /// Checks the settings.
     pub fn validate(&self) -> Result<(), ShiftError> {
         let letter = |c: char| c.is_ascii_alphanumeric() || "._-".contains(c);
         if self.name.is_empty() || self.name.len() > 64 || !self.name.chars().all(letter) {
@@ -166,7 +166,7 @@
         self.cells().map(drop).map_err(ShiftError::Cells)
     }
 
-    /// What is judged apart.
+    /// The cells that are compared.
     pub fn cells(&self) -> Result<Cells, CellsError> {
         let named = |name: &str, values: Vec<String>| Dimension { name: name.to_owned(), values };
         let mut dimensions = vec![
@@ -178,7 +178,7 @@
         Cells::new(dimensions)
     }
 
-    /// Rungs that the shift climbs: its steps, and those by which the last class is behind.
+    /// The number of steps, including those by which the last class lags behind.
     pub fn step_count(&self) -> usize {
         self.steps.len() + self.class_delays.iter().copied().max().unwrap_or(0)
     }
@@ -192,7 +192,7 @@
         self.class_delays.iter().map(share).collect()
     }
 
-    /// The salt of its hash.
+    /// The salt of split positions, derived from the name.
     pub fn salt(&self) -> u64 {
         let crc = u64::from(crc32fast::hash(self.name.as_bytes()));
         crc << 32 | crc
--- a/crates/shift/tests/common/mod.rs
+++ b/crates/shift/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A shift by hand.
+//! Fixtures that drive a shift without a network.
 #![allow(dead_code)]
 
 use laurelroute_shift::capacity::{PoolCapacity, Zone};
@@ -25,12 +25,12 @@
     settings
 }
 
-pub fn word(verb: Verb) -> Command {
+pub fn command(verb: Verb) -> Command {
     Command { verb, who: "kim".into(), why: "because".into(), insist: false }
 }
 
-/// Pools that can carry so many times the load of 100.
-pub fn sight(old: f64, new: f64) -> PoolStatus {
+/// Pools whose capacity is a multiple of the load of 100.
+pub fn pool_status(old: f64, new: f64) -> PoolStatus {
     let strength = |times: f64| PoolCapacity { warm: 100.0 * times, cold: 0.0 };
     let zone = Zone { load: vec![80.0, 20.0], old: strength(old), new: strength(new) };
     let boxes = |times: f64| if times > 0.0 { 4 } else { 0 };
@@ -42,31 +42,31 @@
     }
 }
 
-pub struct Bed {
+pub struct Fixture {
     pub rollout: Rollout,
     pub now: u64,
     rng: Pcg64Mcg,
 }
 
-impl Bed {
-    pub fn new(settings: ShiftSettings, seed: u64) -> Bed {
+impl Fixture {
+    pub fn new(settings: ShiftSettings, seed: u64) -> Fixture {
         let rollout = Rollout::new(settings).expect("sound settings");
-        Bed { rollout, now: 1000 * S, rng: Pcg64Mcg::seed_from_u64(seed) }
+        Fixture { rollout, now: 1000 * S, rng: Pcg64Mcg::seed_from_u64(seed) }
     }
 
-    pub fn started(seed: u64) -> Bed {
-        let mut bed = Bed::new(settings(), seed);
-        bed.rollout.apply_command(bed.now, &word(Verb::Start)).expect("a start");
-        bed.rollout.tick(bed.now, sight(3.0, 3.0));
-        bed
+    pub fn started(seed: u64) -> Fixture {
+        let mut fixture = Fixture::new(settings(), seed);
+        fixture.rollout.apply_command(fixture.now, &command(Verb::Start)).expect("a start");
+        fixture.rollout.tick(fixture.now, pool_status(3.0, 3.0));
+        fixture
     }
 
     fn chance(&mut self, p: f64) -> bool {
         f64::from(self.rng.next_u32()) < p * f64::from(u32::MAX)
     }
 
-    /// A second of 1,000 requests of which the pools fail these parts, acknowledge being one in five.
-    pub fn second(&mut self, old: [f64; 2], new: [f64; 2], sight: PoolStatus) {
+    /// Runs one second of 1,000 requests, one in five of class acknowledge, with these failure rates by pool and class.
+    pub fn run_second(&mut self, old: [f64; 2], new: [f64; 2], pool_status: PoolStatus) {
         for k in 0..1000u32 {
             let class = usize::from(k % 5 == 0);
             let pool = if self.chance(self.rollout.shares()[class]) { Pool::New } else { Pool::Old };
@@ -88,12 +88,12 @@
             });
         }
         self.now += S;
-        self.rollout.tick(self.now, sight);
+        self.rollout.tick(self.now, pool_status);
     }
 
-    pub fn sound(&mut self, seconds: u32) {
+    pub fn run_healthy(&mut self, seconds: u32) {
         for _ in 0..seconds {
-            self.second([0.001; 2], [0.001; 2], sight(3.0, 3.0));
+            self.run_second([0.001; 2], [0.001; 2], pool_status(3.0, 3.0));
         }
     }
 }
--- a/crates/shift/tests/journal.rs
+++ b/crates/shift/tests/journal.rs
@@ -1,4 +1,4 @@
-//! A shift goes on where its journal ends, however that was written.
+//! A shift resumes from its journal, also from a damaged one.
 
 mod common;
 
@@ -6,17 +6,17 @@
 use laurelroute_shift::journal::{self, JournalError};
 use laurelroute_shift::rollout::{Change, HoldReason, Rollout, State, Verb};
 
-/// A shift on its third step, and its journal.
-fn written() -> (Bed, Vec<u8>) {
-    let mut bed = Bed::started(1);
-    while bed.rollout.step() < 2 {
-        bed.sound(1);
+/// A shift on its third step and its journal.
+fn journaled_shift() -> (Fixture, Vec<u8>) {
+    let mut fixture = Fixture::started(1);
+    while fixture.rollout.step() < 2 {
+        fixture.run_healthy(1);
     }
-    let changes: Vec<Change> = bed.rollout.changes().cloned().collect();
-    let mut text = journal::header(&bed.rollout);
+    let changes: Vec<Change> = fixture.rollout.changes().cloned().collect();
+    let mut text = journal::header(&fixture.rollout);
     text.extend(changes.iter().map(journal::change_line));
-    text += &journal::evidence_line(&bed.rollout);
-    (bed, text.into_bytes())
+    text += &journal::evidence_line(&fixture.rollout);
+    (fixture, text.into_bytes())
 }
 
 fn read(bytes: &[u8]) -> (Result<journal::ReplaySummary, JournalError>, Rollout) {
@@ -25,21 +25,21 @@
 }
 
 #[test]
-fn it_goes_on_where_it_was() {
-    let (bed, bytes) = written();
+fn replay_restores_the_last_state() {
+    let (fixture, bytes) = journaled_shift();
     let (read, rollout) = read(&bytes);
     assert!(read.unwrap().complete);
     assert_eq!((rollout.step(), rollout.state()), (2, &State::Step { step: 2 }));
-    assert_eq!(rollout.changes().count(), bed.rollout.changes().count());
+    assert_eq!(rollout.changes().count(), fixture.rollout.changes().count());
     let signal = laurelroute_shift::analysis::Signal::Failed;
-    let (was, is) = (bed.rollout.analysis.comparison(0, signal), rollout.analysis.comparison(0, signal));
+    let (was, is) = (fixture.rollout.analysis.comparison(0, signal), rollout.analysis.comparison(0, signal));
     assert_eq!((was.old, was.new, was.evidence()), (is.old, is.new, is.evidence()));
     assert_eq!(is.new_in_step.of, 0, "the step's evidence is gathered anew");
 }
 
 #[test]
-fn cut_anywhere_it_is_held_or_goes_on_and_never_climbs() {
-    let (_, bytes) = written();
+fn a_truncated_journal_resumes_or_holds_and_never_advances() {
+    let (_, bytes) = journaled_shift();
     let head = bytes.iter().position(|b| *b == b'\n').unwrap();
     for at in (0..bytes.len()).step_by(7) {
         let (read, rollout) = read(&bytes[..at]);
@@ -58,8 +58,8 @@
 }
 
 #[test]
-fn a_flipped_bit_is_found_and_named() {
-    let (_, bytes) = written();
+fn a_flipped_bit_is_detected_and_its_line_reported() {
+    let (_, bytes) = journaled_shift();
     let lines = bytes.iter().filter(|b| **b == b'\n').count();
     for at in (0..bytes.len()).step_by(97) {
         let mut bad = bytes.clone();
@@ -74,8 +74,8 @@
 }
 
 #[test]
-fn others_journals_are_refused() {
-    let (_, bytes) = written();
+fn journals_of_other_shifts_are_rejected() {
+    let (_, bytes) = journaled_shift();
     let mut other = settings();
     other.name = "release-43".into();
     let mut rollout = Rollout::new(other).unwrap();
@@ -89,13 +89,13 @@
 }
 
 #[test]
-fn a_restart_after_an_undo_stays_undone_and_rests() {
-    let (mut bed, mut bytes) = written();
-    let change = bed.rollout.apply_command(bed.now, &word(Verb::Undo)).unwrap();
+fn an_undone_shift_stays_undone_and_cools_down_after_a_restart() {
+    let (mut fixture, mut bytes) = journaled_shift();
+    let change = fixture.rollout.apply_command(fixture.now, &command(Verb::Undo)).unwrap();
     bytes.extend(journal::change_line(&change).into_bytes());
     let (_, mut rollout) = read(&bytes);
     assert_eq!((rollout.state(), rollout.shares()), (&State::Undone, &[0.0, 0.0][..]));
-    assert!(rollout.apply_command(bed.now + S, &word(Verb::Start)).is_err());
+    assert!(rollout.apply_command(fixture.now + S, &command(Verb::Start)).is_err());
     let compacted = journal::compacted(&rollout);
     let (_, again) = read(compacted.as_bytes());
     assert_eq!(again.state(), &State::Undone);
--- a/crates/shift/tests/judge.rs
+++ b/crates/shift/tests/judge.rs
@@ -1,4 +1,4 @@
-//! The test itself: its false alarms, what it sees, whose fault it says it is; pools, places, capacity.
+//! The statistical test: false alarms, detection and blame; also pools, split positions and capacity.
 
 mod common;
 
@@ -25,7 +25,7 @@
     CanaryAnalysis::new(cells, Bounds { false_alarm_rate, tolerance: 0.0, min_outcomes: 30 })
 }
 
-/// Plays batches, looked at after each; whether it ever alarms.
+/// Records batches, evaluating after each; returns whether an alarm is ever raised.
 fn alarms(judge: &mut CanaryAnalysis, seed: u64, rate: impl Fn(Pool, u32, &[usize], u32) -> f64) -> bool {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut draw = move || f64::from(rng.next_u32()) / f64::from(u32::MAX);
@@ -47,15 +47,15 @@
 }
 
 #[test]
-fn false_alarms_stay_under_the_stated_rate_however_often_it_is_looked_at() {
-    // A rate of a half, so that too many would show in few seeds; both pools swing together.
+fn false_alarms_stay_below_the_rate_under_repeated_evaluation() {
+    // A high rate, so that an excess shows with few seeds; the failure rate of both pools varies together.
     let swing = |_: Pool, batch: u32, _: &[usize], _: u32| 0.05 + 0.2 * f64::from(batch % 7) / 7.0;
     let false_ones = (0..100).filter(|&seed| alarms(&mut judge(0.4), seed, swing)).count();
     assert!(false_ones <= 40, "{false_ones} of 100");
 }
 
 #[test]
-fn one_bad_cell_of_27_is_seen_and_named() {
+fn one_bad_cell_of_27_is_detected_and_named() {
     for seed in 0..10 {
         let mut judge = judge(0.01);
         let one =
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn it_tells_two_bad_boxes_from_a_bad_release() {
+fn two_bad_servers_are_told_from_a_bad_release() {
     let (mut boxes, mut release) = (judge(0.01), judge(0.01));
     let two = |pool, _, _: &[usize], server| if pool == Pool::New && server < 2 { 0.6 } else { 0.01 };
     assert!(alarms(&mut boxes, 1, two));
@@ -80,21 +80,21 @@
 }
 
 #[test]
-fn what_it_is_said_to_need_is_about_what_it_needs() {
+fn required_outcomes_and_detectable_fault_agree() {
     for fault in [0.05, 0.2, 0.5] {
         let judge = judge(0.01);
         let needs = judge.required_outcomes(0, 0.01, fault);
         assert!(judge.would_detect(0, 0.01, fault, (8 * needs, needs)));
         assert!(!judge.would_detect(0, 0.01, fault, (8 * (needs - 1), needs - 1)));
         let least = judge.detectable_fault(0, 0.01, (8 * needs, needs)).unwrap();
-        // Large faults want a few requests only, and one more or less is a tenth of them.
+        // Large faults need few requests, and one more or less is a tenth of them.
         assert!((least / fault - 1.0).abs() < 0.1, "{least} for {fault}");
     }
     assert_eq!(judge(0.01).detectable_fault(0, 0.01, (100, 1)), None);
 }
 
 #[test]
-fn sums_of_forwarders_are_judged_as_one() {
+fn merged_outcomes_of_forwarders_give_the_same_evidence() {
     let (mut whole, mut sum) = (judge(0.01), judge(0.01));
     let mut parts = [judge(0.01), judge(0.01), judge(0.01)];
     let mut rng = Pcg64Mcg::seed_from_u64(3);
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn too_many_cells_are_refused() {
+fn too_many_cells_are_rejected() {
     let values = |n: usize| (0..n).map(|k| k.to_string()).collect::<Vec<_>>();
     let dimension = |n| Dimension { name: format!("d{n}"), values: values(n) };
     let error = Cells::new(vec![dimension(10), dimension(100), dimension(20)]).unwrap_err();
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn boxes_in_two_pools_in_none_and_changing_have_their_answers() {
+fn servers_in_both_pools_in_none_and_changing_pools_are_classified() {
     let none = BTreeMap::new();
     let ring = BTreeMap::from([("ring".to_owned(), "canary".to_owned())]);
     let version =
@@ -148,7 +148,7 @@
     let pools = Pools { old: version("4*"), new: version("42") };
     let mut roster = PoolMembership::default();
     let both = roster.insert(&pools, &labels("x", "42", &none));
-    assert_eq!((both.pool, both.ambiguous), (Pool::Old, true), "it is known to serve, and proves nothing");
+    assert_eq!((both.pool, both.ambiguous), (Pool::Old, true), "counts as old, but is no evidence");
     assert_eq!(roster.insert(&pools, &labels("y", "39", &none)).pool, Pool::Outside);
     assert_eq!(roster.insert(&pools, &labels("y", "41", &none)).pool, Pool::Old);
     assert_eq!(roster.pool_changes, 1);
@@ -165,9 +165,9 @@
 }
 
 #[test]
-fn uneven_zones_are_solved_for_and_nothing_is_overfilled() {
+fn uneven_zones_are_solved_without_exceeding_capacity() {
     let strength = |warm| PoolCapacity { warm, cold: 0.0 };
-    // The new pool stands in the second zone alone, the load in the first.
+    // The new pool is in the second zone only, the load in the first.
     let zones = [
         Zone { load: vec![60.0, 40.0], old: strength(200.0), new: strength(0.0) },
         Zone { load: vec![0.0, 0.0], old: strength(0.0), new: strength(50.0) },
@@ -180,14 +180,14 @@
     let cold =
         [Zone { load: vec![100.0], old: strength(200.0), new: PoolCapacity { warm: 0.0, cold: 30.0 } }];
     assert!((solve(&cold, &[1.0]).shares[0] - 0.24).abs() < 0.01);
-    assert_eq!(solve(&[], &[0.5]).shares, [0.0], "nobody is there");
+    assert_eq!(solve(&[], &[0.5]).shares, [0.0], "there are no pools");
     let gone = [Zone { load: vec![100.0], old: strength(0.0), new: strength(200.0) }];
     assert_eq!(solve(&gone, &[0.2]).stays, 1.0);
 }
 
 proptest! {
     #[test]
-    fn what_has_moved_stays_moved_as_the_share_grows(key: u64, salt: u64, a in 0.0..=1.0f64, b in 0.0..=1.0f64) {
+    fn moved_sessions_stay_moved_as_the_share_grows(key: u64, salt: u64, a in 0.0..=1.0f64, b in 0.0..=1.0f64) {
         let at = position::of_key(salt, key);
         let (low, high) = (a.min(b), a.max(b));
         prop_assert!(!within(at, low) || within(at, high));
@@ -195,7 +195,7 @@
     }
 
     #[test]
-    fn a_solved_share_never_overfills(
+    fn a_solved_share_never_exceeds_capacity(
         load in prop::collection::vec(0.0..100.0f64, 3),
         old in prop::collection::vec(0.0..200.0f64, 3),
         new in prop::collection::vec(0.0..200.0f64, 3),
