--- a/crates/shift/src/capacity.rs
+++ b/crates/shift/src/capacity.rs
@@ -1,8 +1,8 @@
 //! Computes the share that the new pool can carry now, and the part that the old one could take back.
 //!
-//! Solved as a small linear program: the part of what the step wants of each class, and the work that each pool's zones do
-//! for each other, so that no zone of either pool gets more than it can carry. A closed form is enough for one zone; with
-//! several, a pool that is uneven over the zones needs the flows between them.
+//! A small linear program yields the part of the step that each class can get, and the work that zones of a pool do
+//! for each other, within the capacity of every zone. A closed form would do for one zone; with several, the flows
+//! between the zones matter where a pool is spread unevenly.
 
 use good_lp::{constraint, microlp, variable, variables, Expression, Solution, SolverModel, Variable};
 
@@ -35,7 +35,7 @@
 /// One zone.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Zone {
-    /// Work that comes in, by class, in units a second.
+    /// Incoming work by class, in units per second.
     pub load: Vec<f64>,
     /// The pool that traffic leaves.
     pub old: PoolCapacity,
@@ -48,9 +48,9 @@
 pub struct CapacityPlan {
     /// The share of each class that the new pool can carry, at most what was wanted.
     pub shares: Vec<f64>,
-    /// The part of all work that the old pool cannot take back at once: an undo leaves so much with the new one.
+    /// The part of all work that the old pool cannot take back at once: an undo leaves this part with the new one.
     pub stays: f64,
-    /// Work that neither can carry within its share, as a part of all.
+    /// The part of all work that neither pool can carry within its share.
     pub lost: f64,
 }
 
--- a/crates/shift/src/journal.rs
+++ b/crates/shift/src/journal.rs
@@ -27,19 +27,19 @@
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum JournalError {
     /// Not a journal, or of another format.
-    #[error("its first line is not that of a shift's journal in format {FORMAT}")]
+    #[error("the first line is not the header of a shift journal in format {FORMAT}")]
     InvalidHeader,
     /// Of another shift.
-    #[error("it is the journal of the shift `{0}`")]
+    #[error("the journal belongs to the shift `{0}`")]
     OtherShift(String),
     /// The classes or cells differ from the configured ones.
-    #[error("it was written for other classes or cells; remove it, or give the shift another name")]
+    #[error("the journal was written for other classes or cells; remove it or rename the shift")]
     LayoutChanged,
     /// A damaged line before the end.
-    #[error("line {0} is damaged and others follow it")]
+    #[error("line {0} is damaged and is not the last")]
     Damaged(usize),
     /// Larger than the limit.
-    #[error("it has more than {MAX_BYTES} bytes")]
+    #[error("the journal has more than {MAX_BYTES} bytes")]
     TooLarge,
 }
 
--- a/crates/shift/src/lib.rs
+++ b/crates/shift/src/lib.rs
@@ -5,15 +5,15 @@
 //! decision module, which receives shares and pools as an event, selects the server within a pool.
 //!
 //! - [`pool`]: which server belongs to which pool.
-//! - [`settings`]: a shift as the operator's file words it, checked.
-//! - [`position`]: where a request stands on the hash, so that sessions stay with their pool.
-//! - [`cells`]: what is judged apart: class, zone, first try or repeat, and groups of tenants.
-//! - [`analysis`]: old against new in each cell, by a test that may be looked at at any time.
-//! - [`capacity`]: what share the new pool can carry, and what the old one could take back.
-//! - [`rollout`]: the steps, and what halts, holds and undoes them.
-//! - [`controller`]: a shift at one node, between the list, the endings and the decision module.
-//! - [`journal`]: what outlives the process.
-//! - [`explain`]: all of this in words and as data.
+//! - [`settings`]: the validated settings of a shift.
+//! - [`position`]: positions on the hash ring, which keep sessions in their pool.
+//! - [`cells`]: the groups of outcomes that are compared separately.
+//! - [`analysis`]: the comparison of the pools by a sequential test.
+//! - [`capacity`]: the share that the new pool can carry, and the part that the old one could take back.
+//! - [`rollout`]: the state machine of steps, holds and undos.
+//! - [`controller`]: a node's part of a shift, between the server list, attempts and the decision module.
+//! - [`journal`]: the persisted changes and evidence.
+//! - [`explain`]: the status as data and as text.
 
 pub mod analysis;
 pub mod capacity;
--- a/crates/shift/src/pool.rs
+++ b/crates/shift/src/pool.rs
@@ -134,7 +134,7 @@
         self.boxes.remove(id);
     }
 
-    /// The pool of a server during a shift.
+    /// A server's pool; `Outside` if it is not listed.
     pub fn find(&self, id: &str) -> PoolMatch {
         self.boxes.get(id).copied().unwrap_or(PoolMatch { pool: Pool::Outside, ambiguous: false })
     }
--- a/crates/shift/src/rollout.rs
+++ b/crates/shift/src/rollout.rs
@@ -84,7 +84,7 @@
     }
 }
 
-/// An operator's commands.
+/// The kind of an operator's command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Verb {
@@ -102,7 +102,7 @@
     Abandon,
 }
 
-/// Requested by an operator.
+/// An operator's command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Command {
     /// The command.
@@ -184,7 +184,7 @@
 pub struct EndedAttempt<'a> {
     /// The server's pool when the attempt was sent.
     pub pool: Pool,
-    /// Both predicates match the server: it serves as an old one and is no evidence.
+    /// Both predicates match the server: it counts as an old one and its attempts are no evidence.
     pub ambiguous: bool,
     /// The server, by a number that the caller assigns.
     pub server: u32,
@@ -337,7 +337,7 @@
     }
 
     /// Counts a request meant for the new pool; `given_back` means that it went to the old one because the new one had no
-    /// server for it or would have been late. That is no evidence of a fault, but it blocks the next step.
+    /// server for it or would have been late. That is no evidence of a fault, but a high rate blocks the next step.
     pub fn record_new_pool_request(&mut self, given_back: bool) {
         self.given_back.0 += 1;
         self.given_back.1 += u64::from(given_back);
@@ -528,7 +528,7 @@
         }
     }
 
-    /// Undoes or holds on an alarm. While a zone is unreachable, or without a planner, the evidence must be stronger.
+    /// Undoes or holds on an alarm. While a zone is unreachable, or without a planner, stronger evidence is required.
     fn handle_alarm(&mut self, now: Nanos) -> Option<Change> {
         let strict =
             if self.pool_status.no_planner || self.pool_status.cut_off { STRICT_ALARM_MULTIPLE } else { 1.0 };
