--- a/crates/plan/src/check.rs
+++ b/crates/plan/src/check.rs
@@ -1,23 +1,23 @@
-//! Whether a report makes sense: looked at before anything of it counts, the same for plans and for services.
+//! Validation of reports, shared by plans and services. A report is checked as a whole before any of it is applied.
 
 use crate::member::MAX_NAME_BYTES;
 use crate::planner::ReportError;
 use crate::wire::Report;
 
-/// Rows of one report that are taken; a forwarder says the rest in the next.
-const MOST_SEEN: usize = 4_096;
+/// Maximum number of rows in one report; a forwarder sends the rest in the next one.
+const MAX_REPORT_ROWS: usize = 4_096;
 
-/// Refuses a report of which any part makes no sense.
+/// Rejects a report that contains any invalid value.
 pub(crate) fn check(report: &Report) -> Result<(), ReportError> {
     let rows = report.rows.len() + report.dropped.len() + report.closed.len();
-    if rows > MOST_SEEN {
+    if rows > MAX_REPORT_ROWS {
         return Err(ReportError::Rows(rows));
     }
     if report.following.len() > MAX_NAME_BYTES {
         return Err(ReportError::Name(report.following.len()));
     }
-    let figure = |server: &str, field, value: f32, most: f32| {
-        if (0.0..=most).contains(&value) {
+    let check_value = |server: &str, field, value: f32, max: f32| {
+        if (0.0..=max).contains(&value) {
             return Ok(());
         }
         let server = server.chars().take(MAX_NAME_BYTES).collect();
@@ -27,12 +27,12 @@
         if row.name.is_empty() || row.name.len() > MAX_NAME_BYTES {
             return Err(ReportError::Name(row.name.len()));
         }
-        figure(&row.name, "accomplished", row.score, 1e12)?;
-        figure(&row.name, "lag", row.relative_latency, 1e9)?;
-        figure(&row.name, "faults", row.failure_rate, 1.0)?;
+        check_value(&row.name, "accomplished", row.score, 1e12)?;
+        check_value(&row.name, "lag", row.relative_latency, 1e9)?;
+        check_value(&row.name, "faults", row.failure_rate, 1.0)?;
     }
-    for portion in report.classes.iter().chain(&report.tenants) {
-        figure(&portion.name, "rate", portion.rate, 1e9)?;
+    for share in report.classes.iter().chain(&report.tenants) {
+        check_value(&share.name, "rate", share.rate, 1e9)?;
     }
     Ok(())
 }
--- a/crates/plan/src/explain.rs
+++ b/crates/plan/src/explain.rs
@@ -1,4 +1,4 @@
-//! What a plan says and why, in lines for people.
+//! Human-readable explanations of the plan for operators.
 
 use crate::follower::MAX_ROWS;
 use crate::planner::{Planner, Server, MAX_COUNTED_OVER_LIMIT, MAX_SERVERS};
@@ -6,13 +6,13 @@
 use laurelroute_policy::interface::Phase;
 use std::fmt::Write;
 
-/// Lines about single forwarders; the rest are counted.
-const MOST_LINES: usize = 40;
-const ENDING_NAMES: [&str; 8] =
+/// Maximum number of lines about single forwarders; the rest are only counted.
+const MAX_FORWARDER_LINES: usize = 40;
+const OUTCOME_NAMES: [&str; 8] =
     ["served", "errors", "turned away", "timed out", "no connection", "broken", "called off", "never sent"];
 
 impl Planner {
-    /// Answers what the plan says now of a box, of a class, or as a whole where neither is named.
+    /// Explains the plan for a server or a class, or summarizes it where neither is named.
     pub fn explain(&self, ask: &ExplainRequest) -> String {
         if !ask.server.is_empty() {
             let id = self.by_name.get(&ask.server);
@@ -27,7 +27,7 @@
         }
         if !ask.class.is_empty() {
             return match self.settings.classes.iter().position(|c| c.0 == ask.class) {
-                Some(place) => self.explain_class(place),
+                Some(index) => self.explain_class(index),
                 None => {
                     let known: Vec<_> = self.settings.classes.iter().map(|c| c.0.as_str()).collect();
                     let asked: String = ask.class.chars().take(256).collect();
@@ -64,7 +64,7 @@
         text
     }
 
-    /// What is not planned for, and for want of room: a line each.
+    /// One line for each limit because of which servers are not planned for.
     pub fn limits(&self) -> Vec<String> {
         let mut lines = Vec::new();
         if self.over_limit() > 0 {
@@ -83,8 +83,8 @@
 
     fn explain_server(&self, server: &Server) -> String {
         let mut text = String::new();
-        let facts = &server.member.server;
-        let phase = match facts.phase {
+        let listed = &server.member.server;
+        let phase = match listed.phase {
             Phase::Ready => "ready",
             Phase::Draining => "draining: nothing new goes there",
             Phase::Removed => "gone: nothing new goes there",
@@ -92,38 +92,38 @@
         let _ = writeln!(
             text,
             "box {}: {phase}, by version {} of the membership",
-            server.member.name, server.told_by
+            server.member.name, server.membership_version
         );
-        let mates = || {
+        let zone_servers = || {
             self.servers
                 .values()
-                .filter(|s| s.member.server.zone == facts.zone && s.member.server.phase == Phase::Ready)
+                .filter(|s| s.member.server.zone == listed.zone && s.member.server.phase == Phase::Ready)
         };
-        let better = mates().filter(|s| s.accomplished > server.accomplished).count();
+        let better = zone_servers().filter(|s| s.score > server.score).count();
         let _ = writeln!(
             text,
             "accomplishment {:.1} requests over {} forwarders, place {} of {} in zone {}",
-            server.accomplished,
+            server.score,
             server.reporters.len(),
             better + 1,
-            mates().count(),
-            facts.zone
+            zone_servers().count(),
+            listed.zone
         );
-        let of = server.reporters.len().max(1) as f64;
+        let reporters = server.reporters.len().max(1) as f64;
         let _ = writeln!(
             text,
             "in flight {}, answer times {:.2} of the usual, failures {:.2}, out of use at {} forwarders",
             server.in_flight,
-            server.lag / of,
-            server.faults / of,
+            server.latency_sum / reporters,
+            server.failure_rate_sum / reporters,
             server.ejected
         );
-        let endings = ENDING_NAMES.iter().zip(server.endings).filter(|(_, n)| *n > 0);
-        let endings: Vec<_> = endings.map(|(name, n)| format!("{n} {name}")).collect();
+        let outcomes = OUTCOME_NAMES.iter().zip(server.outcomes).filter(|(_, n)| *n > 0);
+        let outcomes: Vec<_> = outcomes.map(|(name, n)| format!("{n} {name}")).collect();
         let _ = writeln!(
             text,
             "endings: {}",
-            if endings.is_empty() { "none".into() } else { endings.join(", ") }
+            if outcomes.is_empty() { "none".into() } else { outcomes.join(", ") }
         );
         let _ = writeln!(
             text,
@@ -135,7 +135,7 @@
                 Suspicion::Slow => "suspected: its answers take far longer than the fleet's",
             }
         );
-        if let Some(budget) = server.cold_budget() {
+        if let Some(budget) = server.slow_start_budget() {
             let _ = writeln!(
                 text,
                 "cold: {budget:.2} requests a second for all, split among {} planners and {} forwarders",
@@ -148,29 +148,29 @@
             .iter()
             .filter_map(|f| self.forwarders.get(f))
             .map(|f| f.name.as_str())
-            .take(MOST_LINES)
+            .take(MAX_FORWARDER_LINES)
             .collect();
         let _ = writeln!(text, "in the subsets of {}: {}", server.holders.len(), holders.join(", "));
         text
     }
 
-    fn explain_class(&self, place: usize) -> String {
-        let (name, limit) = &self.settings.classes[place];
-        let all = self.demand[0].get(&place).copied().unwrap_or(0.0);
+    fn explain_class(&self, index: usize) -> String {
+        let (name, limit) = &self.settings.classes[index];
+        let all = self.demand[0].get(&index).copied().unwrap_or(0.0);
         let limit = limit.map_or("no limit".to_owned(), |l| format!("a limit of {l:.1}"));
         let mut text = format!("class {name}: {all:.1} requests a second let in, {limit}\n");
-        let mut asks: Vec<_> =
-            self.forwarders.values().filter_map(|f| Some((f.demand[0].get(&place)?, f))).collect();
-        asks.sort_by(|a, b| b.0.total_cmp(a.0));
-        for (rate, forwarder) in asks.iter().take(MOST_LINES) {
+        let mut demands: Vec<_> =
+            self.forwarders.values().filter_map(|f| Some((f.demand[0].get(&index)?, f))).collect();
+        demands.sort_by(|a, b| b.0.total_cmp(a.0));
+        for (rate, forwarder) in demands.iter().take(MAX_FORWARDER_LINES) {
             let following = match forwarder.following.as_str() {
                 "" => "nobody",
                 name => name,
             };
             let _ = writeln!(text, "  {}: {rate:.1} a second, follows {following}", forwarder.name);
         }
-        if asks.len() > MOST_LINES {
-            let _ = writeln!(text, "  and {} more", asks.len() - MOST_LINES);
+        if demands.len() > MAX_FORWARDER_LINES {
+            let _ = writeln!(text, "  and {} more", demands.len() - MAX_FORWARDER_LINES);
         }
         text
     }
--- a/crates/plan/src/grade.rs
+++ b/crates/plan/src/grade.rs
@@ -1,32 +1,32 @@
-//! Accomplishment in steps of a tenth: what hardly differs is not worth a message.
+//! Scores quantized to steps of about a tenth, so that small changes cause no messages.
 
-/// Grades a doubling.
-const STEPS: f64 = 7.0;
-/// Less than this accomplishment, in requests, is none.
-const LEAST: f64 = 0.01;
+/// Grades per doubling of the score.
+const GRADES_PER_DOUBLING: f64 = 7.0;
+/// Scores below this, in requests, have grade 0.
+const MIN_SCORE: f64 = 0.01;
 
-/// A grade for an accomplishment in requests; 0 is none.
-pub fn of(accomplished: f64) -> u32 {
-    if !accomplished.is_finite() || accomplished < LEAST {
+/// The grade of a score in requests; 0 for none.
+pub fn of(score: f64) -> u32 {
+    if !score.is_finite() || score < MIN_SCORE {
         return 0;
     }
-    1 + ((accomplished / LEAST).log2() * STEPS).round() as u32
+    1 + ((score / MIN_SCORE).log2() * GRADES_PER_DOUBLING).round() as u32
 }
 
-/// The accomplishment, in requests, that a grade stands for.
+/// The score, in requests, that a grade represents.
 pub fn value(grade: u32) -> f64 {
-    // Beyond any count of requests: what a peer made up must not become infinite.
+    // Grade 512 exceeds any real score; the limit keeps a peer's invalid grade from becoming infinite.
     let grade = grade.min(512);
     if grade == 0 {
         0.0
     } else {
-        LEAST * (f64::from(grade - 1) / STEPS).exp2()
+        MIN_SCORE * (f64::from(grade - 1) / GRADES_PER_DOUBLING).exp2()
     }
 }
 
-/// Whether a grade has moved so far from the one told that it is worth telling. One step back and forth is noise.
-pub fn differs(told: u32, now: u32) -> bool {
-    told.abs_diff(now) > 1 || ((told == 0) != (now == 0))
+/// Whether a grade differs enough from the one sent before to be sent again. A change of one step is noise.
+pub fn differs(sent: u32, now: u32) -> bool {
+    sent.abs_diff(now) > 1 || ((sent == 0) != (now == 0))
 }
 
 #[cfg(test)]
@@ -38,8 +38,8 @@
         assert_eq!((of(0.0), of(f64::NAN), of(-1.0), value(0)), (0, 0, 0, 0.0));
         for k in 1..2000 {
             let count = f64::from(k) * 0.73;
-            let back = value(of(count));
-            assert!((back / count - 1.0).abs() < 0.06, "{count} became {back}");
+            let decoded = value(of(count));
+            assert!((decoded / count - 1.0).abs() < 0.06, "{count} became {decoded}");
         }
         assert!(value(u32::MAX).is_finite());
         assert!(!differs(40, 41) && differs(40, 42) && differs(0, 1));
--- a/crates/plan/src/lead.rs
+++ b/crates/plan/src/lead.rs
@@ -1,4 +1,4 @@
-//! From a view to the decision module's events: the list as far as it has changed, and the guide.
+//! Converts a view into events of the decision module: changes of the server list, and the plan for this node.
 
 use crate::follower::View;
 use crate::member::Member;
@@ -6,18 +6,18 @@
 use laurelroute_policy::interface::{Endpoint, NodePlan, Phase, ServerPlan};
 use std::collections::BTreeMap;
 
-/// What the decision module was told of the boxes.
+/// The servers as last passed to the decision module.
 #[derive(Clone, Debug, Default)]
 pub struct AppliedMembers(BTreeMap<String, Member>);
 
 impl AppliedMembers {
-    /// Whether nothing was told yet.
+    /// Whether no servers have been passed yet.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// What has changed since the last call. Boxes that are no longer this forwarder's are told as gone: nothing new
-    /// goes there, and what is under way ends as it would.
+    /// The changes since the last call. Servers that are no longer assigned to this forwarder are reported as removed:
+    /// they get no new requests, and requests in flight finish normally.
     pub fn changes(&mut self, view: &View) -> Vec<Member> {
         let members: BTreeMap<String, Member> =
             view.members.iter().map(|m| (m.name.clone(), m.clone())).collect();
@@ -35,27 +35,27 @@
     }
 }
 
-/// The view in the decision module's words. `find` gives a box's identity there; `tenants` are named with the rates
-/// that count where the plan says nothing.
+/// Converts the view for the decision module. `find` returns a server's endpoint there; `tenants` lists names with the
+/// default rates for tenants that the plan does not mention.
 pub fn node_plan<'a>(
     view: &View,
     find: impl Fn(&str) -> Option<Endpoint>,
     classes: &[String],
     tenants: impl Iterator<Item = (&'a str, f64)>,
 ) -> NodePlan {
-    let standing = |word: &crate::follower::PlannedServer| {
+    let server_plan = |row: &crate::follower::PlannedServer| {
         Some(ServerPlan {
-            server: find(&word.name)?,
-            score: word.score,
-            suspected: word.suspicion != Suspicion::None,
-            slow_start_rate: word.slow_start_rate,
+            server: find(&row.name)?,
+            score: row.score,
+            suspected: row.suspicion != Suspicion::None,
+            slow_start_rate: row.slow_start_rate,
         })
     };
-    let class = |name: &String| view.classes.get(name).copied().unwrap_or(f64::INFINITY);
+    let class_limit = |name: &String| view.classes.get(name).copied().unwrap_or(f64::INFINITY);
     NodePlan {
         trust: view.trust,
-        servers: view.planned.iter().filter_map(standing).collect(),
-        tenants: tenants.map(|(name, even)| view.tenants.get(name).copied().unwrap_or(even)).collect(),
-        classes: classes.iter().map(class).collect(),
+        servers: view.planned.iter().filter_map(server_plan).collect(),
+        tenants: tenants.map(|(name, default)| view.tenants.get(name).copied().unwrap_or(default)).collect(),
+        classes: classes.iter().map(class_limit).collect(),
     }
 }
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -1,15 +1,16 @@
-//! Two levels: what a few planners decide for many forwarders, and how a forwarder follows what it hears.
+//! Two-level load balancing: a few planners compute plans for many forwarders, and each forwarder follows one planner.
 //!
-//! Everything here is pure: messages and the time go in, messages and words for the decision module come out. The
-//! channel that carries the messages and the program's roles live elsewhere; simulated time runs the same code.
+//! Everything here is free of I/O: messages and the time are inputs, messages and input for the decision module are
+//! outputs. The channel that carries the messages and the roles of the program are in other packages; the simulation
+//! runs the same code.
 //!
-//! - [`planner`]: membership and reports in, plans out.
-//! - [`subset`]: which forwarder uses which boxes.
-//! - [`share`]: how a rate is split among forwarders.
-//! - [`follower`]: several planners' plans in, one view out, ageing with the silence.
-//! - [`lead`]: from that view to the decision module's events.
-//! - [`reporter`]: what a forwarder has met, as changes within a budget of bytes.
-//! - [`services`]: the same where the service is the unit, by subscription.
+//! - [`planner`]: computes plans from the membership and from reports.
+//! - [`subset`]: assigns servers to forwarders.
+//! - [`share`]: splits rate limits among forwarders.
+//! - [`follower`]: merges the plans of several planners into one view that is trusted less as it ages.
+//! - [`lead`]: converts that view into events of the decision module.
+//! - [`reporter`]: incremental reports of a forwarder within a byte rate.
+//! - [`services`]: the same per service, by subscription.
 //! - [`wire`]: the messages.
 
 pub mod follower;
@@ -26,7 +27,7 @@
 mod check;
 mod explain;
 
-/// A hash that is the same at every node and in every build (splitmix64's mixer over the bytes).
+/// A hash that is the same on every node and in every build (splitmix64's finalizer over the bytes).
 pub fn stable_hash(seed: u64, bytes: &[u8]) -> u64 {
     let start = seed ^ 0x9E37_79B9_7F4A_7C15;
     let hash = bytes.chunks(8).fold(start, |hash, chunk| {
@@ -37,7 +38,7 @@
     scramble(hash)
 }
 
-/// One step of splitmix64: every bit of the input counts in every bit of the output.
+/// One step of splitmix64: every bit of the input affects every bit of the output.
 pub fn scramble(value: u64) -> u64 {
     let a = value.wrapping_add(0x9E37_79B9_7F4A_7C15);
     let b = (a ^ (a >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
--- a/crates/plan/src/member.rs
+++ b/crates/plan/src/member.rs
@@ -1,37 +1,37 @@
-//! One box, as the membership tells it.
+//! A server as listed by the membership.
 
 use crate::wire;
 use laurelroute_policy::interface::{Endpoint, Nanos, Phase, Server};
 use std::net::SocketAddr;
 
-/// Longest name of a box or of a peer, in bytes.
+/// Maximum length of the name of a server or a peer, in bytes.
 pub const MAX_NAME_BYTES: usize = 256;
-/// Wires that a box may listen on.
-const MOST_WIRES: usize = 16;
+/// Maximum number of addresses of a server, one per protocol.
+const MAX_ADDRESSES: usize = 16;
 
-/// One box of the fleet.
+/// One server of the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
     /// Its name, the same at every node.
     pub name: String,
-    /// Where it listens, by wire.
+    /// Listening addresses by protocol.
     pub addresses: Vec<Option<SocketAddr>>,
-    /// All that the decision module is told; the endpoint is the node's own affair.
+    /// The server as passed to the decision module; the endpoint is assigned by the node.
     pub server: Server,
 }
 
-/// Why facts about a box cannot be used.
+/// Why the attributes of a server are rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AttributesError {
     /// The name is empty or too long.
     #[error("a box's name has {0} bytes; 1 to {MAX_NAME_BYTES} are allowed")]
     Name(usize),
-    /// An address is none.
+    /// An address cannot be parsed.
     #[error("`{name}` has the address `{address}`, which is none")]
     #[allow(missing_docs)]
     Address { name: String, address: String },
-    /// It has more wires than there are.
-    #[error("`{0}` has over {MOST_WIRES} addresses")]
+    /// It has too many addresses.
+    #[error("`{0}` has over {MAX_ADDRESSES} addresses")]
     Addresses(String),
     /// A number is out of range.
     #[error("`{name}`: `{field}` is {value}")]
@@ -40,23 +40,23 @@
 }
 
 impl Member {
-    /// A ready, long-started box of size 1, to start from.
+    /// A ready server of size 1 that is past slow start.
     pub fn warm(name: &str) -> Member {
         let server = Server::warm(Endpoint { address: [0; 4], port: 0 });
         Member { name: name.to_owned(), addresses: Vec::new(), server }
     }
 
-    /// The same box in another phase.
+    /// The same server in another phase.
     pub fn in_phase(self, phase: Phase) -> Member {
         Member { server: Server { phase, ..self.server }, ..self }
     }
 
-    /// The same box, started then.
+    /// The same server with another start time.
     pub fn started(self, started_at: Nanos) -> Member {
         Member { server: Server { started_at, ..self.server }, ..self }
     }
 
-    /// In the messages' form.
+    /// Converts to the wire format.
     pub fn attributes(&self) -> wire::ServerAttributes {
         let address = |a: &Option<SocketAddr>| a.map(|a| a.to_string()).unwrap_or_default();
         wire::ServerAttributes {
@@ -74,12 +74,15 @@
         }
     }
 
-    /// From the messages' form, checked.
-    pub fn from_attributes(name: &str, facts: &wire::ServerAttributes) -> Result<Member, AttributesError> {
+    /// Converts from the wire format and validates.
+    pub fn from_attributes(
+        name: &str,
+        attributes: &wire::ServerAttributes,
+    ) -> Result<Member, AttributesError> {
         if name.is_empty() || name.len() > MAX_NAME_BYTES {
             return Err(AttributesError::Name(name.len()));
         }
-        if facts.addresses.len() > MOST_WIRES {
+        if attributes.addresses.len() > MAX_ADDRESSES {
             return Err(AttributesError::Addresses(name.to_owned()));
         }
         let range = |field, value: String| AttributesError::Range { name: name.to_owned(), field, value };
@@ -90,25 +93,25 @@
                 address: text.chars().take(64).collect(),
             }),
         };
-        if !(facts.size.is_finite() && facts.size >= 0.0) {
-            return Err(range("size", facts.size.to_string()));
+        if !(attributes.size.is_finite() && attributes.size >= 0.0) {
+            return Err(range("size", attributes.size.to_string()));
         }
         Ok(Member {
             name: name.to_owned(),
-            addresses: facts.addresses.iter().map(address).collect::<Result<_, _>>()?,
+            addresses: attributes.addresses.iter().map(address).collect::<Result<_, _>>()?,
             server: Server {
                 endpoint: Endpoint { address: [0; 4], port: 0 },
-                zone: facts.zone.try_into().map_err(|_| range("zone", facts.zone.to_string()))?,
-                kind: facts.kind.try_into().map_err(|_| range("kind", facts.kind.to_string()))?,
-                cell: facts.cell.try_into().map_err(|_| range("cell", facts.cell.to_string()))?,
-                phase: match facts.phase {
+                zone: attributes.zone.try_into().map_err(|_| range("zone", attributes.zone.to_string()))?,
+                kind: attributes.kind.try_into().map_err(|_| range("kind", attributes.kind.to_string()))?,
+                cell: attributes.cell.try_into().map_err(|_| range("cell", attributes.cell.to_string()))?,
+                phase: match attributes.phase {
                     0 => Phase::Ready,
                     1 => Phase::Draining,
                     2 => Phase::Removed,
                     other => return Err(range("phase", other.to_string())),
                 },
-                size: facts.size,
-                started_at: facts.started_ms.saturating_mul(1_000_000),
+                size: attributes.size,
+                started_at: attributes.started_ms.saturating_mul(1_000_000),
             },
         })
     }
@@ -119,20 +122,20 @@
     use super::*;
 
     #[test]
-    fn facts_come_back_as_they_were() {
+    fn attributes_survive_a_round_trip() {
         let mut member = Member::warm("box-1").started(5_000_000).in_phase(Phase::Draining);
         member.addresses = vec!["127.0.0.1:80".parse().ok(), None];
         assert_eq!(Member::from_attributes("box-1", &member.attributes()), Ok(member.clone()));
-        let bad = |change: fn(&mut wire::ServerAttributes)| {
-            let mut facts = member.attributes();
-            change(&mut facts);
-            Member::from_attributes("box-1", &facts).unwrap_err().to_string()
+        let rejection = |change: fn(&mut wire::ServerAttributes)| {
+            let mut attributes = member.attributes();
+            change(&mut attributes);
+            Member::from_attributes("box-1", &attributes).unwrap_err().to_string()
         };
-        assert_eq!(bad(|f| f.addresses[0] = "x".into()), "`box-1` has the address `x`, which is none");
-        assert_eq!(bad(|f| f.phase = 9), "`box-1`: `phase` is 9");
-        assert_eq!(bad(|f| f.size = f32::NAN), "`box-1`: `size` is NaN");
-        assert_eq!(bad(|f| f.zone = 300), "`box-1`: `zone` is 300");
-        assert_eq!(bad(|f| f.addresses = vec![String::new(); 17]), "`box-1` has over 16 addresses");
+        assert_eq!(rejection(|f| f.addresses[0] = "x".into()), "`box-1` has the address `x`, which is none");
+        assert_eq!(rejection(|f| f.phase = 9), "`box-1`: `phase` is 9");
+        assert_eq!(rejection(|f| f.size = f32::NAN), "`box-1`: `size` is NaN");
+        assert_eq!(rejection(|f| f.zone = 300), "`box-1`: `zone` is 300");
+        assert_eq!(rejection(|f| f.addresses = vec![String::new(); 17]), "`box-1` has over 16 addresses");
         assert!(Member::from_attributes("", &member.attributes()).is_err());
     }
 }
--- a/crates/plan/src/reporter.rs
+++ b/crates/plan/src/reporter.rs
@@ -1,30 +1,30 @@
-//! What a forwarder has met, as changes within a budget of bytes.
+//! Incremental reports of a forwarder within a byte rate.
 //!
-//! One reporter serves one connection to one planner. Each row says how a box stands now and replaces the one before:
-//! nothing is lost with a message, and what had no room is said later as it then stands.
+//! One reporter serves one connection to one planner. Each row holds the current state of a server and replaces the
+//! previous one: a lost message loses nothing, and a row that exceeds the byte rate is sent later with the state of then.
 
 use crate::wire::{ClosedServer, RateShare, Report, ServerReport};
 use laurelroute_policy::interface::{Nanos, ServerObservation, ATTEMPT_OUTCOMES};
 use prost::Message;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Figures that differ by less than this part are not told anew ...
-const HARDLY: f64 = 0.15;
-/// ... and counts in flight, which change all the time, by less than this.
-const FEW: u32 = 4;
-/// Something is said at least this often, so that a planner knows that the forwarder is there.
+/// Relative change below which a value is not reported again.
+const MIN_RELATIVE_CHANGE: f64 = 0.15;
+/// Change of the requests in flight, which vary all the time, below which they are not reported again.
+const MIN_IN_FLIGHT_CHANGE: u32 = 4;
+/// Maximum interval between two reports; an empty one shows the planner that the forwarder is alive.
 pub const HEARTBEAT_INTERVAL: Nanos = 1_000_000_000;
 
-/// What a forwarder knows now, to be reported.
+/// The current state of a forwarder, to be reported.
 #[derive(Clone, Debug, Default)]
 pub struct NodeState<'a> {
-    /// Every box that it uses, by name.
+    /// Every server that it uses, by name.
     pub servers: Vec<(&'a str, ServerObservation)>,
-    /// Requests a second let in, by class.
+    /// Admitted requests per second, by class.
     pub classes: Vec<(&'a str, f64)>,
-    /// The same by tenant.
+    /// Admitted requests per second, by tenant.
     pub tenants: Vec<(&'a str, f64)>,
-    /// Drains and leavings that it knows of by itself.
+    /// Drains and removals that it knows of.
     pub closed: Vec<ClosedServer>,
     /// The planner that it follows.
     pub following: &'a str,
@@ -33,36 +33,36 @@
 /// Reports to one planner.
 #[derive(Clone, Debug)]
 pub struct Reporter {
-    told: BTreeMap<String, ServerReport>,
+    reported: BTreeMap<String, ServerReport>,
     rates: [BTreeMap<String, f64>; 2],
     closed: BTreeSet<(String, u64)>,
     following: String,
     bytes_per_second: f64,
     tokens: f64,
-    at: Nanos,
-    said_at: Option<Nanos>,
+    refilled_at: Nanos,
+    sent_at: Option<Nanos>,
 }
 
 impl Reporter {
-    /// A reporter on a fresh connection: its first report is whole, as far as the budget goes.
+    /// A reporter for a new connection: its first report is full, as far as the byte rate permits.
     pub fn new(now: Nanos, bytes_per_second: f64) -> Reporter {
         Reporter {
-            told: BTreeMap::new(),
+            reported: BTreeMap::new(),
             rates: Default::default(),
             closed: BTreeSet::new(),
             following: String::new(),
             bytes_per_second,
-            // A planner that starts from nothing needs the whole soon.
+            // A restarted planner needs the full state soon.
             tokens: 2.0 * bytes_per_second,
-            at: now,
-            said_at: None,
+            refilled_at: now,
+            sent_at: None,
         }
     }
 
-    /// The next report, if there is anything to say. What has changed most comes first.
+    /// The next report, if one is due. Rows with the largest changes come first.
     pub fn report(&mut self, now: Nanos, state: &NodeState<'_>) -> Option<Report> {
-        let elapsed = now.saturating_sub(self.at) as f64 / 1e9;
-        self.at = now;
+        let elapsed = now.saturating_sub(self.refilled_at) as f64 / 1e9;
+        self.refilled_at = now;
         self.tokens = (self.tokens + elapsed * self.bytes_per_second).min(2.0 * self.bytes_per_second);
         let mut report = Report { following: state.following.to_owned(), ..Report::default() };
         for closed in &state.closed {
@@ -75,9 +75,10 @@
         }
         let mut rows: Vec<(f64, ServerReport)> = Vec::new();
         for (name, observed) in &state.servers {
-            let weight = self.told.get(*name).map_or(f64::INFINITY, |told| change(told, observed));
+            let weight =
+                self.reported.get(*name).map_or(f64::INFINITY, |reported| change(reported, observed));
             if weight > 0.0 {
-                rows.push((weight, seen(name, observed)));
+                rows.push((weight, server_report(name, observed)));
             }
         }
         rows.sort_by(|a, b| b.0.total_cmp(&a.0).then_with(|| a.1.name.cmp(&b.1.name)));
@@ -87,56 +88,58 @@
                 break;
             }
             self.tokens -= size;
-            self.told.insert(row.name.clone(), row.clone());
+            self.reported.insert(row.name.clone(), row.clone());
             report.rows.push(row);
         }
         self.drop_unused(state, &mut report);
-        report.classes = self.portions(0, &state.classes);
-        report.tenants = self.portions(1, &state.tenants);
-        let quiet = report.rows.is_empty()
+        report.classes = self.rate_shares(0, &state.classes);
+        report.tenants = self.rate_shares(1, &state.tenants);
+        let unchanged = report.rows.is_empty()
             && report.dropped.is_empty()
             && report.closed.is_empty()
             && report.classes.is_empty()
             && report.tenants.is_empty()
             && self.following == state.following;
-        if quiet && self.said_at.is_some_and(|at| now.saturating_sub(at) < HEARTBEAT_INTERVAL) {
+        if unchanged && self.sent_at.is_some_and(|at| now.saturating_sub(at) < HEARTBEAT_INTERVAL) {
             return None;
         }
         self.following = state.following.to_owned();
-        self.said_at = Some(now);
+        self.sent_at = Some(now);
         Some(report)
     }
 
     fn drop_unused(&mut self, state: &NodeState<'_>, report: &mut Report) {
         let used: BTreeSet<&str> = state.servers.iter().map(|(name, _)| *name).collect();
-        let unused: Vec<String> = self.told.keys().filter(|n| !used.contains(n.as_str())).cloned().collect();
+        let unused: Vec<String> =
+            self.reported.keys().filter(|n| !used.contains(n.as_str())).cloned().collect();
         for name in unused {
-            self.told.remove(&name);
+            self.reported.remove(&name);
             report.dropped.push(name);
         }
     }
 
-    fn portions(&mut self, k: usize, rates: &[(&str, f64)]) -> Vec<RateShare> {
-        let mut portions = Vec::new();
+    fn rate_shares(&mut self, k: usize, rates: &[(&str, f64)]) -> Vec<RateShare> {
+        let mut rate_shares = Vec::new();
         for (name, rate) in rates {
-            let told = self.rates[k].get(*name).copied().unwrap_or(0.0);
+            let reported = self.rates[k].get(*name).copied().unwrap_or(0.0);
             let size = name.len() as f64 + 9.0;
-            let differs = (rate - told).abs() > HARDLY * told.max(*rate) && rate.max(told) > 0.01;
+            let differs = (rate - reported).abs() > MIN_RELATIVE_CHANGE * reported.max(*rate)
+                && rate.max(reported) > 0.01;
             if differs && size <= self.tokens {
                 self.tokens -= size;
                 self.rates[k].insert((*name).to_owned(), *rate);
-                portions.push(RateShare { name: (*name).to_owned(), rate: *rate as f32 });
+                rate_shares.push(RateShare { name: (*name).to_owned(), rate: *rate as f32 });
             }
         }
-        portions
+        rate_shares
     }
 }
 
-/// What was met of a box, in the messages' form.
-pub(crate) fn seen(name: &str, observed: &ServerObservation) -> ServerReport {
-    let mut endings = observed.outcomes.to_vec();
-    let used = endings.iter().rposition(|&n| n > 0).map_or(0, |last| last + 1);
-    endings.truncate(used.min(ATTEMPT_OUTCOMES));
+/// Converts observations of a server to the wire format.
+pub(crate) fn server_report(name: &str, observed: &ServerObservation) -> ServerReport {
+    let mut outcomes = observed.outcomes.to_vec();
+    let used = outcomes.iter().rposition(|&n| n > 0).map_or(0, |last| last + 1);
+    outcomes.truncate(used.min(ATTEMPT_OUTCOMES));
     ServerReport {
         name: name.to_owned(),
         score: observed.score as f32,
@@ -144,26 +147,30 @@
         relative_latency: observed.relative_latency as f32,
         failure_rate: observed.failure_rate.clamp(0.0, 1.0) as f32,
         ejected: observed.ejected,
-        outcomes: endings,
+        outcomes,
     }
 }
 
-/// How far a box has moved from what was told of it; 0 where that is not worth a row.
-fn change(told: &ServerReport, now: &ServerObservation) -> f64 {
-    if told.ejected != now.ejected {
+/// How far a server's state has moved from the last reported one; 0 if it need not be reported.
+fn change(reported: &ServerReport, now: &ServerObservation) -> f64 {
+    if reported.ejected != now.ejected {
         return 1e6;
     }
-    let part = |a: f64, b: f64, least: f64| (a - b).abs() / a.max(b).max(least);
-    let counts = part(told.score.into(), now.score, 1.0);
-    let lag = part(told.relative_latency.into(), now.relative_latency, 1.0);
-    let faults = (f64::from(told.failure_rate) - now.failure_rate).abs();
-    let flights = told.in_flight.abs_diff(now.in_flight);
-    let flight = if flights < FEW { 0.0 } else { part(told.in_flight.into(), now.in_flight.into(), 8.0) };
-    let most = counts.max(lag / 2.0).max(faults).max(flight / 3.0);
-    if most < HARDLY {
+    let relative = |a: f64, b: f64, floor: f64| (a - b).abs() / a.max(b).max(floor);
+    let score = relative(reported.score.into(), now.score, 1.0);
+    let latency = relative(reported.relative_latency.into(), now.relative_latency, 1.0);
+    let failures = (f64::from(reported.failure_rate) - now.failure_rate).abs();
+    let in_flight_change = reported.in_flight.abs_diff(now.in_flight);
+    let in_flight = if in_flight_change < MIN_IN_FLIGHT_CHANGE {
         0.0
     } else {
-        most
+        relative(reported.in_flight.into(), now.in_flight.into(), 8.0)
+    };
+    let largest = score.max(latency / 2.0).max(failures).max(in_flight / 3.0);
+    if largest < MIN_RELATIVE_CHANGE {
+        0.0
+    } else {
+        largest
     }
 }
 
@@ -172,11 +179,11 @@
     use super::*;
     use laurelroute_policy::interface::Endpoint;
 
-    fn observed(accomplished: f64) -> ServerObservation {
+    fn observed(score: f64) -> ServerObservation {
         let server = Endpoint { address: [0; 4], port: 1 };
         ServerObservation {
             server,
-            score: accomplished,
+            score,
             in_flight: 0,
             relative_latency: 1.0,
             failure_rate: 0.0,
@@ -190,38 +197,38 @@
     }
 
     #[test]
-    fn only_what_changed_is_told_and_something_is_said_every_second() {
+    fn only_changes_are_reported_and_an_empty_report_is_sent_every_second() {
         let mut reporter = Reporter::new(0, 4_000.0);
         let now = |a: f64, b: f64| NodeState {
             servers: vec![("a", observed(a)), ("b", observed(b))],
             ..NodeState::default()
         };
         assert_eq!(names(reporter.report(0, &now(10.0, 20.0))), ["a", "b"]);
-        assert_eq!(reporter.report(1, &now(10.5, 20.0)), None, "a hardly differs");
+        assert_eq!(reporter.report(1, &now(10.5, 20.0)), None, "the change of a is too small");
         assert_eq!(names(reporter.report(2, &now(10.5, 40.0))), ["b"]);
-        let beat = reporter.report(2 + HEARTBEAT_INTERVAL, &now(10.5, 40.0));
-        assert_eq!(beat, Some(Report::default()));
+        let heartbeat = reporter.report(2 + HEARTBEAT_INTERVAL, &now(10.5, 40.0));
+        assert_eq!(heartbeat, Some(Report::default()));
         let only_a = NodeState { servers: vec![("a", observed(10.5))], ..NodeState::default() };
         assert_eq!(reporter.report(3 + HEARTBEAT_INTERVAL, &only_a).unwrap().dropped, ["b"]);
     }
 
     #[test]
-    fn the_budget_holds_and_nothing_is_lost() {
-        let boxes: Vec<String> = (0..2000).map(|k| format!("box-{k:05}")).collect();
+    fn the_byte_rate_is_kept_and_every_server_is_reported() {
+        let servers: Vec<String> = (0..2000).map(|k| format!("box-{k:05}")).collect();
         let state = NodeState {
-            servers: boxes.iter().map(|b| (b.as_str(), observed(5.0))).collect(),
+            servers: servers.iter().map(|b| (b.as_str(), observed(5.0))).collect(),
             ..NodeState::default()
         };
         let mut reporter = Reporter::new(0, 4_000.0);
-        let (mut bytes, mut told) = (0, BTreeSet::new());
+        let (mut bytes, mut reported) = (0, BTreeSet::new());
         for step in 0..=200u64 {
             if let Some(report) = reporter.report(step * 100_000_000, &state) {
                 bytes += report.encoded_len();
-                told.extend(report.rows.into_iter().map(|r| r.name));
+                reported.extend(report.rows.into_iter().map(|r| r.name));
             }
             let most = 4_000.0 * (2.0 + step as f64 / 10.0) + 200.0;
             assert!((bytes as f64) < most, "{bytes} bytes after {step} steps");
         }
-        assert_eq!(told.len(), 2000);
+        assert_eq!(reported.len(), 2000);
     }
 }
--- a/crates/plan/src/services/subscriber/messages.rs
+++ b/crates/plan/src/services/subscriber/messages.rs
@@ -1,7 +1,7 @@
 //! Messages to the planner: subscriptions, drains and removals known from a later list, and reports on servers.
 
 use super::*;
-use crate::reporter::seen;
+use crate::reporter::server_report;
 use crate::services::list_version::VersionDigest;
 use crate::wire::{FollowedVersion, Interest, Report};
 use laurelroute_policy::interface::ServerObservation;
@@ -139,7 +139,7 @@
                 continue;
             }
             self.reported.insert(name.to_owned(), (observation.score as f32, observation.ejected));
-            let row = seen(name, &observation);
+            let row = server_report(name, &observation);
             size += row.encoded_len() + 3;
             report.rows.push(row);
         }
--- a/crates/plan/src/wire.rs
+++ b/crates/plan/src/wire.rs
@@ -1,56 +1,57 @@
-//! The messages between forwarders and planners (Protocol Buffers, proto3). Numbers of fields are never used twice;
-//! a field that is not known is skipped, so that neighbouring versions understand each other.
+//! Messages between forwarders and planners (Protocol Buffers, proto3). Field numbers are never reused, and unknown
+//! fields are
+//! skipped, so that adjacent versions interoperate.
 //!
-//! Bounds on lists and names are checked where a message is taken in, not here.
+//! Bounds on lists and names are checked by the receiver of a message, not here.
 
 use prost::Message;
 
-/// The oldest version of these messages that is understood.
+/// Oldest protocol version that is accepted.
 pub const OLDEST_VERSION: u32 = 1;
-/// The newest version that is spoken.
+/// Newest protocol version that is supported.
 pub const NEWEST_VERSION: u32 = 1;
-/// Longest message in bytes: a whole plan of 10,000 boxes has about half of that.
+/// Largest message in bytes; a full plan of 10,000 servers takes about half of it.
 pub const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
-/// One message, either way.
+/// One message, in either direction.
 #[derive(Clone, PartialEq, Message)]
 pub struct Frame {
-    /// What it is.
+    /// The message.
     #[prost(oneof = "Body", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10")]
     pub body: Option<Body>,
 }
 
-/// What a message is.
+/// The kinds of messages.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Body {
-    /// First word of either side.
+    /// Handshake, sent by either side first.
     #[prost(message, tag = "1")]
     Hello(Hello),
-    /// Planner to forwarder: a plan, or changes to it.
+    /// Planner to forwarder: a full plan or a delta.
     #[prost(message, tag = "2")]
     PlanUpdate(PlanUpdate),
-    /// Forwarder to planner: a part was taken in, or not.
+    /// Forwarder to planner: a plan update was applied or rejected.
     #[prost(message, tag = "3")]
     PlanAck(PlanAck),
-    /// Forwarder to planner: what it has met.
+    /// Forwarder to planner: what it observed of its servers.
     #[prost(message, tag = "4")]
     Report(Report),
-    /// Anybody to a planner: what does the plan say?
+    /// Operator to planner: asks for the current state of the plan.
     #[prost(message, tag = "5")]
     ExplainRequest(ExplainRequest),
-    /// A planner's answer to that.
+    /// Planner to operator: the answer to an `ExplainRequest`.
     #[prost(message, tag = "6")]
     ExplainResponse(ExplainResponse),
-    /// Last word before the connection is closed, for the other side's log.
+    /// Sent before the connection is closed, for the log of the other side.
     #[prost(message, tag = "7")]
     Refusal(Refusal),
-    /// Forwarder to planner: the services that it uses, and those that it uses no longer.
+    /// Forwarder to planner: services subscribed to and services no longer needed.
     #[prost(message, tag = "8")]
     Subscribe(Subscribe),
-    /// Planner to forwarder: what has changed in the services that it uses.
+    /// Planner to forwarder: changes of the services that it subscribes to.
     #[prost(message, tag = "9")]
     Update(Update),
-    /// Forwarder to planner: an update was taken in, service by service, or not.
+    /// Forwarder to planner: which services of an update were applied or rejected.
     #[prost(message, tag = "10")]
     UpdateAck(UpdateAck),
 }
@@ -61,130 +62,130 @@
     }
 }
 
-/// What a peer is.
+/// The role of a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum Role {
-    /// Not said.
+    /// Not stated.
     Unknown = 0,
-    /// Moves traffic.
+    /// Forwards traffic.
     Forwarder = 1,
-    /// Decides where it goes.
+    /// Computes plans for forwarders.
     Planner = 2,
-    /// Asks what a plan says.
+    /// Asks a planner to explain its plan.
     Operator = 3,
 }
 
-/// First word of either side.
+/// Handshake, the first message of either side.
 #[derive(Clone, PartialEq, Message)]
 pub struct Hello {
-    /// Oldest version understood.
+    /// Oldest protocol version accepted.
     #[prost(uint32, tag = "1")]
     pub oldest: u32,
-    /// Newest version spoken.
+    /// Newest protocol version supported.
     #[prost(uint32, tag = "2")]
     pub newest: u32,
-    /// What it is.
+    /// The role of the sender.
     #[prost(enumeration = "Role", tag = "3")]
     pub role: i32,
-    /// Its name.
+    /// The name of the sender.
     #[prost(string, tag = "4")]
     pub name: String,
-    /// The installation that it belongs to.
+    /// The installation that the sender belongs to.
     #[prost(string, tag = "5")]
     pub site: String,
-    /// When this life of it began, Unix time in milliseconds.
+    /// Start time of the sender's process, Unix time in milliseconds.
     #[prost(fixed64, tag = "6")]
     pub incarnation: u64,
-    /// A forwarder's zone, by its place in the settings.
+    /// Zone of a forwarder, as an index into the settings.
     #[prost(uint32, tag = "7")]
     pub zone: u32,
-    /// This peer goes by services: a forwarder that subscribes, a planner that lets it.
+    /// Whether the peer uses subscriptions to services: a forwarder that subscribes or a planner that publishes.
     #[prost(bool, tag = "8")]
     pub services: bool,
 }
 
 impl Hello {
-    /// The version that both sides speak, if there is one.
+    /// The protocol version to use with this peer, or `None` if there is no common one.
     pub fn version(&self) -> Option<u32> {
         let newest = self.newest.min(NEWEST_VERSION);
         (newest >= self.oldest && newest >= OLDEST_VERSION).then_some(newest)
     }
 }
 
-/// A plan, or changes to one.
+/// A full plan or a delta.
 #[derive(Clone, PartialEq, Message)]
 pub struct PlanUpdate {
-    /// The installation it is for.
+    /// The installation that it is for.
     #[prost(string, tag = "1")]
     pub site: String,
-    /// The life of the planner that made it.
+    /// Incarnation of the planner that made it.
     #[prost(fixed64, tag = "2")]
     pub incarnation: u64,
-    /// The version of this forwarder's plan that results.
+    /// Version of this forwarder's plan once the update is applied.
     #[prost(uint64, tag = "3")]
     pub version: u64,
-    /// The version that these changes are to; 0 for a whole plan.
+    /// Version that the delta applies to; 0 for a full plan.
     #[prost(uint64, tag = "4")]
     pub base: u64,
-    /// The version of the membership that it is made from.
+    /// Version of the membership that the plan is computed from.
     #[prost(uint64, tag = "5")]
     pub membership: u64,
-    /// Boxes that are new or have changed.
+    /// Servers that were added or have changed.
     #[prost(message, repeated, tag = "6")]
     pub rows: Vec<ServerRow>,
-    /// Boxes that are no longer this forwarder's.
+    /// Servers that are no longer assigned to this forwarder.
     #[prost(string, repeated, tag = "7")]
     pub removed: Vec<String>,
-    /// Connections that this forwarder may hold to one box; 0 for no limit.
+    /// Maximum connections of this forwarder to one server; 0 for no limit.
     #[prost(uint32, tag = "8")]
     pub connections: u32,
-    /// This forwarder's part of tenants' shares, where it has changed.
+    /// This forwarder's shares of tenant quotas that have changed.
     #[prost(message, repeated, tag = "9")]
     pub tenants: Vec<RateShare>,
-    /// This forwarder's part of classes' limits, where it has changed.
+    /// This forwarder's shares of class limits that have changed.
     #[prost(message, repeated, tag = "10")]
     pub classes: Vec<RateShare>,
 }
 
-/// One box of a plan.
+/// One server of a plan.
 #[derive(Clone, PartialEq, Message)]
 pub struct ServerRow {
-    /// Its name.
+    /// Server name.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Who it is, where that is new.
+    /// Attributes of the server, where they are new or have changed.
     #[prost(message, optional, tag = "2")]
     pub attributes: Option<ServerAttributes>,
-    /// Its accomplishment over all forwarders, see [`crate::grade`].
+    /// Score over all forwarders, quantized by [`crate::grade`].
     #[prost(uint32, tag = "3")]
     pub grade: u32,
-    /// Why it is suspected.
+    /// Why the server is suspected.
     #[prost(enumeration = "Suspicion", tag = "4")]
     pub suspicion: i32,
-    /// Requests a second that this forwarder may send it while it is cold; absent where nothing is said.
+    /// Requests per second that this forwarder may send to the server during slow start; absent if not limited.
     #[prost(float, optional, tag = "5")]
     pub slow_start_rate: Option<f32>,
 }
 
-/// Why a box is suspected.
+/// Why a server is suspected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum Suspicion {
-    /// It is not.
+    /// It is not suspected.
     None = 0,
-    /// It takes no connections.
+    /// It does not accept connections.
     Refuses = 1,
     /// It answers with errors or breaks connections.
     Fails = 2,
-    /// It is far slower than the others.
+    /// Its latency is far above that of the fleet.
     Slow = 3,
 }
 
-/// Who a box is.
+/// Attributes of a server.
 #[derive(Clone, PartialEq, Message)]
 pub struct ServerAttributes {
-    /// Where it listens, by wire; empty where it does not.
+    /// Listening address for each protocol; empty where it does not listen.
     #[prost(string, repeated, tag = "1")]
     pub addresses: Vec<String>,
     /// Its zone.
@@ -196,186 +197,185 @@
     /// Its cell.
     #[prost(uint32, tag = "4")]
     pub cell: u32,
-    /// 0 ready, 1 draining, 2 gone.
+    /// 0 ready, 1 draining, 2 removed.
     #[prost(uint32, tag = "5")]
     pub phase: u32,
     /// Its listed size.
     #[prost(float, tag = "6")]
     pub size: f32,
-    /// When it started, Unix time in milliseconds; 0 when long ago.
+    /// Start time, Unix time in milliseconds; 0 if it started long ago.
     #[prost(uint64, tag = "7")]
     pub started_ms: u64,
 }
 
-/// A part of a rate.
+/// A share of a rate.
 #[derive(Clone, PartialEq, Message)]
 pub struct RateShare {
-    /// Whose: a tenant or a class.
+    /// The tenant or class.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Requests a second.
+    /// Requests per second.
     #[prost(float, tag = "2")]
     pub rate: f32,
 }
 
-/// A part was taken in, or not.
+/// Acknowledges or rejects a plan update.
 #[derive(Clone, PartialEq, Message)]
 pub struct PlanAck {
-    /// The planner's life that it answers.
+    /// Incarnation of the planner that sent the update.
     #[prost(fixed64, tag = "1")]
     pub incarnation: u64,
-    /// The version that it answers.
+    /// The version that is acknowledged or rejected.
     #[prost(uint64, tag = "2")]
     pub version: u64,
-    /// Why it was not taken in.
+    /// Why the update was rejected.
     #[prost(enumeration = "RejectReason", tag = "3")]
     pub refused: i32,
 }
 
-/// Why a part was not taken in.
+/// Why an update was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum RejectReason {
-    /// It was.
+    /// It was applied.
     Accepted = 0,
     /// It is for another installation.
     OtherSite = 1,
-    /// Its planner has begun a newer life since.
+    /// A newer incarnation of the planner is known.
     StaleIncarnation = 2,
-    /// It changes a version that is not held: the whole is wanted.
+    /// It is a delta to a version that is not held; a full plan is needed.
     UnknownBase = 3,
-    /// It is made from an older membership than what others have told.
+    /// It is computed from an older membership than another planner's.
     StaleMembership = 4,
-    /// It holds something that makes no sense.
+    /// It contains an invalid value.
     Invalid = 5,
-    /// It is of a service that is not wanted any longer.
+    /// It is of a service that is no longer subscribed to.
     NotSubscribed = 6,
 }
 
-/// What a forwarder has met since its last report. Each row replaces the one before.
+/// What a forwarder observed since its last report. Each row replaces the previous one of the same server.
 #[derive(Clone, PartialEq, Message)]
 pub struct Report {
-    /// Boxes whose figures have changed.
+    /// Servers whose values have changed.
     #[prost(message, repeated, tag = "1")]
     pub rows: Vec<ServerReport>,
-    /// Boxes that it no longer uses.
+    /// Servers that the forwarder no longer uses.
     #[prost(string, repeated, tag = "2")]
     pub dropped: Vec<String>,
-    /// Requests a second that it lets in, by class.
+    /// Admitted requests per second, by class.
     #[prost(message, repeated, tag = "3")]
     pub classes: Vec<RateShare>,
-    /// Requests a second that it lets in, by tenant.
+    /// Admitted requests per second, by tenant.
     #[prost(message, repeated, tag = "4")]
     pub tenants: Vec<RateShare>,
-    /// Drains and leavings that it knows of by itself.
+    /// Drains and removals that the forwarder knows of.
     #[prost(message, repeated, tag = "5")]
     pub closed: Vec<ClosedServer>,
-    /// The planner that it follows; empty for none.
+    /// Name of the planner that it follows; empty for none.
     #[prost(string, tag = "6")]
     pub following: String,
 }
 
-/// What a forwarder has met of one box.
+/// What a forwarder observed of one server.
 #[derive(Clone, PartialEq, Message)]
 pub struct ServerReport {
-    /// Its name.
+    /// Server name.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Accomplishment at this forwarder.
+    /// Score at this forwarder.
     #[prost(float, tag = "2")]
     pub score: f32,
-    /// Requests out to it.
+    /// Requests in flight.
     #[prost(uint32, tag = "3")]
     pub in_flight: u32,
-    /// Its answer times against the fleet's; 1 is usual.
+    /// Latency relative to that of the fleet; 1 is average.
     #[prost(float, tag = "4")]
     pub relative_latency: f32,
-    /// Share of failures, 0 to 1.
+    /// Fraction of failed attempts, 0 to 1.
     #[prost(float, tag = "5")]
     pub failure_rate: f32,
-    /// Out of use at this forwarder.
+    /// Whether this forwarder has ejected it.
     #[prost(bool, tag = "6")]
     pub ejected: bool,
-    /// Endings of attempts so far, in the decision module's order.
+    /// Attempt counts so far by outcome, in the order of the decision module.
     #[prost(uint32, repeated, tag = "7")]
     pub outcomes: Vec<u32>,
 }
 
-/// Word that a box takes nothing new.
+/// A server that accepts no new requests.
 #[derive(Clone, PartialEq, Message)]
 pub struct ClosedServer {
-    /// Its name.
+    /// Server name.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// The version of the membership that says so.
+    /// Version of the membership that lists it as closed.
     #[prost(uint64, tag = "2")]
     pub membership: u64,
-    /// The life of the box that it is about: when it started, Unix time in milliseconds.
+    /// Start time of the server process that is meant, Unix time in milliseconds.
     #[prost(uint64, tag = "3")]
     pub started_ms: u64,
-    /// It has left altogether.
+    /// Whether it is removed rather than draining.
     #[prost(bool, tag = "4")]
     pub removed: bool,
-    /// The epoch of that version as the forwarder counts them, where services are spoken of.
+    /// Epoch of that version as counted by the forwarder, where services are used.
     #[prost(uint64, tag = "5")]
     pub epoch: u64,
 }
 
-/// What does the plan say?
+/// Asks a planner to explain its plan.
 #[derive(Clone, PartialEq, Message)]
 pub struct ExplainRequest {
-    /// Of this box.
+    /// For this server.
     #[prost(string, tag = "1")]
     pub server: String,
-    /// Of this class.
+    /// For this class.
     #[prost(string, tag = "2")]
     pub class: String,
-    /// Of this change of the list, by its version: where it is in force; 0 for none.
+    /// For the rollout of this version of the list; 0 for none.
     #[prost(uint64, tag = "3")]
     pub change: u64,
-    /// Of this service.
+    /// For this service.
     #[prost(string, optional, tag = "4")]
     pub service: Option<String>,
 }
 
-/// A planner's answer.
+/// Answer to an `ExplainRequest`.
 #[derive(Clone, PartialEq, Message)]
 pub struct ExplainResponse {
-    /// Lines for people.
+    /// Human-readable lines.
     #[prost(string, tag = "1")]
     pub text: String,
 }
 
-/// Last word before the connection is closed.
+/// Sent before the connection is closed.
 #[derive(Clone, PartialEq, Message)]
 pub struct Refusal {
-    /// Why, for people.
+    /// Human-readable reason.
     #[prost(string, tag = "1")]
     pub reason: String,
 }
 
-// ---- Services by subscription: see `services` ----
+// ---- Subscriptions to services: see `services` ----
 
-/// The services that a forwarder uses, and those that it uses no longer. Each interest replaces the one before in the
-/// same service.
+/// Changes to the subscriptions of a forwarder. Each interest replaces the previous one in the same service.
 #[derive(Clone, PartialEq, Message)]
 pub struct Subscribe {
-    /// What has changed of its interests.
+    /// Subscriptions that have changed.
     #[prost(message, repeated, tag = "1")]
     pub interests: Vec<Interest>,
-    /// Drains and leavings that it knows of by a later list than its planner's.
+    /// Drains and removals known from a later list than the planner's.
     #[prost(message, repeated, tag = "2")]
     pub closed: Vec<ClosedServer>,
-    /// It goes to another planner: nothing of it lags here any longer.
+    /// The forwarder is moving to another planner; its missing acknowledgements no longer delay a rollout here.
     #[prost(bool, tag = "3")]
     pub leaving: bool,
-    /// Bytes that it takes at once now, for a planner that it comes to; 0 where it does not say.
+    /// Bytes that the forwarder can receive at once now, stated to a planner that it moves to; 0 if not stated.
     #[prost(uint32, tag = "4")]
     pub allowance: u32,
-    /// What was said on this connection so far is all that it wants.
+    /// The subscriptions sent on this connection so far are complete.
     #[prost(bool, tag = "5")]
     pub all: bool,
-    /// Versions of the list that it has followed, oldest first, for a planner that it comes to.
+    /// Versions of the list that it has followed, oldest first, stated to a planner that it moves to.
     #[prost(message, repeated, tag = "6")]
     pub followed: Vec<FollowedVersion>,
 }
@@ -383,79 +383,79 @@
 /// A version of the list that a forwarder has followed; see `services::list_version`.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct FollowedVersion {
-    /// Its epoch, as the forwarder counts them.
+    /// Epoch as counted by the forwarder.
     #[prost(uint64, tag = "1")]
     pub epoch: u64,
-    /// The source's number.
+    /// Version number of the source.
     #[prost(uint64, tag = "2")]
     pub number: u64,
-    /// The digest of the whole list.
+    /// Digest of the full list.
     #[prost(fixed64, tag = "3")]
     pub digest: u64,
 }
 
-/// A forwarder's interest in one service, and what it holds of it.
+/// A subscription to one service and the state held of it.
 #[derive(Clone, PartialEq, Message)]
 pub struct Interest {
-    /// The service; empty for the one that has no name.
+    /// The service; empty for the unnamed one.
     #[prost(string, tag = "1")]
     pub service: String,
-    /// It is no longer wanted.
+    /// The subscription is cancelled.
     #[prost(bool, tag = "2")]
     pub unwanted: bool,
-    /// The planner's life whose version is held; 0 where nothing is.
+    /// Incarnation of the planner whose version is held; 0 if nothing is held.
     #[prost(fixed64, tag = "3")]
     pub incarnation: u64,
-    /// The version held.
+    /// Version held.
     #[prost(uint64, tag = "4")]
     pub version: u64,
-    /// The version of the list that it was made from.
+    /// Version of the list that it was computed from.
     #[prost(uint64, tag = "5")]
     pub source: u64,
-    /// The digest of the servers held.
+    /// Digest of the servers held.
     #[prost(fixed64, tag = "6")]
     pub digest: u64,
-    /// Which slice of the service is held, of how many; 0 of 0 for none.
+    /// Index of the slice held, out of `slices`; 0 of 0 for none.
     #[prost(uint32, tag = "7")]
     pub slice: u32,
-    /// See `slice`.
+    /// Number of slices; see `slice`.
     #[prost(uint32, tag = "8")]
     pub slices: u32,
-    /// The epoch of the version in `source`, as the forwarder counts them.
+    /// Epoch of the version in `source`, as counted by the forwarder.
     #[prost(uint64, tag = "9")]
     pub epoch: u64,
 }
 
-/// What has changed in the services that a forwarder uses. One without services says that all stands.
+/// Changes of the services that a forwarder subscribes to. An update without services is a heartbeat.
 #[derive(Clone, PartialEq, Message)]
 pub struct Update {
-    /// The installation it is for.
+    /// The installation that it is for.
     #[prost(string, tag = "1")]
     pub site: String,
-    /// The life of the planner that says it.
+    /// Incarnation of the planner that sends it.
     #[prost(fixed64, tag = "2")]
     pub incarnation: u64,
-    /// The version of the list that the planner goes by.
+    /// Version of the list that the planner has applied.
     #[prost(uint64, tag = "3")]
     pub source: u64,
-    /// Its number on this connection, from 1; 0 for one that needs no acknowledgement.
+    /// Sequence number on this connection, from 1; 0 if no acknowledgement is needed.
     #[prost(uint64, tag = "4")]
     pub number: u64,
-    /// The services.
+    /// Changed services.
     #[prost(message, repeated, tag = "5")]
     pub services: Vec<ServiceChanges>,
-    /// Further services as one [`PackedServices`], deflated (RFC 1951): servers of a service are much alike.
+    /// Further services as a deflated (RFC 1951) [`PackedServices`]: rows of one service compress well.
     #[prost(bytes = "vec", tag = "6")]
     pub packed: Vec<u8>,
-    /// The epoch of the version in `source`, as the forwarder counts them; 0 as long as the planner has not heard how.
+    /// Epoch of the version in `source` as counted by the forwarder; 0 until the planner has learned it.
     #[prost(uint64, tag = "7")]
     pub epoch: u64,
-    /// The digest of the whole list of that version.
+    /// Digest of the full list of that version.
     #[prost(fixed64, tag = "8")]
     pub list_digest: u64,
 }
 
-/// What an update carries, to be packed.
+/// Services of an update, before compression.
 #[derive(Clone, PartialEq, Message)]
 pub struct PackedServices {
     /// The services.
@@ -466,24 +466,25 @@
 /// Why packed services cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PackError {
-    /// No deflated bytes, or more than [`MAX_PACKED_BYTES`] of one pack or [`MAX_MESSAGE_BYTES`] of all once they are whole again.
+    /// Not deflated bytes, or more than [`MAX_PACKED_BYTES`] in one pack or [`MAX_MESSAGE_BYTES`] in total after
+    /// inflating.
     #[error("its packed bytes cannot be read")]
     Packed,
-    /// What was packed is no message.
+    /// The inflated bytes cannot be decoded.
     #[error("what was packed cannot be read: {0}")]
     Unreadable(#[from] prost::DecodeError),
 }
 
-/// Most bytes that packed services may have.
+/// Maximum size of packed services after inflating.
 pub const MAX_PACKED_BYTES: usize = 64 << 10;
-/// Less is not worth packing.
-const LEAST_PACK: usize = 300;
-/// Of the levels 0 to 10: half of the gain is in the first ones.
-const PACK_LEVEL: u8 = 3;
+/// Smaller messages are not worth compressing.
+const MIN_PACK_BYTES: usize = 300;
+/// Compression level, 0 to 10: the first levels yield half of the gain.
+const COMPRESSION_LEVEL: u8 = 3;
 
-/// Deflates a message.
+/// Compresses a message (RFC 1951).
 pub fn deflate(bytes: &[u8]) -> Vec<u8> {
-    miniz_oxide::deflate::compress_to_vec(bytes, PACK_LEVEL)
+    miniz_oxide::deflate::compress_to_vec(bytes, COMPRESSION_LEVEL)
 }
 
 fn inflate(bytes: &[u8]) -> Result<Vec<u8>, PackError> {
@@ -491,14 +492,14 @@
 }
 
 impl Update {
-    /// Packs its services where that makes it shorter; those that are packed already stay as they are.
+    /// Packs the services where that makes the update smaller; services that are packed already are left as they are.
     pub fn pack(&mut self) {
         let (packed, plain) =
             std::mem::take(&mut self.services).into_iter().partition(|c| !c.packed.is_empty());
         let pack = PackedServices { services: plain };
         self.services = packed;
         let bytes = pack.encode_to_vec();
-        if (LEAST_PACK..=MAX_PACKED_BYTES).contains(&bytes.len()) {
+        if (MIN_PACK_BYTES..=MAX_PACKED_BYTES).contains(&bytes.len()) {
             let packed = deflate(&bytes);
             if packed.len() < bytes.len() {
                 self.packed = packed;
@@ -508,7 +509,7 @@
         self.services.extend(pack.services);
     }
 
-    /// All of its services as they were before they were packed.
+    /// All services, unpacked.
     pub fn unpacked(&self) -> Result<Vec<ServiceChanges>, PackError> {
         let mut services = Vec::new();
         if !self.packed.is_empty() {
@@ -525,48 +526,48 @@
     }
 }
 
-/// What has changed in one service.
+/// Changes of one service.
 #[derive(Clone, PartialEq, Message)]
 pub struct ServiceChanges {
     /// The service.
     #[prost(string, tag = "1")]
     pub service: String,
-    /// The version that these build on; 0 where a whole begins or goes on.
+    /// Version that the delta applies to; 0 for a chunk of a full state.
     #[prost(uint64, tag = "2")]
     pub base: u64,
-    /// The version that is held once the last piece is taken in.
+    /// Version held once the last chunk is applied.
     #[prost(uint64, tag = "3")]
     pub version: u64,
-    /// Servers that are new or have changed.
+    /// Servers that were added or have changed.
     #[prost(message, repeated, tag = "4")]
     pub rows: Vec<ServerRow>,
-    /// Servers that have left the service.
+    /// Servers that were removed from the service.
     #[prost(string, repeated, tag = "5")]
     pub removed: Vec<String>,
-    /// How these stand to the version.
+    /// The position of this chunk in the change to `version`.
     #[prost(enumeration = "Chunk", tag = "6")]
     pub chunk: i32,
-    /// The version of the list that last changed the service's servers.
+    /// Version of the list that last changed the service's servers.
     #[prost(uint64, tag = "7")]
     pub source: u64,
     /// Forwarders of this planner that use the slice.
     #[prost(uint32, tag = "8")]
     pub subscribers: u32,
-    /// The digest of the servers that are held once the last piece is taken in.
+    /// Digest of the servers held once the last chunk is applied.
     #[prost(fixed64, tag = "9")]
     pub digest: u64,
-    /// Which slice of the service this is, of how many.
+    /// Index of the slice, out of `slices`.
     #[prost(uint32, tag = "10")]
     pub slice: u32,
-    /// See `slice`.
+    /// Number of slices; see `slice`.
     #[prost(uint32, tag = "11")]
     pub slices: u32,
-    /// Further rows as [`PackedRows`], deflated (RFC 1951): a whole is packed once for all who get it.
+    /// Further rows as deflated (RFC 1951) [`PackedRows`]: a full state is compressed once for all its receivers.
     #[prost(bytes = "vec", tag = "12")]
     pub packed: Vec<u8>,
 }
 
-/// PackedRows of a service, to be packed.
+/// Rows of a service, before compression.
 #[derive(Clone, PartialEq, Message)]
 pub struct PackedRows {
     /// The rows.
@@ -574,47 +575,47 @@
     pub rows: Vec<ServerRow>,
 }
 
-/// How changes of a service stand to its version.
+/// How a chunk of changes relates to the version of its service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum Chunk {
-    /// The last or only piece: the version is held once it is taken in.
+    /// The last or only chunk of a delta or of a full state: the version is held once it is applied.
     Last = 0,
-    /// The first piece of a whole; what is held stands until the last one.
+    /// The first chunk of a full state; the old state stays in use until the last one.
     First = 1,
-    /// A further piece.
+    /// A further chunk.
     Continued = 2,
-    /// Drains and leavings ahead of their turn, or hints: they move no version.
+    /// Drains and removals sent ahead of their turn, or hints: the version does not change.
     OutOfBand = 3,
-    /// What is held is what the planner has, by its digest: only the version is new.
+    /// The state held equals the planner's by digest: only the version changes.
     Unchanged = 4,
     /// There is no such service.
     Unknown = 5,
-    /// A whole in one piece.
+    /// A full state in one chunk.
     Full = 6,
 }
 
-/// An update was taken in, service by service, or not.
+/// Acknowledges an update and names the services whose changes were rejected.
 #[derive(Clone, PartialEq, Message)]
 pub struct UpdateAck {
-    /// The planner's life that it answers.
+    /// Incarnation of the planner that sent the update.
     #[prost(fixed64, tag = "1")]
     pub incarnation: u64,
-    /// The number of the update.
+    /// Sequence number of the update.
     #[prost(uint64, tag = "2")]
     pub number: u64,
-    /// Services whose changes were not taken in, and why.
+    /// Services whose changes were rejected, with the reasons.
     #[prost(message, repeated, tag = "3")]
     pub refused: Vec<RejectedService>,
 }
 
-/// ServiceChanges of a service that were not taken in.
+/// A service whose changes were rejected.
 #[derive(Clone, PartialEq, Message)]
 pub struct RejectedService {
     /// The service.
     #[prost(string, tag = "1")]
     pub service: String,
-    /// Why not.
+    /// Why the changes were rejected.
     #[prost(enumeration = "RejectReason", tag = "2")]
     pub reason: i32,
 }
