--- a/crates/channel/src/frames.rs
+++ b/crates/channel/src/frames.rs
@@ -1,41 +1,41 @@
-//! Messages on a stream: four bytes of length, highest first, then the message.
+//! Message framing: a length of four bytes in big-endian order, then the message.
 
 use laurelroute_plan::wire::{Body, Frame, MAX_MESSAGE_BYTES};
 use prost::Message;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// Why a connection is of no more use.
+/// Why a connection cannot be used any longer.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
     /// The stream broke or ended.
     #[error("{0}")]
     Stream(#[from] std::io::Error),
-    /// A message is too long to be taken.
+    /// A message exceeds [`MAX_MESSAGE_BYTES`].
     #[error("a message of {0} bytes; at most {MAX_MESSAGE_BYTES} are taken")]
     TooLong(usize),
-    /// The bytes are no message.
+    /// The bytes cannot be decoded as a message.
     #[error("a message that cannot be read: {0}")]
     Unreadable(#[from] prost::DecodeError),
 }
 
-/// Memory that is taken for a message before its bytes come: a length alone must not cost a peer's word.
-const FIRST: usize = 16 << 10;
+/// Maximum memory in bytes reserved for a message before its bytes arrive, whatever length the peer announces.
+const INITIAL_BUFFER_BYTES: usize = 16 << 10;
 
-/// Reads the next message; `None` for one of a kind that this version does not know.
+/// Reads the next message; `None` for one of a kind unknown to this version.
 pub async fn read(stream: &mut (impl AsyncRead + Unpin)) -> Result<Option<Body>, FrameError> {
     let length = stream.read_u32().await? as usize;
     if length > MAX_MESSAGE_BYTES {
         return Err(FrameError::TooLong(length));
     }
-    let mut bytes = Vec::with_capacity(length.min(FIRST));
-    let got = stream.take(length as u64).read_to_end(&mut bytes).await?;
-    if got < length {
+    let mut bytes = Vec::with_capacity(length.min(INITIAL_BUFFER_BYTES));
+    let received = stream.take(length as u64).read_to_end(&mut bytes).await?;
+    if received < length {
         return Err(std::io::Error::from(std::io::ErrorKind::UnexpectedEof).into());
     }
     Ok(Frame::decode(&bytes[..])?.body)
 }
 
-/// Writes one message; its bytes on the wire are given back.
+/// Writes one message and returns its size on the wire in bytes.
 pub async fn write(stream: &mut (impl AsyncWrite + Unpin), body: Body) -> Result<usize, FrameError> {
     let frame = Frame::from(body);
     let length = frame.encoded_len();
@@ -44,7 +44,7 @@
     }
     let mut bytes = Vec::with_capacity(length + 4);
     bytes.extend_from_slice(&(length as u32).to_be_bytes());
-    // A vector grows as it is written to: this cannot fail.
+    // Encoding into a vector cannot fail, as it grows.
     let _ = frame.encode(&mut bytes);
     stream.write_all(&bytes).await?;
     stream.flush().await?;
@@ -61,7 +61,7 @@
     }
 
     #[test]
-    fn messages_come_as_they_were_sent_and_bad_ones_are_told_apart() {
+    fn messages_survive_a_round_trip_and_invalid_ones_are_classified() {
         run(async {
             let (mut a, mut b) = tokio::io::duplex(1 << 20);
             let bodies = [
@@ -74,7 +74,7 @@
             for body in bodies {
                 assert_eq!(read(&mut b).await.unwrap(), Some(body));
             }
-            // A kind of a later version: field 99, empty.
+            // A message kind of a later version: field 99, empty.
             a.write_all(&[0, 0, 0, 3, 0x9a, 0x06, 0]).await.unwrap();
             assert_eq!(read(&mut b).await.unwrap(), None);
             a.write_all(&[0, 0, 0, 1, 0xff]).await.unwrap();
@@ -88,7 +88,7 @@
     }
 
     #[test]
-    fn a_message_beyond_the_bound_is_not_sent() {
+    fn a_message_over_the_size_limit_is_not_sent() {
         run(async {
             let (mut a, _b) = tokio::io::duplex(64);
             let part = PlanUpdate { removed: vec!["x".repeat(MAX_MESSAGE_BYTES)], ..PlanUpdate::default() };
--- a/crates/channel/src/lib.rs
+++ b/crates/channel/src/lib.rs
@@ -1,8 +1,8 @@
-//! The channel between forwarders and planners: one TCP connection under mutual TLS, a handshake of versions, and
-//! messages of [`laurelroute_plan::wire`] with their length in front.
+//! The channel between forwarders and planners: one TCP connection with mutual TLS, a version handshake, and
+//! length-prefixed messages of [`laurelroute_plan::wire`].
 //!
-//! A peer that cannot prove itself by a certificate of the installation's own authority gets nothing, not even a word
-//! of why. One that can, but speaks another version or belongs to another installation, gets a reason and is cut off.
+//! A peer without a certificate of the installation's own authority gets no answer and no reason. An authenticated peer
+//! with an incompatible version or of another installation gets a refusal with a reason, and is disconnected.
 
 pub mod frames;
 pub mod hello;
--- a/crates/channel/src/subscription.rs
+++ b/crates/channel/src/subscription.rs
@@ -1,8 +1,8 @@
-//! Services by subscription on a connection: what a forwarder's [`Subscriber`] and a planner's [`Publisher`] have to
-//! say to each other, carried over any stream. Real forwarders and hollow ones of a scale run use the same loops.
+//! Subscriptions over a connection: drives a forwarder's [`Subscriber`] and a planner's [`Publisher`] over any stream.
+//! Forwarders and the lightweight ones of a scale test use the same loops.
 //!
-//! The machines are pure; here is when they are asked, and what bounds the waiting. Both are borrowed only between
-//! awaits.
+//! The state machines are free of I/O; this module adds timers and timeouts. Their `RefCell`s are never borrowed across
+//! an await.
 
 use crate::frames::{self, FrameError};
 use crate::hello::{self, HelloError, Identity};
@@ -20,102 +20,104 @@
 use tokio::sync::{mpsc, Notify, Semaphore, SemaphorePermit};
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// How often a subscriber and a publisher are asked what time brings.
-pub const TICK: Duration = Duration::from_millis(100);
-/// How often a forwarder reports what it has met.
-const REPORT: Duration = Duration::from_millis(500);
-/// A forwarder says something at least this often, be it nothing, so that one that has gone without a word is noticed.
-const WORD: Duration = Duration::from_secs(2);
-/// A forwarder that has said nothing for so long is taken for lost: five words of it.
-const WORDLESS: Duration = Duration::from_secs(10);
-/// A message that the other side has not taken by then.
-const WRITE: Duration = Duration::from_secs(3);
-/// Connecting, TLS and greeting together. A planner that is met by a third of all forwarders at once has seconds of TLS
-/// handshakes and starts in front of it; one that is given up meanwhile has had its work for nothing.
-const CONNECT: Duration = Duration::from_secs(10);
-/// The last word to a planner that is left, and the end of its connection.
-const PART: Duration = Duration::from_secs(1);
-/// Answers to a planner that wait to be written; a publisher waits for acknowledgements long before that.
-const ANSWERS: usize = 64;
-/// The longest part of a refusal's text that is kept.
-const MOST_REASON: usize = 500;
-/// Forwarders that are just starting at a planner, at once: the first seconds of each cost it far more than all that follows.
-/// Those that it has must go on being told of changes, and hear that it lives, while hundreds come.
+/// Interval at which subscribers and publishers are polled.
+pub const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between a forwarder's reports.
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval between heartbeats of an otherwise idle forwarder, so that a planner detects one that vanished.
+const FORWARDER_HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
+/// A forwarder that has sent nothing for this long, five heartbeats, is considered lost.
+const FORWARDER_SILENCE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Timeout for writing one message.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Timeout for connecting, TLS and the handshake together. A planner to which a third of all forwarders connect at once
+/// has a backlog of seconds of TLS handshakes and initial updates; the work for a connection that times out meanwhile is
+/// wasted.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(10);
+/// Timeout for the last message on a connection and for closing it.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum number of queued acknowledgements; a publisher stops sending and waits for acknowledgements long before that.
+const MAX_QUEUED_ACKS: usize = 64;
+/// Maximum length of a refusal's text, in characters; the rest is cut off.
+const MAX_REASON_CHARS: usize = 500;
+/// Maximum number of forwarders that start at a planner at once. The first seconds of a forwarder cost far more than the
+/// time after; forwarders that are connected must keep receiving changes and heartbeats while hundreds connect.
 pub const MAX_STARTING: usize = 32;
-/// A forwarder is starting until it has been told what the bytes for a burst allow, but for no longer than this.
-const START: Duration = Duration::from_millis(300);
-/// A forwarder waits for so long until its turn to start comes, and else goes to another planner or comes again.
-const QUEUE: Duration = Duration::from_secs(2);
-/// Between two looks for updates there is at least this: a publisher whose time has come meanwhile loses nothing by it.
-const LEAST_PAUSE: Nanos = 2_000_000;
+/// Maximum time for which a forwarder counts as starting; otherwise until the first update that is to be acknowledged.
+const START_TIMEOUT: Duration = Duration::from_millis(300);
+/// Maximum time that a forwarder waits to start; after it the forwarder is refused and tries another planner or again.
+const START_QUEUE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Minimum pause between two polls for updates; an update that becomes due meanwhile is only delayed.
+const MIN_POLL_PAUSE: Nanos = 2_000_000;
 
-/// Why a connection between a forwarder and a planner has ended.
+/// Why a session between a forwarder and a planner ended.
 #[derive(Debug, thiserror::Error)]
 pub enum SessionError {
-    /// It could not be made.
+    /// The connection could not be established.
     #[error("{0}")]
     Connect(#[from] std::io::Error),
-    /// The two do not work together.
+    /// The handshake failed.
     #[error("{0}")]
     Hello(#[from] HelloError),
-    /// The stream or a message is of no use.
+    /// The stream is broken, or a message is invalid.
     #[error("{0}")]
     Frame(#[from] FrameError),
-    /// The other side has said nothing, or taken nothing, for too long.
+    /// Reading or writing timed out.
     #[error("nothing heard in time")]
     Silent,
-    /// The planner does not go by services.
+    /// The peer does not use subscriptions to services.
     #[error("it does not go by services")]
     NoServices,
-    /// The other side has said why it goes.
+    /// The other side refused with a reason.
     #[error("it refuses: {0}")]
     Refused(String),
-    /// A planner that sends on and on without waiting for answers.
+    /// The planner sends updates without waiting for acknowledgements.
     #[error("it does not wait for answers")]
     Flood,
-    /// What a forwarder says cannot be used.
+    /// The publisher rejected a message of the forwarder.
     #[error("{0}")]
     Publish(#[from] PublishError),
-    /// As many forwarders are starting as may at once.
+    /// [`MAX_STARTING`] forwarders are starting.
     #[error("{MAX_STARTING} forwarders are just starting here")]
     Starting,
-    /// A newer connection of the same forwarder has come.
+    /// A newer connection of the same forwarder replaced this one.
     #[error("a newer connection of the same name has come")]
     Replaced,
 }
 
-fn late(_: tokio::time::error::Elapsed) -> SessionError {
+fn timed_out(_: tokio::time::error::Elapsed) -> SessionError {
     SessionError::Silent
 }
 
-fn told(refusal: Refusal) -> SessionError {
-    SessionError::Refused(refusal.reason.chars().filter(|c| !c.is_control()).take(MOST_REASON).collect())
+fn refused(refusal: Refusal) -> SessionError {
+    SessionError::Refused(refusal.reason.chars().filter(|c| !c.is_control()).take(MAX_REASON_CHARS).collect())
 }
 
-/// What the forwarder's loops work on, and whom they tell.
+/// The forwarder's side: the subscriber and its callbacks.
 pub struct SubscriberClient<'a> {
-    /// What is subscribed to.
+    /// The subscriber state machine.
     pub subscriber: &'a RefCell<Subscriber>,
-    /// The time, in the subscriber's count.
+    /// The subscriber's clock.
     pub now: &'a dyn Fn() -> Nanos,
-    /// To be notified (`notify_one`) after `Subscriber::lookup` has answered `Waiting`: it is said at once.
+    /// To be notified (`notify_one`) after `Subscriber::lookup` has answered `Waiting`: the subscription is then sent at once.
     pub interest_added: &'a Notify,
     /// Called after anything that may have changed what is held: `Subscriber::changes` is to be taken.
     pub on_change: &'a dyn Fn(),
     /// Makes a report, mostly by `Subscriber::next_report`; called twice a second while a planner is there.
     pub report: &'a dyn Fn(Nanos) -> Option<Report>,
-    /// Called with a planner's place as a connection to it is up (`Ok`), or has ended or could not be made, for the log.
+    /// Called for the log with a planner's index when a session starts (`Ok`), ends with an error, or cannot be
+    /// established.
     pub on_session: &'a dyn Fn(usize, Result<&Hello, &SessionError>),
 }
 
-type Ended = Result<(), SessionError>;
-/// What goes on beside the rest.
-type Work<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
-/// A planner's place, and its connection with its greeting.
-type Made<S> = (usize, Result<(S, Hello), SessionError>);
+type SessionResult = Result<(), SessionError>;
+/// A future that runs beside others.
+type BoxedFuture<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
+/// A planner's index, and the connection to it with its handshake.
+type ConnectResult<S> = (usize, Result<(S, Hello), SessionError>);
 
-/// One that is under way, or for ever.
-async fn of<T>(future: &mut Option<Work<'_, T>>) -> T {
+/// Awaits a pending future, or forever if there is none.
+async fn pending_or_forever<T>(future: &mut Option<BoxedFuture<'_, T>>) -> T {
     match future {
         Some(future) => future.as_mut().await,
         None => std::future::pending().await,
@@ -123,8 +125,8 @@
 }
 
 impl SubscriberClient<'_> {
-    /// Keeps a connection to one planner after the other, as the subscriber wants them, for good. `connect` gives a
-    /// stream to the planner at that place, TLS included; greeting is done here. What it takes is bounded here too.
+    /// Keeps a session with the planner that the subscriber chooses; never returns. `connect` opens a stream to the
+    /// planner with that index, TLS included; the handshake and the timeout for both are added here.
     pub async fn run<S, C, F>(&self, own: &Identity, connect: C) -> std::convert::Infallible
     where
         S: AsyncRead + AsyncWrite + Unpin,
@@ -132,44 +134,44 @@
         F: Future<Output = std::io::Result<S>>,
     {
         let mut next = Instant::now();
-        let mut connecting: Option<Work<'_, Made<S>>> = None;
-        // The planner that is followed, how it is told that it is left, and its connection.
-        let mut place = 0;
+        let mut connecting: Option<BoxedFuture<'_, ConnectResult<S>>> = None;
+        // The planner that is followed, the signal to end its session, and the session.
+        let mut followed = 0;
         let mut leave = Rc::new(Notify::new());
-        let mut session: Option<Work<'_, Ended>> = None;
-        let mut parting: Option<Work<'_, Ended>> = None;
+        let mut session: Option<BoxedFuture<'_, SessionResult>> = None;
+        let mut closing_session: Option<BoxedFuture<'_, SessionResult>> = None;
         loop {
             tokio::select! {
                 biased;
-                _ = of(&mut parting) => parting = None,
-                ended = of(&mut session) => {
+                _ = pending_or_forever(&mut closing_session) => closing_session = None,
+                ended = pending_or_forever(&mut session) => {
                     session = None;
-                    self.subscriber.borrow_mut().connection_lost((self.now)(), place);
+                    self.subscriber.borrow_mut().connection_lost((self.now)(), followed);
                     if let Err(error) = ended {
-                        (self.on_session)(place, Err(&error));
+                        (self.on_session)(followed, Err(&error));
                     }
                     (self.on_change)();
                     next = Instant::now();
                 }
-                (to, made) = of(&mut connecting) => {
+                (to, connected) = pending_or_forever(&mut connecting) => {
                     connecting = None;
-                    match made {
+                    match connected {
                         Ok((stream, planner)) => {
                             (self.on_session)(to, Ok(&planner));
-                            // In this order: what the former planner still says is no longer taken in.
+                            // In this order: messages of the former planner are no longer applied.
                             leave.notify_one();
-                            parting = session.take();
+                            closing_session = session.take();
                             self.subscriber.borrow_mut().connected((self.now)(), to, planner.incarnation);
-                            (place, leave) = (to, Rc::new(Notify::new()));
+                            (followed, leave) = (to, Rc::new(Notify::new()));
                             session = Some(Box::pin(self.session(to, stream, leave.clone())));
                         }
                         Err(error) => {
-                            let crowded = matches!(
+                            let at_capacity = matches!(
                                 error,
                                 SessionError::Silent | SessionError::Refused(_) | SessionError::Hello(HelloError::Refused(_))
                             );
                             let mut subscriber = self.subscriber.borrow_mut();
-                            match crowded {
+                            match at_capacity {
                                 true => subscriber.planner_at_capacity((self.now)(), to),
                                 false => subscriber.connect_failed((self.now)(), to),
                             }
@@ -181,7 +183,7 @@
                     (self.on_change)();
                 }
                 _ = sleep_until(next) => {
-                    next = Instant::now() + TICK;
+                    next = Instant::now() + POLL_INTERVAL;
                     let now = (self.now)();
                     let to = {
                         let mut subscriber = self.subscriber.borrow_mut();
@@ -192,12 +194,12 @@
                     if let Some(to) = to {
                         let stream = connect(to);
                         connecting = Some(Box::pin(async move {
-                            let made = async {
+                            let connected = async {
                                 let mut stream = stream.await?;
                                 let planner = hello::connect(&mut stream, own, Role::Planner).await?;
                                 if planner.services { Ok((stream, planner)) } else { Err(SessionError::NoServices) }
                             };
-                            (to, timeout(CONNECT, made).await.unwrap_or(Err(SessionError::Silent)))
+                            (to, timeout(CONNECT_TIMEOUT, connected).await.unwrap_or(Err(SessionError::Silent)))
                         }));
                     }
                 }
@@ -205,88 +207,92 @@
         }
     }
 
-    /// One connection to the planner at `place`, greeted already and told to the subscriber (`connected`), until it is of
-    /// no more use, or until `leave` is notified: then the last word is said and all ends well.
-    pub async fn session<S>(&self, place: usize, stream: S, leave: Rc<Notify>) -> Result<(), SessionError>
+    /// Runs one session with the planner of index `planner` after the handshake, and after the subscriber was notified
+    /// (`connected`). Ends with an error, or, once `leave` is notified, with a leave message and `Ok`.
+    pub async fn session<S>(&self, planner: usize, stream: S, leave: Rc<Notify>) -> Result<(), SessionError>
     where
         S: AsyncRead + AsyncWrite + Unpin,
     {
         let (mut reader, mut writer) = tokio::io::split(stream);
-        let (answers, waiting) = mpsc::channel(ANSWERS);
+        let (acks, queued_acks) = mpsc::channel(MAX_QUEUED_ACKS);
         let ended = tokio::select! {
             biased;
             _ = leave.notified() => Ok(()),
-            ended = self.hear(place, &mut reader, answers) => ended,
-            ended = self.say(&mut writer, waiting) => ended,
+            ended = self.receive(planner, &mut reader, acks) => ended,
+            ended = self.send(&mut writer, queued_acks) => ended,
         };
         if ended.is_ok() {
-            let last = async {
+            let goodbye = async {
                 frames::write(&mut writer, Body::Subscribe(Subscriber::leave_message())).await?;
                 Ok::<_, FrameError>(writer.shutdown().await?)
             };
-            timeout(PART, last).await.map_err(late)??;
+            timeout(CLOSE_TIMEOUT, goodbye).await.map_err(timed_out)??;
         }
         ended
     }
 
-    async fn hear(
+    async fn receive(
         &self,
-        place: usize,
+        planner: usize,
         reader: &mut (impl AsyncRead + Unpin),
-        answers: mpsc::Sender<UpdateAck>,
-    ) -> Ended {
+        acks: mpsc::Sender<UpdateAck>,
+    ) -> SessionResult {
         loop {
             let silence = Duration::from_nanos(subscriber::PLANNER_SILENCE_TIMEOUT);
-            let update = match timeout(silence, frames::read(reader)).await.map_err(late)?? {
+            let update = match timeout(silence, frames::read(reader)).await.map_err(timed_out)?? {
                 Some(Body::Update(update)) => update,
-                Some(Body::Refusal(refusal)) => return Err(told(refusal)),
+                Some(Body::Refusal(refusal)) => return Err(refused(refusal)),
                 _ => continue,
             };
-            let answer = self.subscriber.borrow_mut().receive((self.now)(), place, &update);
+            let answer = self.subscriber.borrow_mut().receive((self.now)(), planner, &update);
             (self.on_change)();
             if let Some(answer) = answer {
-                answers.try_send(answer).map_err(|_| SessionError::Flood)?;
+                acks.try_send(answer).map_err(|_| SessionError::Flood)?;
             }
-            // What is refused is asked for anew.
+            // Rejected services are subscribed to again.
             self.interest_added.notify_one();
         }
     }
 
-    async fn say(
+    async fn send(
         &self,
         writer: &mut (impl AsyncWrite + Unpin),
-        mut waiting: mpsc::Receiver<UpdateAck>,
-    ) -> Ended {
+        mut queued_acks: mpsc::Receiver<UpdateAck>,
+    ) -> SessionResult {
         let mut next = Instant::now();
-        let mut report_at = Instant::now() + REPORT;
-        let mut said = Instant::now();
+        let mut report_at = Instant::now() + REPORT_INTERVAL;
+        let mut sent_at = Instant::now();
         loop {
             tokio::select! {
                 biased;
-                Some(answer) = waiting.recv() => {
-                    timeout(WRITE, frames::write(writer, Body::UpdateAck(answer))).await.map_err(late)??;
-                    said = Instant::now();
+                Some(answer) = queued_acks.recv() => {
+                    timeout(WRITE_TIMEOUT, frames::write(writer, Body::UpdateAck(answer))).await.map_err(timed_out)??;
+                    sent_at = Instant::now();
                     continue;
                 }
                 _ = self.interest_added.notified() => {}
-                _ = sleep_until(next) => next = Instant::now() + TICK,
+                _ = sleep_until(next) => next = Instant::now() + POLL_INTERVAL,
             }
             while let Some(subscribe) = self.next_subscribe() {
-                timeout(WRITE, frames::write(writer, Body::Subscribe(subscribe))).await.map_err(late)??;
-                said = Instant::now();
+                timeout(WRITE_TIMEOUT, frames::write(writer, Body::Subscribe(subscribe)))
+                    .await
+                    .map_err(timed_out)??;
+                sent_at = Instant::now();
             }
             let now = Instant::now();
             if now >= report_at {
-                report_at = now + REPORT;
+                report_at = now + REPORT_INTERVAL;
                 if let Some(report) = (self.report)((self.now)()) {
-                    timeout(WRITE, frames::write(writer, Body::Report(report))).await.map_err(late)??;
-                    said = now;
+                    timeout(WRITE_TIMEOUT, frames::write(writer, Body::Report(report)))
+                        .await
+                        .map_err(timed_out)??;
+                    sent_at = now;
                 }
             }
-            if now.duration_since(said) >= WORD {
-                let nothing = Body::Subscribe(Subscribe::default());
-                timeout(WRITE, frames::write(writer, nothing)).await.map_err(late)??;
-                said = now;
+            if now.duration_since(sent_at) >= FORWARDER_HEARTBEAT_INTERVAL {
+                let heartbeat = Body::Subscribe(Subscribe::default());
+                timeout(WRITE_TIMEOUT, frames::write(writer, heartbeat)).await.map_err(timed_out)??;
+                sent_at = now;
             }
         }
     }
@@ -296,39 +302,39 @@
     }
 }
 
-/// A connection of a forwarder, as others find it.
-struct Seat {
-    /// Of several connections of one name the latest counts.
+/// The current connection of a forwarder process.
+struct Connection {
+    /// Of several connections with one name, the one with the highest number is current.
     number: u64,
-    news: Rc<Notify>,
+    notify: Rc<Notify>,
 }
 
-/// Processes of one forwarder that are led at once: the one that runs, and the one that takes over from it.
-const LIVES: usize = 2;
+/// Maximum number of connected processes of one forwarder: the running one, and the one that takes over from it.
+const MAX_PROCESSES: usize = 2;
 
-/// The processes of a forwarder that are connected: when each one's life began, and the name that it has at the publisher.
-type Lives = Vec<(u64, String)>;
+/// The connected processes of a forwarder: incarnation, and name at the publisher.
+type Processes = Vec<(u64, String)>;
 
-/// A publisher and the connections of its forwarders.
+/// The planner's side: a publisher and the connections of its forwarders.
 pub struct PublisherServer {
     publisher: RefCell<Publisher>,
     now: Box<dyn Fn() -> Nanos>,
-    /// Bounded by the publisher, which takes no more forwarders than it is told.
-    seats: RefCell<BTreeMap<String, Seat>>,
-    /// By the names that forwarders have given.
-    lives: RefCell<BTreeMap<String, Lives>>,
-    connections: Cell<u64>,
+    /// Connections by name at the publisher, bounded by its limit on forwarders.
+    current_connections: RefCell<BTreeMap<String, Connection>>,
+    /// Processes by forwarder name.
+    processes: RefCell<BTreeMap<String, Processes>>,
+    connection_count: Cell<u64>,
     starting: Semaphore,
 }
 
 impl std::fmt::Debug for PublisherServer {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "PublisherServer({} connections)", self.seats.borrow().len())
+        write!(f, "PublisherServer({} connections)", self.current_connections.borrow().len())
     }
 }
 
-/// Gives a forwarder's seat up, however its connection ends.
-struct Seated<'a> {
+/// Unregisters a connection when dropped, however its session ends.
+struct ConnectionGuard<'a> {
     publishing: &'a PublisherServer,
     peer: &'a Hello,
     /// Its name at the publisher.
@@ -336,21 +342,21 @@
     number: u64,
 }
 
-impl Seated<'_> {
-    fn current(&self) -> bool {
-        self.publishing.seats.borrow().get(&self.name).is_some_and(|s| s.number == self.number)
+impl ConnectionGuard<'_> {
+    fn is_current(&self) -> bool {
+        self.publishing.current_connections.borrow().get(&self.name).is_some_and(|s| s.number == self.number)
     }
 }
 
-impl Drop for Seated<'_> {
+impl Drop for ConnectionGuard<'_> {
     fn drop(&mut self) {
-        if !self.current() {
+        if !self.is_current() {
             return;
         }
-        self.publishing.seats.borrow_mut().remove(&self.name);
-        let others = self.publishing.forget(self.peer);
+        self.publishing.current_connections.borrow_mut().remove(&self.name);
+        let others = self.publishing.unregister_process(self.peer);
         self.publishing.with(|publisher, now| {
-            // Where another process of the same forwarder is there, this one does not lag: it has gone.
+            // While another process of the forwarder is connected, this one has ended and must not count as lagging.
             if others {
                 let _ = publisher.subscribe(now, &self.name, &Subscriber::leave_message());
             }
@@ -360,81 +366,86 @@
 }
 
 impl PublisherServer {
-    /// A publisher without connections. `now` tells the time in the publisher's count.
+    /// A publisher without connections. `now` is the publisher's clock.
     pub fn new(publisher: Publisher, now: Box<dyn Fn() -> Nanos>) -> Self {
         PublisherServer {
             publisher: RefCell::new(publisher),
             now,
-            seats: RefCell::default(),
-            lives: RefCell::default(),
-            connections: Cell::new(0),
+            current_connections: RefCell::default(),
+            processes: RefCell::default(),
+            connection_count: Cell::new(0),
             starting: Semaphore::new(MAX_STARTING),
         }
     }
 
-    /// Does something with the publisher, and wakes the connections for which there is news after it.
+    /// Runs `f` on the publisher, and wakes the connections that have updates to send after it.
     pub fn with<T>(&self, f: impl FnOnce(&mut Publisher, Nanos) -> T) -> T {
-        let (done, stirred) = {
+        let (done, ready) = {
             let mut publisher = self.publisher.borrow_mut();
             let done = f(&mut publisher, (self.now)());
             (done, publisher.take_ready_forwarders())
         };
-        let seats = self.seats.borrow();
-        for name in stirred {
-            if let Some(seat) = seats.get(&name) {
-                seat.news.notify_one();
+        let current_connections = self.current_connections.borrow();
+        for name in ready {
+            if let Some(connection) = current_connections.get(&name) {
+                connection.notify.notify_one();
             }
         }
         done
     }
 
-    /// The name that a process of a forwarder has at the publisher. One that takes over is there beside the one that it takes
-    /// over from: both have requests, and both must hear of drains.
-    fn place(&self, peer: &Hello) -> Result<String, SessionError> {
-        let mut lives = self.lives.borrow_mut();
-        let here = lives.entry(peer.name.clone()).or_default();
-        if let Some((_, name)) = here.iter().find(|(life, _)| *life == peer.incarnation) {
+    /// Registers a process of a forwarder and returns its name at the publisher. A process that takes over is registered
+    /// beside the old one: both serve requests, and both must receive drains.
+    fn register_process(&self, peer: &Hello) -> Result<String, SessionError> {
+        let mut processes = self.processes.borrow_mut();
+        let registered = processes.entry(peer.name.clone()).or_default();
+        if let Some((_, name)) = registered.iter().find(|(incarnation, _)| *incarnation == peer.incarnation) {
             return Ok(name.clone());
         }
         let mut name = peer.name.clone();
-        if here.len() >= LIVES {
-            // The oldest one has to go, and its name goes over.
-            let oldest = here.iter().enumerate().min_by_key(|(_, (life, _))| *life).map(|(k, _)| k);
-            let (life, former) = here.swap_remove(oldest.unwrap_or(0));
-            if peer.incarnation < life {
-                here.push((life, former));
+        if registered.len() >= MAX_PROCESSES {
+            // The oldest process is replaced, and its name is reused.
+            let oldest = registered
+                .iter()
+                .enumerate()
+                .min_by_key(|(_, (incarnation, _))| *incarnation)
+                .map(|(k, _)| k);
+            let (incarnation, former) = registered.swap_remove(oldest.unwrap_or(0));
+            if peer.incarnation < incarnation {
+                registered.push((incarnation, former));
                 return Err(SessionError::Replaced);
             }
             name = former;
-        } else if here.iter().any(|(_, other)| *other == name) {
+        } else if registered.iter().any(|(_, other)| *other == name) {
             name = format!("{name}~{:x}", peer.incarnation);
         }
-        here.push((peer.incarnation, name.clone()));
+        registered.push((peer.incarnation, name.clone()));
         Ok(name)
     }
 
-    /// A process has gone; whether another one of the same forwarder is there.
-    fn forget(&self, peer: &Hello) -> bool {
-        let mut lives = self.lives.borrow_mut();
-        let Some(here) = lives.get_mut(&peer.name) else { return false };
-        here.retain(|(life, _)| *life != peer.incarnation);
-        let others = !here.is_empty();
+    /// Unregisters a process; returns whether another process of the same forwarder is connected.
+    fn unregister_process(&self, peer: &Hello) -> bool {
+        let mut processes = self.processes.borrow_mut();
+        let Some(registered) = processes.get_mut(&peer.name) else { return false };
+        registered.retain(|(incarnation, _)| *incarnation != peer.incarnation);
+        let others = !registered.is_empty();
         if !others {
-            lives.remove(&peer.name);
+            processes.remove(&peer.name);
         }
         others
     }
 
-    /// Tells the publisher the time, for good.
+    /// Polls the publisher at every [`POLL_INTERVAL`]; never returns.
     pub async fn run_timer(&self) -> std::convert::Infallible {
         loop {
             self.with(|publisher, now| publisher.poll(now));
-            tokio::time::sleep(TICK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Greets a forwarder whose greeting was heard (see [`hello::heard`]) and leads it until its connection ends. One that
-    /// is not taken hears why before it is greeted, so that it goes to another planner.
+    /// Accepts a forwarder whose handshake was received (see [`hello::receive_hello`]), and serves it until its connection
+    /// ends. A forwarder that is refused is sent the reason before the handshake completes, so that it tries another
+    /// planner.
     pub async fn serve<S>(&self, mut stream: S, own: &Identity, peer: &Hello) -> Result<(), SessionError>
     where
         S: AsyncRead + AsyncWrite + Unpin,
@@ -442,63 +453,74 @@
         if !peer.services {
             let reason =
                 format!("to {}: this planner goes by services, and the forwarder does not", own.name);
-            let _ = timeout(PART, hello::send_refusal(&mut stream, reason)).await;
+            let _ = timeout(CLOSE_TIMEOUT, hello::send_refusal(&mut stream, reason)).await;
             return Err(SessionError::NoServices);
         }
-        let Ok(Ok(start)) = timeout(QUEUE, self.starting.acquire()).await else {
+        let Ok(Ok(start)) = timeout(START_QUEUE_TIMEOUT, self.starting.acquire()).await else {
             let reason = format!("to {}: {}", own.name, SessionError::Starting);
-            let _ = timeout(PART, hello::send_refusal(&mut stream, reason)).await;
+            let _ = timeout(CLOSE_TIMEOUT, hello::send_refusal(&mut stream, reason)).await;
             return Err(SessionError::Starting);
         };
         let zone = peer.zone.min(255) as u8;
-        let joined = self.place(peer).and_then(|name| {
+        let joined = self.register_process(peer).and_then(|name| {
             let joined = self.with(|publisher, now| publisher.forwarder_connected(now, &name, zone));
-            if joined.is_err() && !self.seats.borrow().contains_key(&name) {
-                self.forget(peer);
+            if joined.is_err() && !self.current_connections.borrow().contains_key(&name) {
+                self.unregister_process(peer);
             }
             Ok((joined?, name).1)
         });
         let name = match joined {
             Ok(name) => name,
             Err(error) => {
-                let _ = timeout(PART, hello::send_refusal(&mut stream, format!("to {}: {error}", own.name)))
-                    .await;
+                let _ = timeout(
+                    CLOSE_TIMEOUT,
+                    hello::send_refusal(&mut stream, format!("to {}: {error}", own.name)),
+                )
+                .await;
                 return Err(error);
             }
         };
-        let number = self.connections.get() + 1;
-        self.connections.set(number);
-        let news = Rc::new(Notify::new());
-        let former = self.seats.borrow_mut().insert(name.clone(), Seat { number, news: news.clone() });
-        // It finds that it is not the latest any longer.
-        former.inspect(|f| f.news.notify_one());
-        let seated = Seated { publishing: self, peer, name, number };
-        timeout(WRITE, hello::accept(&mut stream, own)).await.map_err(late)??;
+        let number = self.connection_count.get() + 1;
+        self.connection_count.set(number);
+        let notify = Rc::new(Notify::new());
+        let former = self
+            .current_connections
+            .borrow_mut()
+            .insert(name.clone(), Connection { number, notify: notify.clone() });
+        // Wakes the former connection, which then finds that it was replaced.
+        former.inspect(|f| f.notify.notify_one());
+        let guard = ConnectionGuard { publishing: self, peer, name, number };
+        timeout(WRITE_TIMEOUT, hello::accept(&mut stream, own)).await.map_err(timed_out)??;
         let (mut reader, mut writer) = tokio::io::split(stream);
         let ended = tokio::select! {
-            ended = self.hear(&seated, &mut reader) => ended,
-            ended = self.say(&seated, &news, &mut writer, start) => ended,
+            ended = self.receive(&guard, &mut reader) => ended,
+            ended = self.send(&guard, &notify, &mut writer, start) => ended,
         };
         if let Err(error @ (SessionError::Publish(_) | SessionError::Replaced)) = &ended {
             let refusal = Refusal { reason: format!("to {}: {error}", own.name) };
-            // Its connection is closed in any case.
-            let _ = timeout(PART, frames::write(&mut writer, Body::Refusal(refusal))).await;
+            // The connection is closed in any case.
+            let _ = timeout(CLOSE_TIMEOUT, frames::write(&mut writer, Body::Refusal(refusal))).await;
         }
         ended
     }
 
-    async fn hear(&self, seated: &Seated<'_>, reader: &mut (impl AsyncRead + Unpin)) -> Ended {
+    async fn receive(
+        &self,
+        guard: &ConnectionGuard<'_>,
+        reader: &mut (impl AsyncRead + Unpin),
+    ) -> SessionResult {
         let mut leaving = false;
         loop {
-            let body = match timeout(WORDLESS, frames::read(reader)).await.map_err(late)? {
-                // It has said that it goes.
-                Err(FrameError::Stream(_)) if leaving => return Ok(()),
-                body => body?,
-            };
-            if !seated.current() {
+            let body =
+                match timeout(FORWARDER_SILENCE_TIMEOUT, frames::read(reader)).await.map_err(timed_out)? {
+                    // The forwarder has announced that it leaves.
+                    Err(FrameError::Stream(_)) if leaving => return Ok(()),
+                    body => body?,
+                };
+            if !guard.is_current() {
                 return Err(SessionError::Replaced);
             }
-            let name = seated.name.as_str();
+            let name = guard.name.as_str();
             match body {
                 Some(Body::Subscribe(subscribe)) if subscribe == Subscribe::default() => {}
                 Some(Body::Subscribe(subscribe)) => {
@@ -511,25 +533,25 @@
                 Some(Body::Report(report)) => {
                     self.with(|publisher, now| publisher.report(now, name, &report))?
                 }
-                Some(Body::Refusal(refusal)) => return Err(told(refusal)),
+                Some(Body::Refusal(refusal)) => return Err(refused(refusal)),
                 _ => {}
             }
         }
     }
 
-    async fn say(
+    async fn send(
         &self,
-        seated: &Seated<'_>,
-        news: &Notify,
+        guard: &ConnectionGuard<'_>,
+        notify: &Notify,
         writer: &mut (impl AsyncWrite + Unpin),
         start: SemaphorePermit<'_>,
-    ) -> Ended {
-        let name = seated.name.as_str();
-        let mut start = Some((start, Instant::now() + START));
-        let mut told = false;
+    ) -> SessionResult {
+        let name = guard.name.as_str();
+        let mut start = Some((start, Instant::now() + START_TIMEOUT));
+        let mut update_sent = false;
         loop {
             let pause = loop {
-                if !seated.current() {
+                if !guard.is_current() {
                     return Err(SessionError::Replaced);
                 }
                 let now = (self.now)();
@@ -538,23 +560,25 @@
                     let wake_at = self.publisher.borrow().next_wakeup(now, name);
                     break wake_at
                         .saturating_sub(now)
-                        .clamp(LEAST_PAUSE, subscriber::PLANNER_SILENCE_TIMEOUT);
+                        .clamp(MIN_POLL_PAUSE, subscriber::PLANNER_SILENCE_TIMEOUT);
                 };
-                told |= update.number > 0;
-                timeout(WRITE, frames::write(writer, Body::Update(update))).await.map_err(late)??;
-                // One update a turn: the others hear theirs meanwhile.
+                update_sent |= update.number > 0;
+                timeout(WRITE_TIMEOUT, frames::write(writer, Body::Update(update)))
+                    .await
+                    .map_err(timed_out)??;
+                // Yields after each update, so that other connections get theirs.
                 tokio::task::yield_now().await;
             };
             let mut pause = Duration::from_nanos(pause);
             if let Some((permit, until)) = start.take() {
                 let now = Instant::now();
-                if !told && now < until {
+                if !update_sent && now < until {
                     pause = pause.min(until - now);
                     start = Some((permit, until));
                 }
             }
-            // A notice that comes while this one is written is kept.
-            let _ = timeout(pause, news.notified()).await;
+            // A notification during a write is kept by `Notify`.
+            let _ = timeout(pause, notify.notified()).await;
         }
     }
 }
--- a/crates/channel/src/tls.rs
+++ b/crates/channel/src/tls.rs
@@ -1,4 +1,4 @@
-//! Both sides prove themselves by certificates of one authority, which belongs to the installation alone.
+//! Mutual TLS: both sides authenticate by certificates of an authority that belongs to the installation alone.
 
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::{CertificateDer, PrivateKeyDer, ServerName};
@@ -9,30 +9,30 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio_rustls::{client, server, TlsAcceptor, TlsConnector};
 
-/// Why the files cannot be used.
+/// Why the TLS files cannot be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum TlsError {
-    /// A file cannot be read, or holds nothing of the kind.
+    /// A file cannot be read, or lacks the expected PEM item.
     #[error("{file}: {error}")]
     #[allow(missing_docs)]
     File { file: PathBuf, error: rustls::pki_types::pem::Error },
-    /// A file holds no certificate.
+    /// A file contains no certificate.
     #[error("{0}: no certificate in it")]
     Empty(PathBuf),
-    /// Certificate and key do not fit, or are of a kind that is not supported.
+    /// Certificate and key do not match or are not supported.
     #[error("{file}: {error}")]
     #[allow(missing_docs)]
     Unfit { file: PathBuf, error: rustls::Error },
-    /// The authority cannot be used.
+    /// The authority's certificate cannot be used.
     #[error("{file}: {error}")]
     #[allow(missing_docs)]
     Authority { file: PathBuf, error: String },
-    /// No name that a certificate can have.
+    /// Not a valid server name.
     #[error("`{0}` is no name that a certificate can have")]
     Name(String),
 }
 
-/// Both sides of a peer.
+/// Connector and acceptor of a peer.
 #[derive(Clone)]
 pub struct Tls {
     connector: TlsConnector,
@@ -47,18 +47,18 @@
 }
 
 fn certificates(file: &Path) -> Result<Vec<CertificateDer<'static>>, TlsError> {
-    let fault = |error| TlsError::File { file: file.to_owned(), error };
-    let found: Result<Vec<_>, _> = CertificateDer::pem_file_iter(file).map_err(fault)?.collect();
-    let found = found.map_err(fault)?;
-    if found.is_empty() {
+    let file_error = |error| TlsError::File { file: file.to_owned(), error };
+    let certificates: Result<Vec<_>, _> = CertificateDer::pem_file_iter(file).map_err(file_error)?.collect();
+    let certificates = certificates.map_err(file_error)?;
+    if certificates.is_empty() {
         return Err(TlsError::Empty(file.to_owned()));
     }
-    Ok(found)
+    Ok(certificates)
 }
 
 impl Tls {
-    /// Reads the authority's certificate, the own certificate and its key, all PEM. Planners are met only under the
-    /// name that their certificates hold.
+    /// Loads the authority's certificate, the own certificate and its key, all in PEM format. Planners are verified
+    /// against the name `planner` in their certificates.
     pub fn load(authority: &Path, certificate: &Path, key: &Path, planner: &str) -> Result<Tls, TlsError> {
         let mut roots = RootCertStore::empty();
         for root in certificates(authority)? {
@@ -66,32 +66,32 @@
         }
         let roots = Arc::new(roots);
         let chain = certificates(certificate)?;
-        let secret = PrivateKeyDer::from_pem_file(key)
+        let private_key = PrivateKeyDer::from_pem_file(key)
             .map_err(|error| TlsError::File { file: key.to_owned(), error })?;
         let provider = Arc::new(rustls::crypto::ring::default_provider());
-        let unfit = |error| TlsError::Unfit { file: certificate.to_owned(), error };
+        let config_error = |error| TlsError::Unfit { file: certificate.to_owned(), error };
         let verifier =
             WebPkiClientVerifier::builder_with_provider(roots.clone(), provider.clone()).build().map_err(
                 |error| TlsError::Authority { file: authority.to_owned(), error: error.to_string() },
             )?;
         let server = ServerConfig::builder_with_provider(provider.clone())
             .with_safe_default_protocol_versions()
-            .map_err(unfit)?
+            .map_err(config_error)?
             .with_client_cert_verifier(verifier)
-            .with_single_cert(chain.clone(), secret.clone_key())
-            .map_err(unfit)?;
+            .with_single_cert(chain.clone(), private_key.clone_key())
+            .map_err(config_error)?;
         let client = ClientConfig::builder_with_provider(provider)
             .with_safe_default_protocol_versions()
-            .map_err(unfit)?
+            .map_err(config_error)?
             .with_root_certificates(roots)
-            .with_client_auth_cert(chain, secret)
-            .map_err(unfit)?;
+            .with_client_auth_cert(chain, private_key)
+            .map_err(config_error)?;
         let planner =
             ServerName::try_from(planner.to_owned()).map_err(|_| TlsError::Name(planner.to_owned()))?;
         Ok(Tls { connector: Arc::new(client).into(), acceptor: Arc::new(server).into(), planner })
     }
 
-    /// Proves both sides as the one that connected.
+    /// Performs the TLS handshake as the side that connected.
     pub async fn connect<S>(&self, stream: S) -> std::io::Result<client::TlsStream<S>>
     where
         S: AsyncRead + AsyncWrite + Unpin,
@@ -99,7 +99,7 @@
         self.connector.connect(self.planner.clone(), stream).await
     }
 
-    /// Proves both sides as the one that was connected to.
+    /// Performs the TLS handshake as the side that accepted the connection.
     pub async fn accept<S>(&self, stream: S) -> std::io::Result<server::TlsStream<S>>
     where
         S: AsyncRead + AsyncWrite + Unpin,
--- a/crates/channel/tests/subscription.rs
+++ b/crates/channel/tests/subscription.rs
@@ -1,4 +1,4 @@
-//! What two machines say to each other by the session loops, over streams in memory.
+//! Sessions of subscribers and publishers over in-memory streams.
 
 use laurelroute_channel::frames;
 use laurelroute_channel::hello::{self, HelloError, Identity};
@@ -18,11 +18,11 @@
 
 const SITE: &str = "perth";
 
-fn identity(role: Role, name: &str, life: u64) -> Identity {
-    Identity { role, name: name.into(), site: SITE.into(), incarnation: life, zone: 1, services: true }
+fn identity(role: Role, name: &str, incarnation: u64) -> Identity {
+    Identity { role, name: name.into(), site: SITE.into(), incarnation, zone: 1, services: true }
 }
 
-/// The time since the test's start, not from zero: that is no time.
+/// The time since the start of the test plus one second, as zero means no time.
 fn clock() -> Rc<dyn Fn() -> Nanos> {
     let start = Instant::now();
     Rc::new(move || 1_000_000_000 + start.elapsed().as_nanos() as Nanos)
@@ -41,7 +41,7 @@
     }
 }
 
-/// A planner that may be stopped and started again.
+/// A planner that can be stopped and restarted.
 struct Planner {
     publishing: Rc<PublisherServer>,
     identity: Identity,
@@ -52,10 +52,10 @@
 
 impl Planner {
     fn new(now: &Rc<dyn Fn() -> Nanos>, name: &str, max_forwarders: usize) -> Rc<Self> {
-        let life = now() / 1_000_000;
+        let incarnation = now() / 1_000_000;
         let settings = publisher::Settings {
             site: SITE.into(),
-            incarnation: life,
+            incarnation,
             planners: 2,
             max_forwarders,
             bytes_per_second: 7_000.0,
@@ -67,7 +67,7 @@
         let publishing = PublisherServer::new(Publisher::new(now(), settings), Box::new(move || clock()));
         let planner = Rc::new(Planner {
             publishing: Rc::new(publishing),
-            identity: identity(Role::Planner, name, life),
+            identity: identity(Role::Planner, name, incarnation),
             alive: Cell::new(true),
             sessions: RefCell::default(),
             ended: RefCell::default(),
@@ -77,8 +77,8 @@
         planner
     }
 
-    fn list(&self, version: u64, whole: bool, entries: Vec<ListedServer>) {
-        let dropped = self.publishing.with(|p, now| p.apply_list(now, version, whole, entries));
+    fn list(&self, version: u64, full: bool, entries: Vec<ListedServer>) {
+        let dropped = self.publishing.with(|p, now| p.apply_list(now, version, full, entries));
         assert_eq!(dropped, publisher::Dropped::default());
     }
 
@@ -109,21 +109,21 @@
 
 struct Forwarder {
     subscriber: RefCell<Subscriber>,
-    wanted: Notify,
+    interest_added: Notify,
     changes: RefCell<Vec<Change>>,
-    noted: RefCell<Vec<(usize, Result<String, String>)>>,
+    session_events: RefCell<Vec<(usize, Result<String, String>)>>,
     now: Rc<dyn Fn() -> Nanos>,
 }
 
 impl Forwarder {
     fn start(now: &Rc<dyn Fn() -> Nanos>, name: &str, planners: &[Rc<Planner>]) -> (Rc<Self>, AbortHandle) {
-        Self::born(now, name, 1, planners)
+        Self::start_process(now, name, 1, planners)
     }
 
-    fn born(
+    fn start_process(
         now: &Rc<dyn Fn() -> Nanos>,
         name: &str,
-        life: u64,
+        incarnation: u64,
         planners: &[Rc<Planner>],
     ) -> (Rc<Self>, AbortHandle) {
         let settings = subscriber::Settings {
@@ -142,40 +142,40 @@
         };
         let forwarder = Rc::new(Forwarder {
             subscriber: RefCell::new(Subscriber::new(now(), settings)),
-            wanted: Notify::new(),
+            interest_added: Notify::new(),
             changes: RefCell::default(),
-            noted: RefCell::default(),
+            session_events: RefCell::default(),
             now: now.clone(),
         });
-        let (own, planners, kept) =
-            (identity(Role::Forwarder, name, life), planners.to_vec(), forwarder.clone());
+        let (own, planners, state) =
+            (identity(Role::Forwarder, name, incarnation), planners.to_vec(), forwarder.clone());
         let task = spawn_local(async move {
             let changed = || {
-                let mut changes = kept.subscriber.borrow_mut().changes();
-                kept.changes.borrow_mut().append(&mut changes);
+                let mut changes = state.subscriber.borrow_mut().changes();
+                state.changes.borrow_mut().append(&mut changes);
             };
-            let noted = |place, word: Result<&Hello, &SessionError>| {
-                let word = word.map(|h| h.name.clone()).map_err(|e| e.to_string());
-                kept.noted.borrow_mut().push((place, word));
+            let session_events = |planner, result: Result<&Hello, &SessionError>| {
+                let result = result.map(|h| h.name.clone()).map_err(|e| e.to_string());
+                state.session_events.borrow_mut().push((planner, result));
             };
             let subscribing = SubscriberClient {
-                subscriber: &kept.subscriber,
-                now: &*kept.now,
-                interest_added: &kept.wanted,
+                subscriber: &state.subscriber,
+                now: &*state.now,
+                interest_added: &state.interest_added,
                 on_change: &changed,
-                report: &|now| kept.subscriber.borrow_mut().next_report(now, &mut std::iter::empty()),
-                on_session: &noted,
+                report: &|now| state.subscriber.borrow_mut().next_report(now, &mut std::iter::empty()),
+                on_session: &session_events,
             };
             let planners = &planners;
-            subscribing.run(&own, |place| async move { planners[place].connect() }).await;
+            subscribing.run(&own, |planner| async move { planners[planner].connect() }).await;
         });
         (forwarder, task.abort_handle())
     }
 
-    fn want(&self, service: &str) -> ServiceStatus {
-        let standing = self.subscriber.borrow_mut().lookup((self.now)(), service);
-        self.wanted.notify_one();
-        standing
+    fn lookup(&self, service: &str) -> ServiceStatus {
+        let status = self.subscriber.borrow_mut().lookup((self.now)(), service);
+        self.interest_added.notify_one();
+        status
     }
 
     fn phases(&self, service: &str) -> Vec<(String, Phase)> {
@@ -195,7 +195,7 @@
     ListedServer { services: vec![service.into()], member: Member::warm(name).in_phase(phase) }
 }
 
-fn both() -> Vec<ListedServer> {
+fn two_services() -> Vec<ListedServer> {
     vec![
         listed("shop", "a", Phase::Ready),
         listed("shop", "b", Phase::Ready),
@@ -204,23 +204,24 @@
 }
 
 #[test]
-fn a_service_is_heard_of_as_it_is_wanted_and_a_drain_is_in_force() {
+fn a_service_is_received_on_lookup_and_a_drain_is_rolled_out() {
     run(async {
         let now = clock();
         let planner = Planner::new(&now, "p0", 10);
-        planner.list(1, true, both());
+        planner.list(1, true, two_services());
         let (forwarder, _) = Forwarder::start(&now, "f0", std::slice::from_ref(&planner));
-        assert_eq!(forwarder.want("shop"), ServiceStatus::Pending);
-        until("shop is held", || forwarder.want("shop") == ServiceStatus::Available).await;
+        assert_eq!(forwarder.lookup("shop"), ServiceStatus::Pending);
+        until("shop is available", || forwarder.lookup("shop") == ServiceStatus::Available).await;
         let ready = |n: &str| (n.to_owned(), Phase::Ready);
         assert_eq!(forwarder.phases("shop"), [ready("a"), ready("b")]);
-        assert_eq!(forwarder.phases("stock"), [], "nobody has asked for it");
+        assert_eq!(forwarder.phases("stock"), [], "it was not looked up");
         assert!(
             matches!(&forwarder.changes.borrow()[..], [Change::Members { service, .. }, ..] if service == "shop")
         );
-        until("strangers are unknown", || forwarder.want("strange") == ServiceStatus::Unknown).await;
+        until("an unlisted service is unknown", || forwarder.lookup("strange") == ServiceStatus::Unknown)
+            .await;
         planner.list(2, false, vec![listed("shop", "b", Phase::Draining)]);
-        until("the drain is in force", || {
+        until("the drain is rolled out", || {
             planner
                 .publishing
                 .with(|p, _| p.rollout_status(2))
@@ -232,57 +233,60 @@
 }
 
 #[test]
-fn another_planner_takes_over_and_what_is_held_stays_meanwhile() {
+fn services_stay_available_while_another_planner_takes_over() {
     run(async {
         let now = clock();
         let planners = [Planner::new(&now, "p0", 10), Planner::new(&now, "p1", 10)];
-        planners.iter().for_each(|p| p.list(1, true, both()));
+        planners.iter().for_each(|p| p.list(1, true, two_services()));
         let (forwarder, _) = Forwarder::start(&now, "f0", &planners);
-        until("shop is held", || forwarder.want("shop") == ServiceStatus::Available).await;
+        until("shop is available", || forwarder.lookup("shop") == ServiceStatus::Available).await;
         let first = forwarder.planner().expect("connected");
         planners[first].stop();
-        until("the other leads", || forwarder.planner() == Some(1 - first)).await;
-        assert_eq!(forwarder.want("shop"), ServiceStatus::Available);
+        until("the other planner is followed", || forwarder.planner() == Some(1 - first)).await;
+        assert_eq!(forwarder.lookup("shop"), ServiceStatus::Available);
         until("it is subscribed there", || {
             planners[1 - first].publishing.with(|p, _| p.stats().subscriptions) > 0
         })
         .await;
         planners[1 - first].list(2, false, vec![listed("shop", "a", Phase::Draining)]);
-        until("the drain came", || forwarder.phases("shop")[0].1 == Phase::Draining).await;
+        until("the drain is received", || forwarder.phases("shop")[0].1 == Phase::Draining).await;
         planners[1 - first].stop();
-        until("no planner is there", || forwarder.planner().is_none()).await;
-        assert_eq!(forwarder.want("shop"), ServiceStatus::Available);
-        assert_eq!(forwarder.want("stock"), ServiceStatus::Pending);
-        // Back, and what was asked for meanwhile comes.
+        until("no planner is connected", || forwarder.planner().is_none()).await;
+        assert_eq!(forwarder.lookup("shop"), ServiceStatus::Available);
+        assert_eq!(forwarder.lookup("stock"), ServiceStatus::Pending);
+        // The planners restart, and the service looked up meanwhile is received.
         planners.iter().for_each(|p| p.alive.set(true));
-        until("stock is held", || forwarder.want("stock") == ServiceStatus::Available).await;
+        until("stock is available", || forwarder.lookup("stock") == ServiceStatus::Available).await;
     });
 }
 
 #[test]
-fn a_planner_that_is_full_says_so_before_it_greets() {
+fn a_planner_at_capacity_refuses_before_the_handshake_completes() {
     run(async {
         let now = clock();
         let planners = [Planner::new(&now, "p0", 1), Planner::new(&now, "p1", 1)];
-        planners.iter().for_each(|p| p.list(1, true, both()));
+        planners.iter().for_each(|p| p.list(1, true, two_services()));
         let forwarders: Vec<_> =
             ["f0", "f1"].iter().map(|name| Forwarder::start(&now, name, &planners)).collect();
-        until("each planner has one", || planners.iter().all(|p| p.forwarders() == 1)).await;
-        until("both are led", || forwarders.iter().all(|(f, _)| f.want("shop") == ServiceStatus::Available))
-            .await;
+        until("each planner has one forwarder", || planners.iter().all(|p| p.forwarders() == 1)).await;
+        until("both are served", || {
+            forwarders.iter().all(|(f, _)| f.lookup("shop") == ServiceStatus::Available)
+        })
+        .await;
         assert_ne!(forwarders[0].0.planner(), forwarders[1].0.planner());
-        // A third finds no place, and hears why.
+        // A third forwarder is refused by both planners.
         let (third, _) = Forwarder::start(&now, "f2", &planners);
-        let heard = |place| {
-            third.noted.borrow().iter().any(|(at, word)| {
-                *at == place && matches!(word, Err(why) if why.contains("1 forwarders are here already"))
+        let refused = |planner| {
+            third.session_events.borrow().iter().any(|(at, result)| {
+                *at == planner
+                    && matches!(result, Err(reason) if reason.contains("1 forwarders are here already"))
             })
         };
-        until("both have refused", || heard(0) && heard(1)).await;
+        until("both planners have refused", || refused(0) && refused(1)).await;
         assert_eq!(third.planner(), None);
-        // One that goes makes room.
+        // A forwarder that disconnects makes room.
         forwarders[0].1.abort();
-        until("the third is led", || third.want("shop") == ServiceStatus::Available).await;
+        until("the third is served", || third.lookup("shop") == ServiceStatus::Available).await;
     });
 }
 
@@ -291,7 +295,7 @@
     run(async {
         let now = clock();
         let planner = Planner::new(&now, "p0", 10);
-        planner.list(1, true, both());
+        planner.list(1, true, two_services());
         let mut first = planner.connect().unwrap();
         hello::connect(&mut first, &identity(Role::Forwarder, "f0", 1), Role::Planner).await.unwrap();
         let mut second = planner.connect().unwrap();
@@ -306,7 +310,7 @@
         };
         assert!(refusal.contains("a newer connection"), "{refusal}");
         assert_eq!(planner.forwarders(), 1);
-        // What the second says is heard still.
+        // Messages of the second connection are still processed.
         frames::write(&mut second, Body::Subscribe(Subscriber::leave_message())).await.unwrap();
         drop(second);
         until("the second has left", || planner.ended.borrow().len() == 2).await;
@@ -316,16 +320,17 @@
 }
 
 #[test]
-fn who_takes_over_is_led_beside_the_one_that_it_takes_over_from() {
+fn a_new_process_is_served_beside_the_old_one() {
     run(async {
         let now = clock();
         let planner = Planner::new(&now, "p0", 10);
-        planner.list(1, true, both());
-        let start = |life| Forwarder::born(&now, "f0", life, std::slice::from_ref(&planner));
-        let (elder, task) = start(1);
-        until("the elder is led", || elder.want("shop") == ServiceStatus::Available).await;
-        let (heir, _) = start(2);
-        until("so is the heir", || heir.want("shop") == ServiceStatus::Available).await;
+        planner.list(1, true, two_services());
+        let start =
+            |incarnation| Forwarder::start_process(&now, "f0", incarnation, std::slice::from_ref(&planner));
+        let (old, task) = start(1);
+        until("the old process is served", || old.lookup("shop") == ServiceStatus::Available).await;
+        let (new, _) = start(2);
+        until("the new process is served", || new.lookup("shop") == ServiceStatus::Available).await;
         let rollout = |version| {
             planner
                 .publishing
@@ -333,33 +338,33 @@
                 .map(|f| (f.acknowledged, f.subscriptions))
         };
         planner.list(2, false, vec![listed("shop", "a", Phase::Draining)]);
-        until("both hear of a drain", || rollout(2) == Some((2, 2))).await;
-        assert!(planner.ended.borrow().is_empty(), "neither pushes the other out");
-        // A third one has the place of the first; one of an earlier life than both is told so.
+        until("both receive a drain", || rollout(2) == Some((2, 2))).await;
+        assert!(planner.ended.borrow().is_empty(), "neither replaces the other");
+        // A third process replaces the first, which reconnects and is refused as older than both.
         let (third, _) = start(3);
-        until("the third is led", || third.want("shop") == ServiceStatus::Available).await;
-        until("the elder has ended", || !planner.ended.borrow().is_empty()).await;
+        until("the third is served", || third.lookup("shop") == ServiceStatus::Available).await;
+        until("the session of the old process has ended", || !planner.ended.borrow().is_empty()).await;
         assert!(matches!(planner.ended.borrow()[..], [Err(SessionError::Replaced)]));
-        until("it hears that newer ones are there", || {
-            let newer = |word: &Result<String, String>| {
-                matches!(word, Err(why) if why.contains("it refuses") && why.contains("a newer connection"))
+        until("it is refused because of newer processes", || {
+            let newer = |result: &Result<String, String>| {
+                matches!(result, Err(reason) if reason.contains("it refuses") && reason.contains("a newer connection"))
             };
-            elder.noted.borrow().iter().filter(|(_, word)| newer(word)).count() > 1
+            old.session_events.borrow().iter().filter(|(_, result)| newer(result)).count() > 1
         })
         .await;
         task.abort();
-        // Who has gone lags nowhere, as another one is there.
+        // The process that ended does not count as lagging, as others of the forwarder are connected.
         planner.list(3, false, vec![listed("shop", "a", Phase::Ready)]);
-        until("the two that are left have it", || rollout(3) == Some((2, 2))).await;
+        until("the two remaining processes have acknowledged", || rollout(3) == Some((2, 2))).await;
     });
 }
 
 #[test]
-fn only_so_many_start_at_once_and_the_others_come_in_turn() {
+fn the_number_of_starting_forwarders_is_limited_and_the_others_wait() {
     run(async {
         let now = clock();
         let planner = Planner::new(&now, "p0", 1_000);
-        planner.list(1, true, both());
+        planner.list(1, true, two_services());
         let mut streams = Vec::new();
         for k in 0..MAX_STARTING {
             let mut stream = planner.connect().unwrap();
@@ -368,24 +373,24 @@
             streams.push(stream);
         }
         assert_eq!(planner.forwarders(), MAX_STARTING);
-        // Each of them has wanted nothing yet. The next one waits for its turn, which comes as they are through.
+        // None of them has subscribed yet. The next one waits until their start times out.
         let mut stream = planner.connect().unwrap();
         let own = identity(Role::Forwarder, "late", 1);
         hello::connect(&mut stream, &own, Role::Planner).await.unwrap();
         assert_eq!(planner.forwarders(), MAX_STARTING + 1);
-        // Many that want something are through as soon as they have it.
+        // Forwarders that subscribe have started as soon as they have received their services.
         let forwarders: Vec<_> = (0..3 * MAX_STARTING)
             .map(|k| Forwarder::start(&now, &format!("g{k}"), std::slice::from_ref(&planner)).0)
             .collect();
-        until("all hold what they want", || {
-            forwarders.iter().all(|f| f.want("shop") == ServiceStatus::Available)
+        until("all have their services", || {
+            forwarders.iter().all(|f| f.lookup("shop") == ServiceStatus::Available)
         })
         .await;
     });
 }
 
 #[test]
-fn who_does_not_go_by_services_hears_so() {
+fn a_forwarder_without_services_is_sent_the_reason() {
     run(async {
         let now = clock();
         let planner = Planner::new(&now, "p0", 10);
@@ -393,7 +398,7 @@
         let own = Identity { services: false, ..identity(Role::Forwarder, "f0", 1) };
         let refused = hello::connect(&mut stream, &own, Role::Planner).await.unwrap_err();
         assert!(
-            matches!(&refused, HelloError::Refused(why) if why.contains("goes by services")),
+            matches!(&refused, HelloError::Refused(reason) if reason.contains("goes by services")),
             "{refused}"
         );
         until("its session has ended", || !planner.ended.borrow().is_empty()).await;
@@ -403,7 +408,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_message_end_the_session_with_their_cause() {
+fn invalid_bytes_end_the_session_with_a_decoding_error() {
     run(async {
         let now = clock();
         let planner = Planner::new(&now, "p0", 10);
--- a/crates/plan/src/planner.rs
+++ b/crates/plan/src/planner.rs
@@ -53,7 +53,7 @@
 const MIN_RELATIVE_CHANGE: f64 = 0.1;
 /// Maximum fraction of a zone's servers that may be suspected.
 const MAX_SUSPECTED_FRACTION: f64 = 0.5;
-/// Forwarders that must report a server before it is suspected: failures seen by only one may be its own network's.
+/// Forwarders that must report a server before it is suspected: failures report by only one may be its own network's.
 const MIN_WITNESSES: u32 = 2;
 /// Excess over the fleet's failure rate at which a server is suspected.
 const FAILURE_RATE_MARGIN: f64 = 0.35;
@@ -448,27 +448,27 @@
         }
     }
 
-    fn subtract_report(&mut self, forwarder: u32, server: u32, seen: &ServerReport) {
+    fn subtract_report(&mut self, forwarder: u32, server: u32, report: &ServerReport) {
         let Some(s) = self.servers.get_mut(&server) else { return };
         s.reporters.remove(&forwarder);
-        s.score = (s.score - f64::from(seen.score)).max(0.0);
-        s.in_flight = s.in_flight.saturating_sub(seen.in_flight.into());
-        s.ejected = s.ejected.saturating_sub(seen.ejected.into());
-        s.failure_rate_sum = (s.failure_rate_sum - f64::from(seen.failure_rate)).max(0.0);
-        s.latency_sum = (s.latency_sum - f64::from(seen.relative_latency)).max(0.0);
-        self.failure_rate_sum = (self.failure_rate_sum - f64::from(seen.failure_rate)).max(0.0);
+        s.score = (s.score - f64::from(report.score)).max(0.0);
+        s.in_flight = s.in_flight.saturating_sub(report.in_flight.into());
+        s.ejected = s.ejected.saturating_sub(report.ejected.into());
+        s.failure_rate_sum = (s.failure_rate_sum - f64::from(report.failure_rate)).max(0.0);
+        s.latency_sum = (s.latency_sum - f64::from(report.relative_latency)).max(0.0);
+        self.failure_rate_sum = (self.failure_rate_sum - f64::from(report.failure_rate)).max(0.0);
         self.reported_rows = (self.reported_rows - 1.0).max(0.0);
     }
 
-    fn add_report(&mut self, forwarder: u32, server: u32, seen: &ServerReport) {
+    fn add_report(&mut self, forwarder: u32, server: u32, report: &ServerReport) {
         let Some(s) = self.servers.get_mut(&server) else { return };
         s.reporters.insert(forwarder);
-        s.score += f64::from(seen.score);
-        s.in_flight += u64::from(seen.in_flight);
-        s.ejected += u32::from(seen.ejected);
-        s.failure_rate_sum += f64::from(seen.failure_rate);
-        s.latency_sum += f64::from(seen.relative_latency);
-        self.failure_rate_sum += f64::from(seen.failure_rate);
+        s.score += f64::from(report.score);
+        s.in_flight += u64::from(report.in_flight);
+        s.ejected += u32::from(report.ejected);
+        s.failure_rate_sum += f64::from(report.failure_rate);
+        s.latency_sum += f64::from(report.relative_latency);
+        self.failure_rate_sum += f64::from(report.failure_rate);
         self.reported_rows += 1.0;
     }
 
@@ -491,9 +491,9 @@
         }
         for name in &report.dropped {
             let Some(&server) = self.by_name.get(name) else { continue };
-            let seen = self.forwarders.get_mut(&id).and_then(|f| f.reports.remove(&server));
-            if let Some(seen) = seen {
-                self.subtract_report(id, server, &seen);
+            let report = self.forwarders.get_mut(&id).and_then(|f| f.reports.remove(&server));
+            if let Some(report) = report {
+                self.subtract_report(id, server, &report);
                 self.evaluate(now, server);
             }
         }
@@ -526,9 +526,9 @@
     fn count_outcomes(&mut self, server: u32, before: Option<&ServerReport>, row: &ServerReport) {
         let Some(s) = self.servers.get_mut(&server) else { return };
         for (k, &count) in row.outcomes.iter().take(ATTEMPT_OUTCOMES).enumerate() {
-            let sent = before.and_then(|b| b.outcomes.get(k)).copied().unwrap_or(0);
+            let previous = before.and_then(|b| b.outcomes.get(k)).copied().unwrap_or(0);
             // A count below the previous one is of a restarted forwarder.
-            s.outcomes[k] += u64::from(count.checked_sub(sent).unwrap_or(count));
+            s.outcomes[k] += u64::from(count.checked_sub(previous).unwrap_or(count));
         }
     }
 
--- a/crates/plan/tests/two.rs
+++ b/crates/plan/tests/two.rs
@@ -1,4 +1,4 @@
-//! Planner and forwarder together, message by message: what each hears and what it then goes by.
+//! Planner and follower together, message by message.
 
 use laurelroute_plan::follower::{
     trust, Follower, FOLLOW_HOLD_TIME, PLANNER_FRESH_TIME, PLANNER_SILENCE_LIMIT,
@@ -31,13 +31,13 @@
     }
 }
 
-fn boxes(count: usize) -> Vec<Member> {
+fn members(count: usize) -> Vec<Member> {
     (0..count).map(|k| Member::warm(&format!("box-{k}"))).collect()
 }
 
 fn planner(count: usize, forwarders: &[&str]) -> (Planner, Nanos) {
     let mut planner = Planner::new(0, settings());
-    planner.update_membership(0, 1, true, boxes(count));
+    planner.update_membership(0, 1, true, members(count));
     forwarders.iter().for_each(|f| planner.forwarder_connected(0, f, 0).unwrap());
     planner.poll(DEFAULT_SETTLE_TIME);
     (planner, DEFAULT_SETTLE_TIME)
@@ -47,19 +47,24 @@
     Follower::new(0, "f0", "perth", &["a".into(), "b".into()])
 }
 
-/// Everything that one planner has for the forwarder, with the answers.
-fn exchange(now: Nanos, planner: &mut Planner, place: usize, follower: &mut Follower) -> Vec<RejectReason> {
-    let mut answers = Vec::new();
-    while let Some(part) = planner.next_update(now, "f0") {
-        let reply = follower.receive(now, place, &part);
+/// Delivers all due updates of one planner to the forwarder and returns the acknowledgements.
+fn exchange(
+    now: Nanos,
+    planner: &mut Planner,
+    planner_index: usize,
+    follower: &mut Follower,
+) -> Vec<RejectReason> {
+    let mut rejections = Vec::new();
+    while let Some(update) = planner.next_update(now, "f0") {
+        let reply = follower.receive(now, planner_index, &update);
         planner.handle_ack("f0", &reply);
-        answers.push(reply.refused());
+        rejections.push(reply.refused());
     }
-    answers
+    rejections
 }
 
-fn seen(name: &str, accomplished: f32) -> ServerReport {
-    ServerReport { name: name.into(), score: accomplished, relative_latency: 1.0, ..ServerReport::default() }
+fn server_report(name: &str, score: f32) -> ServerReport {
+    ServerReport { name: name.into(), score, relative_latency: 1.0, ..ServerReport::default() }
 }
 
 fn phase(follower: &Follower, now: Nanos, name: &str) -> Option<Phase> {
@@ -67,41 +72,50 @@
 }
 
 #[test]
-fn a_whole_plan_then_only_changes() {
+fn a_full_plan_is_followed_by_deltas() {
     let (mut planner, now) = planner(10, &["f0"]);
     let mut follower = follower();
     assert_eq!(exchange(now, &mut planner, 0, &mut follower), [RejectReason::Accepted]);
     assert_eq!(follower.view(now).members.len(), 10);
     assert_eq!(follower.view(now).trust, 1.0);
     assert!(exchange(now + MS, &mut planner, 0, &mut follower).is_empty(), "nothing new");
-    planner.report(now + MS, "f0", &Report { rows: vec![seen("box-3", 50.0)], ..Report::default() }).unwrap();
-    let part = planner.next_update(now + MS, "f0").unwrap();
-    assert_eq!((part.rows.len(), part.base > 0, part.rows[0].attributes.is_some()), (1, true, false));
-    planner.handle_ack("f0", &follower.receive(now + MS, 0, &part));
+    planner
+        .report(now + MS, "f0", &Report { rows: vec![server_report("box-3", 50.0)], ..Report::default() })
+        .unwrap();
+    let update = planner.next_update(now + MS, "f0").unwrap();
+    assert_eq!((update.rows.len(), update.base > 0, update.rows[0].attributes.is_some()), (1, true, false));
+    planner.handle_ack("f0", &follower.receive(now + MS, 0, &update));
     let view = follower.view(now + MS);
-    let word = view.planned.iter().find(|w| w.name == "box-3").unwrap();
-    assert!((word.score / 50.0 - 1.0).abs() < 0.1, "{word:?}");
-    // The beat says that all stands.
-    let beat = planner.next_update(now + MS + HEARTBEAT_INTERVAL, "f0").unwrap();
-    assert!(beat.rows.is_empty() && beat.base == beat.version);
-    assert_eq!(follower.receive(now + MS + HEARTBEAT_INTERVAL, 0, &beat).refused(), RejectReason::Accepted);
+    let planned = view.planned.iter().find(|w| w.name == "box-3").unwrap();
+    assert!((planned.score / 50.0 - 1.0).abs() < 0.1, "{planned:?}");
+    // The heartbeat confirms the current version.
+    let heartbeat = planner.next_update(now + MS + HEARTBEAT_INTERVAL, "f0").unwrap();
+    assert!(heartbeat.rows.is_empty() && heartbeat.base == heartbeat.version);
+    assert_eq!(
+        follower.receive(now + MS + HEARTBEAT_INTERVAL, 0, &heartbeat).refused(),
+        RejectReason::Accepted
+    );
 }
 
 #[test]
-fn accomplishment_is_summed_over_forwarders_and_a_report_replaces_the_one_before() {
+fn scores_are_summed_over_forwarders_and_a_report_replaces_the_previous_one() {
     let (mut planner, now) = planner(4, &["f0", "f1"]);
     for (name, count) in [("f0", 10.0), ("f1", 30.0), ("f0", 20.0)] {
-        planner.report(now, name, &Report { rows: vec![seen("box-1", count)], ..Report::default() }).unwrap();
+        planner
+            .report(now, name, &Report { rows: vec![server_report("box-1", count)], ..Report::default() })
+            .unwrap();
     }
     let mut follower = follower();
     exchange(now, &mut planner, 0, &mut follower);
     let view = follower.view(now);
-    let of = |name: &str| view.planned.iter().find(|w| w.name == name).unwrap().score;
-    assert!((of("box-1") / 50.0 - 1.0).abs() < 0.1);
-    assert_eq!(of("box-0"), 0.0);
-    // One that comes back starts its account anew.
+    let score = |name: &str| view.planned.iter().find(|w| w.name == name).unwrap().score;
+    assert!((score("box-1") / 50.0 - 1.0).abs() < 0.1);
+    assert_eq!(score("box-0"), 0.0);
+    // The reports of a reconnected forwarder are discarded.
     planner.forwarder_connected(now, "f1", 0).unwrap();
-    planner.report(now, "f1", &Report { rows: vec![seen("box-1", 5.0)], ..Report::default() }).unwrap();
+    planner
+        .report(now, "f1", &Report { rows: vec![server_report("box-1", 5.0)], ..Report::default() })
+        .unwrap();
     exchange(now, &mut planner, 0, &mut follower);
     let view = follower.view(now);
     let sum = view.planned.iter().find(|w| w.name == "box-1").unwrap().score;
@@ -109,7 +123,7 @@
 }
 
 #[test]
-fn a_drain_is_told_at_once_and_counts_whoever_says_it() {
+fn a_drain_is_sent_at_once_and_applies_from_any_planner() {
     let (mut a, now) = planner(6, &["f0"]);
     let (mut b, _) = planner(6, &["f0"]);
     let mut follower = follower();
@@ -119,55 +133,55 @@
     let other = if followed == 0 { &mut b } else { &mut a };
     other.update_membership(now, 2, false, vec![Member::warm("box-2").in_phase(Phase::Draining)]);
     exchange(now + MS, other, 1 - followed, &mut follower);
-    assert_eq!(follower.followed_plan().unwrap().0, followed, "it does not change sides");
+    assert_eq!(follower.followed_plan().unwrap().0, followed, "it does not switch planners");
     assert_eq!(phase(&follower, now + MS, "box-2"), Some(Phase::Draining));
-    // Told by one forwarder only, it reaches the planner and from there all others.
+    // A drain reported by one forwarder reaches the planner, and from there all others.
     let followed = if followed == 0 { &mut a } else { &mut b };
     followed.forwarder_connected(now, "f9", 0).unwrap();
     let report = Report { closed: follower.closed(), ..Report::default() };
     followed.report(now + MS, "f0", &report).unwrap();
-    let part = followed.next_update(now + MS, "f9").unwrap();
-    let row = part.rows.iter().find(|r| r.name == "box-2");
+    let update = followed.next_update(now + MS, "f9").unwrap();
+    let row = update.rows.iter().find(|r| r.name == "box-2");
     assert!(row.is_none_or(|r| r.attributes.as_ref().unwrap().phase == 1), "{row:?}");
-    // Later word takes the box back.
-    followed.update_membership(now, 3, false, boxes(6));
-    let place = follower.followed_plan().unwrap().0;
-    exchange(now + 2 * MS, followed, place, &mut follower);
+    // A later membership reinstates the server.
+    followed.update_membership(now, 3, false, members(6));
+    let planner_index = follower.followed_plan().unwrap().0;
+    exchange(now + 2 * MS, followed, planner_index, &mut follower);
     followed.poll(now + S);
-    exchange(now + S, followed, place, &mut follower);
+    exchange(now + S, followed, planner_index, &mut follower);
     assert_eq!(phase(&follower, now + S, "box-2"), Some(Phase::Ready));
 }
 
 #[test]
-fn an_old_membership_brings_nobody_back() {
+fn an_old_membership_reinstates_no_server() {
     let (mut a, now) = planner(6, &["f0"]);
     let mut follower = follower();
     exchange(now, &mut a, 0, &mut follower);
     a.update_membership(now, 5, false, vec![Member::warm("box-2").in_phase(Phase::Removed)]);
     exchange(now + MS, &mut a, 0, &mut follower);
     assert_eq!(phase(&follower, now + MS, "box-2"), Some(Phase::Removed));
-    // Another planner begins with a list from before.
+    // Another planner starts with an older list.
     let (mut b, _) = planner(6, &["f0"]);
     assert_eq!(exchange(now + 2 * MS, &mut b, 1, &mut follower)[0], RejectReason::StaleMembership);
-    // The first one falls silent: the old plan is better than none, but the box stays gone.
+    // The first planner is silent: the old plan is applied rather than none, but the server stays removed.
     let later = now + FOLLOW_HOLD_TIME + 2 * S;
-    let part = b.next_update(later, "f0").unwrap();
-    assert_eq!(follower.receive(later, 1, &part).refused(), RejectReason::Accepted);
+    let update = b.next_update(later, "f0").unwrap();
+    assert_eq!(follower.receive(later, 1, &update).refused(), RejectReason::Accepted);
     assert_eq!(follower.followed_plan().unwrap().0, 1);
     assert_eq!(phase(&follower, later, "box-2"), Some(Phase::Removed));
 }
 
 #[test]
-fn what_is_not_for_it_is_refused_and_changes_nothing() {
+fn invalid_updates_are_rejected_and_change_nothing() {
     let (mut planner, now) = planner(6, &["f0"]);
     let mut follower = follower();
-    let whole = planner.next_update(now, "f0").unwrap();
-    assert_eq!(follower.receive(now, 0, &whole).refused(), RejectReason::Accepted);
+    let full = planner.next_update(now, "f0").unwrap();
+    assert_eq!(follower.receive(now, 0, &full).refused(), RejectReason::Accepted);
     let before = follower.view(now);
     let refused = |follower: &mut Follower, change: &dyn Fn(&mut PlanUpdate)| {
-        let mut part = whole.clone();
-        change(&mut part);
-        let reply = follower.receive(now, 0, &part).refused();
+        let mut update = full.clone();
+        change(&mut update);
+        let reply = follower.receive(now, 0, &update).refused();
         (reply, follower.view(now) == before)
     };
     assert_eq!(refused(&mut follower, &|p| p.site = "other".into()), (RejectReason::OtherSite, true));
@@ -182,23 +196,23 @@
     let address =
         |p: &mut PlanUpdate| p.rows[0].attributes.as_mut().unwrap().addresses = vec!["nowhere".into()];
     assert_eq!(refused(&mut follower, &address), (RejectReason::Invalid, true));
-    let stranger = |p: &mut PlanUpdate| {
-        (p.base, p.version) = (whole.version, whole.version + 1);
+    let unknown_server = |p: &mut PlanUpdate| {
+        (p.base, p.version) = (full.version, full.version + 1);
         p.rows[2].attributes = None;
         p.rows[2].name = "who".into();
     };
-    assert_eq!(refused(&mut follower, &stranger), (RejectReason::UnknownBase, true));
+    assert_eq!(refused(&mut follower, &unknown_server), (RejectReason::UnknownBase, true));
     let portion = |p: &mut PlanUpdate| p.tenants = vec![RateShare { name: "swan".into(), rate: -1.0 }];
     assert_eq!(refused(&mut follower, &portion), (RejectReason::Invalid, true));
     assert_eq!(
-        follower.receive(now, 7, &whole).refused(),
+        follower.receive(now, 7, &full).refused(),
         RejectReason::Invalid,
         "a planner that is not configured"
     );
 }
 
 #[test]
-fn a_lost_part_is_made_good_by_the_whole() {
+fn a_lost_update_is_recovered_by_a_full_plan() {
     let (mut planner, now) = planner(6, &["f0"]);
     let mut follower = follower();
     exchange(now, &mut planner, 0, &mut follower);
@@ -217,31 +231,31 @@
 }
 
 #[test]
-fn a_forwarder_that_does_not_answer_gets_few_parts_and_then_the_sum() {
+fn a_forwarder_that_does_not_acknowledge_gets_few_updates_and_then_a_full_plan() {
     let (mut planner, now) = planner(50, &["f0"]);
-    let mut parts = 0;
+    let mut updates = 0;
     for round in 0..2_000u32 {
-        let row = seen(&format!("box-{}", round % 50), round as f32 * 7.0 + 1.0);
+        let row = server_report(&format!("box-{}", round % 50), round as f32 * 7.0 + 1.0);
         planner.report(now, "f0", &Report { rows: vec![row], ..Report::default() }).unwrap();
-        parts += u32::from(planner.next_update(now, "f0").is_some());
+        updates += u32::from(planner.next_update(now, "f0").is_some());
     }
-    assert!(parts <= 4, "{parts} parts under way");
+    assert!(updates <= 4, "{updates} unacknowledged updates");
     let mut follower = follower();
     let later = now + 4 * S;
-    let part = planner.next_update(later, "f0").unwrap();
-    assert_eq!((part.base, part.rows.len()), (0, 50));
-    assert_eq!(follower.receive(later, 0, &part).refused(), RejectReason::Accepted);
+    let update = planner.next_update(later, "f0").unwrap();
+    assert_eq!((update.base, update.rows.len()), (0, 50));
+    assert_eq!(follower.receive(later, 0, &update).refused(), RejectReason::Accepted);
 }
 
 #[test]
-fn one_planner_is_followed_and_left_only_after_a_long_silence() {
+fn a_planner_is_followed_until_a_long_silence() {
     let (mut a, now) = planner(6, &["f0"]);
     let (mut b, _) = planner(6, &["f0"]);
     let mut follower = follower();
     exchange(now, &mut a, 0, &mut follower);
     exchange(now, &mut b, 1, &mut follower);
     assert_eq!((follower.followed_plan().unwrap().0, follower.switches()), (0, 1));
-    // Only the other one speaks, with gaps on the followed one's side that are shorter than the hold.
+    // The other planner sends at every step, the followed one with gaps that are shorter than the hold time.
     let mut at = now;
     for step in 0..200u64 {
         at = now + step * HEARTBEAT_INTERVAL;
@@ -251,7 +265,7 @@
         }
         follower.poll(at);
     }
-    assert_eq!(follower.switches(), 1, "gaps of 1.75 s are no reason to leave");
+    assert_eq!(follower.switches(), 1, "gaps of 1.75 s cause no switch");
     for step in 1..20u64 {
         exchange(at + step * HEARTBEAT_INTERVAL, &mut b, 1, &mut follower);
         follower.poll(at + step * HEARTBEAT_INTERVAL);
@@ -259,11 +273,11 @@
     assert_eq!((follower.followed_plan().unwrap().0, follower.switches()), (1, 2));
     exchange(at + 6 * S, &mut a, 0, &mut follower);
     follower.poll(at + 6 * S);
-    assert_eq!(follower.switches(), 2, "the first one's return is no reason either");
+    assert_eq!(follower.switches(), 2, "the return of the first planner causes no switch");
 }
 
 #[test]
-fn one_that_stays_behind_is_left_and_its_facts_do_not_count() {
+fn a_planner_with_an_old_membership_is_abandoned_and_its_attributes_are_overridden() {
     let (mut a, now) = planner(6, &["f0"]);
     let (mut b, _) = planner(6, &["f0"]);
     let mut follower = follower();
@@ -285,7 +299,7 @@
         assert_eq!(
             followed,
             usize::from(at < now + FOLLOW_HOLD_TIME + HEARTBEAT_INTERVAL),
-            "after {step} beats"
+            "after {step} heartbeats"
         );
     }
     assert_eq!(follower.switches(), 2);
@@ -309,7 +323,7 @@
 }
 
 #[test]
-fn alone_it_reads_the_membership_and_replaces_who_has_left() {
+fn without_planners_the_membership_is_read_and_removed_servers_are_replaced() {
     let names: Vec<String> = (0..28).map(|k| format!("f{k}")).collect();
     let refs: Vec<&str> = names.iter().map(String::as_str).collect();
     let (mut planner, now) = planner(210, &refs);
@@ -317,8 +331,8 @@
     exchange(now, &mut planner, 0, &mut follower);
     let planned: Vec<String> = follower.view(now).members.into_iter().map(|m| m.name).collect();
     assert!((20..70).contains(&planned.len()), "{}", planned.len());
-    // Most of the fleet is replaced while no planner speaks.
-    let mut list: Vec<Member> = boxes(210).split_off(200);
+    // Most of the fleet is replaced while no planner is reachable.
+    let mut list: Vec<Member> = members(210).split_off(200);
     list.extend((0..200).map(|k| Member::warm(&format!("new-{k}"))));
     let later = now + 3 * S;
     follower.update_membership(later, 9, true, list.clone());
@@ -329,20 +343,20 @@
         ready.len() >= planned.len() && ready.iter().all(|n| list.iter().any(|m| m.name == *n)),
         "{ready:?}"
     );
-    assert!(ready.len() < 100, "still a part of the fleet");
-    // With the plan too old to count, the whole membership.
+    assert!(ready.len() < 100, "still a subset of the fleet");
+    // Once the plan is too old to be trusted, the full membership is used.
     assert_eq!(follower.view(now + 200 * S).members.len(), 210);
-    // One that was never told anything starts with the membership.
+    // A forwarder that never received a plan starts with the membership.
     let mut fresh = Follower::new(0, "f9", "perth", &[]);
-    fresh.update_membership(0, 1, true, boxes(5));
+    fresh.update_membership(0, 1, true, members(5));
     assert_eq!(fresh.view(0).members.len(), 5);
 }
 
 #[test]
-fn cold_budgets_are_split_and_the_least_counts() {
-    let cold = |planner: &mut Planner, now: Nanos, share: f32| {
+fn slow_start_budgets_are_split_and_the_lowest_applies() {
+    let start_new_server = |planner: &mut Planner, now: Nanos, share: f32| {
         for k in 0..5 {
-            let row = seen(&format!("box-{k}"), share);
+            let row = server_report(&format!("box-{k}"), share);
             planner.report(now, "f0", &Report { rows: vec![row], ..Report::default() }).unwrap();
         }
         planner.update_membership(now, 2, false, vec![Member::warm("new").started(now)]);
@@ -351,48 +365,48 @@
     let (mut a, now) = planner(5, &["f0", "f1"]);
     let (mut b, _) = planner(5, &["f0", "f1"]);
     let mut follower = follower();
-    // A warm box serves 10 a second by the one, 4 by the other: counts fade in a ramp of 10 s.
-    cold(&mut a, now, 100.0);
-    cold(&mut b, now, 40.0);
+    // A warm server serves 10/s according to the one planner, 4/s according to the other: scores decay in 10 s.
+    start_new_server(&mut a, now, 100.0);
+    start_new_server(&mut b, now, 40.0);
     exchange(now + HEARTBEAT_INTERVAL, &mut a, 0, &mut follower);
     let rate = |f: &Follower| {
         f.view(now + HEARTBEAT_INTERVAL).planned.iter().find(|w| w.name == "new").unwrap().slow_start_rate
     };
-    // 0.9 of a fifth of 10 a second, over two planners and two forwarders; a little of the ramp has passed.
+    // 0.9 of a fifth of 10/s, over two planners and two forwarders; a little of the slow start has passed.
     let first = rate(&follower);
     assert!((first / (0.9 * 0.2 * 10.0 / 4.0) - 1.0).abs() < 0.15, "{first}");
     exchange(now + HEARTBEAT_INTERVAL, &mut b, 1, &mut follower);
-    assert!(rate(&follower) < 0.5 * first, "the least of both");
+    assert!(rate(&follower) < 0.5 * first, "the lower of both");
     let sum = 2.0 * 2.0 * first;
     assert!(sum <= 0.9 * 0.25 * 10.0, "two planners' forwarders together: {sum}");
 }
 
 #[test]
-fn suspects_need_witnesses_and_are_never_more_than_half() {
+fn suspicion_needs_several_reporters_and_is_limited_to_half_of_the_servers() {
     let (mut planner, now) = planner(10, &["f0", "f1", "f2"]);
-    let out = |name: &str| ServerReport {
+    let ejected = |name: &str| ServerReport {
         ejected: true,
         failure_rate: 1.0,
         outcomes: vec![0, 0, 0, 0, 9],
-        ..seen(name, 1.0)
+        ..server_report(name, 1.0)
     };
     let report = |rows| Report { rows, ..Report::default() };
-    planner.report(now, "f0", &report(vec![out("box-1")])).unwrap();
-    planner.report(now, "f1", &report(vec![seen("box-1", 9.0)])).unwrap();
-    planner.report(now, "f2", &report(vec![seen("box-1", 9.0)])).unwrap();
+    planner.report(now, "f0", &report(vec![ejected("box-1")])).unwrap();
+    planner.report(now, "f1", &report(vec![server_report("box-1", 9.0)])).unwrap();
+    planner.report(now, "f2", &report(vec![server_report("box-1", 9.0)])).unwrap();
     let mut follower = follower();
     exchange(now, &mut planner, 0, &mut follower);
     let suspects =
         |f: &Follower| f.view(now + S).planned.iter().filter(|w| w.suspicion != Suspicion::None).count();
-    assert_eq!(suspects(&follower), 0, "one forwarder's network is not the box");
-    planner.report(now, "f1", &report(vec![out("box-1")])).unwrap();
+    assert_eq!(suspects(&follower), 0, "failures at one forwarder do not make a server suspected");
+    planner.report(now, "f1", &report(vec![ejected("box-1")])).unwrap();
     exchange(now, &mut planner, 0, &mut follower);
     assert_eq!(suspects(&follower), 1);
     let text = planner
         .explain(&laurelroute_plan::wire::ExplainRequest { server: "box-1".into(), ..Default::default() });
     assert!(text.contains("suspected: it takes no connections"), "{text}");
     for name in ["f0", "f1", "f2"] {
-        let all = (0..10).map(|k| out(&format!("box-{k}"))).collect();
+        let all = (0..10).map(|k| ejected(&format!("box-{k}"))).collect();
         planner.report(now, name, &report(all)).unwrap();
     }
     exchange(now + S, &mut planner, 0, &mut follower);
@@ -400,7 +414,7 @@
 }
 
 #[test]
-fn limits_follow_the_demand() {
+fn rate_shares_follow_the_demand() {
     let (mut planner, now) = planner(4, &["f0", "f1"]);
     let mut follower = follower();
     let demand = |rate| Report {
@@ -414,23 +428,26 @@
     exchange(now, &mut planner, 0, &mut follower);
     let view = follower.view(now);
     let (class, tenant) = (view.classes["gauges"], view.tenants["swan"]);
-    assert!((class - 70.0).abs() < 1.0, "a tenth evenly, three quarters of the rest: {class}");
+    assert!((class - 70.0).abs() < 1.0, "a tenth as even share, three quarters of the rest: {class}");
     assert!((tenant - 35.0).abs() < 0.5, "{tenant}");
     assert!(!view.classes.contains_key("status"), "it has no limit");
 }
 
 #[test]
-fn reports_that_make_no_sense_change_nothing() {
+fn invalid_reports_change_nothing() {
     let (mut planner, now) = planner(4, &["f0"]);
-    let bad = [
-        Report { rows: vec![seen("", 1.0)], ..Report::default() },
-        Report { rows: vec![seen("box-1", f32::NAN)], ..Report::default() },
-        Report { rows: vec![seen("box-1", -1.0)], ..Report::default() },
-        Report { rows: vec![ServerReport { failure_rate: 2.0, ..seen("box-1", 1.0) }], ..Report::default() },
-        Report { rows: vec![seen("box-1", 1.0); 5_000], ..Report::default() },
+    let invalid = [
+        Report { rows: vec![server_report("", 1.0)], ..Report::default() },
+        Report { rows: vec![server_report("box-1", f32::NAN)], ..Report::default() },
+        Report { rows: vec![server_report("box-1", -1.0)], ..Report::default() },
+        Report {
+            rows: vec![ServerReport { failure_rate: 2.0, ..server_report("box-1", 1.0) }],
+            ..Report::default()
+        },
+        Report { rows: vec![server_report("box-1", 1.0); 5_000], ..Report::default() },
         Report { tenants: vec![RateShare { name: "swan".into(), rate: f32::INFINITY }], ..Report::default() },
     ];
-    for report in bad {
+    for report in invalid {
         assert!(planner.report(now, "f0", &report).is_err(), "{report:?}");
     }
     assert!(planner
@@ -438,10 +455,12 @@
         .unwrap_err()
         .to_string()
         .contains("`who` has not joined"));
-    let part = planner.next_update(now, "f0").unwrap();
-    assert!(part.rows.iter().all(|r| r.grade == 0 && r.suspicion == 0));
-    // A box that nobody has told of, and an answer from another life, are passed over.
-    planner.report(now, "f0", &Report { rows: vec![seen("unknown", 1.0)], ..Report::default() }).unwrap();
+    let update = planner.next_update(now, "f0").unwrap();
+    assert!(update.rows.iter().all(|r| r.grade == 0 && r.suspicion == 0));
+    // Unlisted servers and acknowledgements of another incarnation are ignored.
+    planner
+        .report(now, "f0", &Report { rows: vec![server_report("unknown", 1.0)], ..Report::default() })
+        .unwrap();
     let closed =
         ClosedServer { name: "unknown".into(), membership: 9, removed: true, ..ClosedServer::default() };
     planner.report(now, "f0", &Report { closed: vec![closed], ..Report::default() }).unwrap();
@@ -450,7 +469,7 @@
 }
 
 #[test]
-fn a_forwarder_that_is_away_for_a_moment_keeps_its_boxes() {
+fn a_briefly_disconnected_forwarder_keeps_its_servers() {
     let (mut planner, now) = planner(30, &["f0", "f1", "f2", "f3", "f4", "f5"]);
     let before: Vec<String> = planner.subset_of("f1").into_iter().map(str::to_owned).collect();
     planner.forwarder_disconnected(now, "f0");
