--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,20 +1,20 @@
 //! Group membership: the nodes of an installation agree on their current members over datagrams that may be lost,
 //! delayed, duplicated or reordered.
 //!
-//! Each member is observed by a few others ([`watch`]), which report suspected failures to a council ([`council`]).
+//! Each member is observed by a few others ([`failure_detector`]), which report suspected failures to a council ([`council`]).
 //! The council decides the next view by majority, as one cut; a view number stands for the same members on every
 //! node. The share of a common limit that a member may use ([`Machine::share`]) depends on a lease from the council
 //! ([`lease`]): the shares of all members, on all sides of any partition, never add up to more than the whole.
 //!
 //! The crate does no I/O: the caller passes in datagrams, time and randomness, and carries out the outputs.
 
+pub mod bootstrap;
 pub mod council;
 pub mod defect;
-pub mod founding;
+pub mod failure_detector;
 pub mod lease;
 pub mod machine;
 pub mod view;
-pub mod watch;
 pub mod wire;
 
 pub use machine::{Machine, Output, RejectReason};
--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -1,11 +1,11 @@
 //! The state machine of one member: takes datagrams and time, returns datagrams and events.
 
+use crate::bootstrap::Bootstrap;
 use crate::council::{Council, Message};
 use crate::defect::{Defect, Planted};
-use crate::founding::Bootstrap;
+use crate::failure_detector::{FailureDetector, HEARTBEAT_INTERVAL};
 use crate::lease::Lease;
 use crate::view::{quorum, Cut, MemberId, Roster, View};
-use crate::watch::{FailureDetector, HEARTBEAT_INTERVAL};
 use crate::wire::{Body, Datagram, Head, CHUNK_MEMBERS, MAX_SUSPECTS, VERSION};
 use crate::{Incarnation, Nanos, MS, TICK_INTERVAL};
 use rand_core::{RngCore, SeedableRng};
