--- a/crates/plan/src/services/digest.rs
+++ b/crates/plan/src/services/digest.rs
@@ -13,7 +13,7 @@
 pub fn member_digest(member: &Member) -> u64 {
     match member.server.phase {
         Phase::Removed => 0,
-        Phase::Ready | Phase::Draining => of_facts(&member.name, &member.attributes()),
+        Phase::Ready | Phase::Draining => attributes_digest(&member.name, &member.attributes()),
     }
 }
 
@@ -24,6 +24,6 @@
     stable_hash(member, &services.to_le_bytes())
 }
 
-fn of_facts(name: &str, facts: &wire::ServerAttributes) -> u64 {
-    stable_hash(stable_hash(7, name.as_bytes()), &facts.encode_to_vec())
+fn attributes_digest(name: &str, attributes: &wire::ServerAttributes) -> u64 {
+    stable_hash(stable_hash(7, name.as_bytes()), &attributes.encode_to_vec())
 }
--- a/crates/plan/src/services/publisher/slice.rs
+++ b/crates/plan/src/services/publisher/slice.rs
@@ -11,9 +11,10 @@
 const MAX_MEAN_SERVERS: usize = 64;
 /// Mean number of servers per slice below which a service with several slices is divided again.
 const MIN_MEAN_SERVERS: usize = 12;
+/// Mean number of servers per slice after a division.
 const TARGET_SERVERS: usize = 32;
-/// Minimum number of removed servers remembered per slice, for forwarders that reconnect. A larger slice remembers
-/// as many as it has servers.
+/// Maximum number of removed servers remembered per slice, for forwarders that reconnect. A slice with more servers
+/// than this remembers as many as it has.
 pub const MAX_REMOVED: usize = 64;
 /// Number of versions whose list version is remembered, for forwarders that reconnect.
 const MAX_LOGGED_VERSIONS: usize = 256;
@@ -84,8 +85,8 @@
     /// Forgets the servers that were removed first when too many are remembered.
     fn evict_removed(&mut self) {
         while self.rows.len() - self.size > MAX_REMOVED.max(self.size) {
-            let left = |(_, name): &&(u64, Name)| self.rows.get(name).is_some_and(|r| !r.present);
-            let Some((changed, name)) = self.urgent.iter().find(left).cloned() else { return };
+            let is_removed = |(_, name): &&(u64, Name)| self.rows.get(name).is_some_and(|r| !r.present);
+            let Some((changed, name)) = self.urgent.iter().find(is_removed).cloned() else { return };
             self.rows.remove(&name);
             self.by_version.remove(&(changed, name.clone()));
             self.urgent.remove(&(changed, name));
@@ -104,9 +105,9 @@
 
     /// Returns the last slice version made from this list version or an earlier one.
     pub(super) fn last_version_from(&self, source: ListVersion) -> u64 {
-        let older = |(_, from, _): &&(u64, ListVersion, u64)| *from <= source;
+        let not_later = |(_, from, _): &&(u64, ListVersion, u64)| *from <= source;
         let before = self.version_log.front().map_or(self.version, |(first, ..)| first.saturating_sub(1));
-        self.version_log.iter().rev().find(older).map_or(before, |(version, ..)| *version)
+        self.version_log.iter().rev().find(not_later).map_or(before, |(version, ..)| *version)
     }
 
     /// Returns an upper bound on the number of subscribers that changes in powers of two, so that small changes
@@ -117,9 +118,9 @@
 
     /// Lowers the announced subscriber count if it is far too high. It is sent with the next change.
     pub(super) fn lower_announced_count(&mut self) {
-        let step = self.subscriber_bound();
-        if 8 * step <= self.announced_subscribers {
-            self.announced_subscribers = 2 * step;
+        let bound = self.subscriber_bound();
+        if 8 * bound <= self.announced_subscribers {
+            self.announced_subscribers = 2 * bound;
         }
     }
 }
@@ -162,9 +163,10 @@
     /// Returns the number of slices that the service should have, if it differs from the present number.
     pub(super) fn desired_slice_count(&self) -> Option<usize> {
         let (size, number) = (self.size(), self.slices.len());
-        let outside = size > MAX_MEAN_SERVERS * number || (number > 1 && size < MIN_MEAN_SERVERS * number);
-        let wanted = (size / TARGET_SERVERS).next_power_of_two().max(1);
-        (outside && wanted != number).then_some(wanted)
+        let out_of_range =
+            size > MAX_MEAN_SERVERS * number || (number > 1 && size < MIN_MEAN_SERVERS * number);
+        let desired = (size / TARGET_SERVERS).next_power_of_two().max(1);
+        (out_of_range && desired != number).then_some(desired)
     }
 
     /// Divides the service into `number` slices. Former slices become invalid; versions continue from the highest
@@ -186,9 +188,9 @@
     /// from the one the forwarder holds (`slice` of `slices`), if it holds one.
     pub(super) fn choose_slice(&self, forwarder: &str, (slice, slices): (usize, usize)) -> usize {
         let slices = if slices.is_power_of_two() { slices.min(self.slices.len()) } else { 1 };
-        let (first, more) = (slice & (slices - 1), self.slices.len() / slices);
+        let (first, candidates) = (slice & (slices - 1), self.slices.len() / slices);
         let hash = stable_hash(stable_hash(12, forwarder.as_bytes()), self.name.as_bytes());
-        let [a, b] = [hash, scramble(hash)].map(|h| first + slices * (h as usize & (more - 1)));
+        let [a, b] = [hash, scramble(hash)].map(|h| first + slices * (h as usize & (candidates - 1)));
         if self.slices[b].subscribers.len() < self.slices[a].subscribers.len() {
             b
         } else {
--- a/crates/plan/src/services/publisher/stream.rs
+++ b/crates/plan/src/services/publisher/stream.rs
@@ -2,7 +2,7 @@
 //!
 //! Drains and removals are sent first and have a rate of their own. Services that were just subscribed to follow in
 //! the order of subscription: each as a snapshot that is compressed once for all subscribers or, if that is too
-//! long, as a first piece, so that requests need not wait for the rest. Changes and the rest of snapshots come
+//! long, as a first chunk, so that requests need not wait for the rest. Changes and the rest of snapshots come
 //! next, and hints last.
 
 use super::hints::ReportSummary;
@@ -23,8 +23,8 @@
 pub const FRAMING_BYTES: usize = 40;
 /// Bytes of a service's changes in an update beside the message itself: its tag and its length.
 const CHANGES_OVERHEAD_BYTES: usize = 4;
-/// Number of servers in the first piece of a service that was just subscribed to.
-const FIRST_PIECE_SERVERS: usize = 8;
+/// Number of servers in the first chunk of a service that was just subscribed to.
+const FIRST_CHUNK_SERVERS: usize = 8;
 /// Maximum size of a slice's rows before compression to send them as one snapshot.
 const MAX_SNAPSHOT_BYTES: usize = 32 << 10;
 /// Maximum number of changes with which drains are sent in order with the other changes, which is as quick as
@@ -132,7 +132,7 @@
                 update.services.push(unknown);
             } else if let Some(service) = f.new_services.pop_front() {
                 f.pending.insert(service);
-                if let Some(first) = self.next_changes(id, service, remaining(size), FIRST_PIECE_SERVERS) {
+                if let Some(first) = self.next_changes(id, service, remaining(size), FIRST_CHUNK_SERVERS) {
                     add(&mut size, update, service, first);
                 }
             } else if let Some(service) = f.next_pending() {
@@ -244,7 +244,7 @@
         if starting {
             self.stats.snapshots += 1;
             if let Some(packed) = self.compressed_snapshot(service_id, header.slice as usize) {
-                return self.snapshot_piece(id, service_id, ServiceChanges { packed, ..header });
+                return self.snapshot_chunk(id, service_id, ServiceChanges { packed, ..header });
             }
         }
         let f = self.forwarders.get_mut(&id)?;
@@ -293,8 +293,8 @@
         Some(f.mark_up_to_date(service_id, slice, changes))
     }
 
-    /// Returns a compressed snapshot as a single piece.
-    fn snapshot_piece(
+    /// Returns a compressed snapshot as a single chunk.
+    fn snapshot_chunk(
         &mut self,
         id: u32,
         service_id: u32,
--- a/crates/plan/src/services/subscriber/held_service.rs
+++ b/crates/plan/src/services/subscriber/held_service.rs
@@ -179,7 +179,7 @@
         let (slice, slices) = (changes.slice as usize, changes.slices as usize);
         let foreign: Vec<String> =
             self.servers.keys().filter(|name| slice_index(name, slices) != slice).cloned().collect();
-        // These servers have not left the list, so no planner is told that they have.
+        // These servers have not left the list, so none are announced to planners as removed.
         let mut reassigned = VecDeque::new();
         foreign.iter().for_each(|name| self.remove(now, source, name, changed, &mut reassigned));
         (self.incarnation, self.version) = (0, 0);
--- a/crates/plan/src/services/subscriber/mod.rs
+++ b/crates/plan/src/services/subscriber/mod.rs
@@ -42,9 +42,10 @@
 /// Approximate memory per service beside its servers.
 const SERVICE_BYTES: usize = 8_000;
 
-/// Number of list versions that a forwarder remembers, and the time between two of them. The product is well above
+/// Number of list versions that a forwarder remembers. Together with `VERSION_HISTORY_INTERVAL` they cover well over
 /// the delay by which planners' lists differ.
 pub const MAX_VERSION_HISTORY: usize = 24;
+/// Minimum time between two remembered list versions of the same epoch.
 const VERSION_HISTORY_INTERVAL: Nanos = 400 * MS;
 
 /// Time without a message after which a planner is considered lost. It is well above the number of heartbeats that
@@ -162,8 +163,9 @@
     /// Removed servers, for planners with an earlier list.
     removed: VecDeque<RemovedServer>,
     send_closed: bool,
-    /// List versions of the connected planners, and when the last one was recorded.
+    /// List versions of the connected planners.
     history: History,
+    /// When the last version was recorded in `history`.
     recorded_at: Nanos,
     /// Whether the planner has yet to be sent the remaining receive budget.
     send_allowance: bool,
--- a/crates/plan/src/services/subscriber/planner_choice.rs
+++ b/crates/plan/src/services/subscriber/planner_choice.rs
@@ -1,4 +1,4 @@
-//! PlannerChoice of the planner that a forwarder connects to.
+//! Choice of the planner that a forwarder connects to.
 //!
 //! Each forwarder ranks the planners by rendezvous hashing of the names, so that the load of a lost planner spreads
 //! over all others. A planner at capacity refuses the connection and the next one is tried. After a loss,
