--- a/crates/replica/tests/links.rs
+++ b/crates/replica/tests/links.rs
@@ -93,8 +93,8 @@
 fn many_entries_are_replicated_over_lossy_links() {
     let mut replicas = Replicas::new(2);
     for k in 0..700 {
-        replicas.set_ban(0, &format!("a-server-with-a-rather-long-name-{k}"), true);
-        replicas.set_ban(1, &format!("another-server-{k}"), k % 2 == 0);
+        replicas.set_ban(0, &format!("a-box-with-a-rather-long-name-{k}"), true);
+        replicas.set_ban(1, &format!("another-box-{k}"), k % 2 == 0);
     }
     replicas.loss_interval = 3;
     replicas.apply_view(&[10, 11]);
