--- a/crates/shift/src/settings.rs
+++ b/crates/shift/src/settings.rs
@@ -83,19 +83,19 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ShiftError {
     /// The name is empty or not usable as a file name.
-    #[error("`name` must have 1 to 64 letters, digits, dots, dashes or underscores")]
+    #[error("`name` has to have 1 to 64 letters, digits, dots, dashes or underscores")]
     Name,
     /// A predicate without a condition matches every server.
-    #[error("`{0}` has no condition and would match all servers")]
+    #[error("`{0}` names no condition, so that it would match all servers")]
     Everything(&'static str),
     /// Both predicates are the same.
     #[error("`old` and `new` match the same servers")]
     Same,
     /// The steps do not rise from above 0 to 1, or are too many.
-    #[error("`steps` must rise from above 0 to 100 percent, {MAX_STEPS} at most")]
+    #[error("`steps` have to rise from above 0 to 100 percent, {MAX_STEPS} at most")]
     Steps,
     /// A number out of its range.
-    #[error("`{0}` must be {1}")]
+    #[error("`{0}` has to be {1}")]
     Range(&'static str, &'static str),
     /// The cells cannot be created.
     #[error("cells: {0}")]
